--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Build, test, lint and run, as .ci/run and the README have it.
-.PHONY: build test race lint run demo clean
+.PHONY: build test race lint tools run demo clean
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
@@ -13,6 +13,10 @@
 lint:
 	test -z "$$(gofmt -l .)" && go vet ./... && go vet -tags platform ./cmd/canvasrouter
 
+# Development tools. `gopls rename FILE:LINE:COLUMN NAME` follows all uses of an identifier.
+tools:
+	go install golang.org/x/tools/gopls@v0.23.0
+
 # Two nodes, the first on 127.0.0.1:8081, and a stand-in fleet behind them, until interrupted.
 run: build
 	exec bin/canvaslab up
