--- a/internal/serve/others.go
+++ b/internal/serve/others.go
@@ -28,7 +28,7 @@
 	}
 	r.others.fleet, err = fleet.Start(c, r.actor, r.clock, r.log.With().Str("part", "fleet").Logger())
 	if err == nil {
-		r.others.fleet.Show(r.store.look)
+		r.others.fleet.SetStoreView(r.store.look)
 	}
 	return err
 }
