--- a/internal/fleet/judged/weights.go
+++ b/internal/fleet/judged/weights.go
@@ -6,52 +6,56 @@
 	"canvasrouter/policy"
 )
 
-// steps are what is left of a server's weight, by the age of the evidence against it in seconds: as that grows old the
-// server is tried more often, by some node, so that news of it comes before all nodes forget at once.
-var steps = [...]float64{1.0 / 32, 1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2}
+// remainingByEvidenceAge is the fraction of its weight that an ejected server keeps, indexed by the age in whole seconds of
+// the evidence against it. As the evidence ages, nodes try the server more often, so that one of them gets fresh evidence before
+// all reports expire at the same time.
+var remainingByEvidenceAge = [...]float64{1.0 / 32, 1.0 / 16, 1.0 / 8, 1.0 / 4, 1.0 / 2}
 
-// tryWeight is what is left of a closed server's weight once one other had an answer: more will try it.
-const tryWeight = 1.0 / 4
+// answeredFraction is the least fraction of its weight that an ejected server keeps once it has answered a peer, so that more
+// nodes try it.
+const answeredFraction = 1.0 / 4
 
-// slowWeight is what is left of the weight of a server that is slow for others.
-const slowWeight = 1.0 / 2
+// slowFraction is the fraction of its weight that a server keeps which peers report as slow.
+const slowFraction = 1.0 / 2
 
-// Weight is a part of the weight that the list gives a server.
+// WeightReduction says which fraction of the weight that the registry gives a server remains, by an assessment.
 type WeightReduction struct {
 	Assessment
 	RemainingFraction float64
 }
 
-// Weights gives the servers whose weight shrinks by hearsay, and to what part. It leaves out what own evidence speaks for,
-// and closes at most Part of the list: those with most witnesses against them.
-// own is Log.Own, which the caller may guard by a lock of its own.
-func WeightReductions(now policy.Micros, list []policy.ServerID, b *ReportTable, own func(policy.Micros, policy.ServerID) (Condition, policy.Micros)) (all []WeightReduction) {
-	if len(b.servers) == 0 {
+// WeightReductions returns the servers in the list whose weight is reduced because of reports of peers, in the order of their
+// IDs. It leaves out servers that have answered this node since the condition began, and ejects at most MaxEjectedFraction of
+// the list: the servers with the largest majority of unhealthy reports.
+// ownCondition is LocalDetector.Condition, or a function that calls it under a lock of the caller.
+func WeightReductions(now policy.Micros, list []policy.ServerID, table *ReportTable, ownCondition func(policy.Micros, policy.ServerID) (Condition, policy.Micros)) (reductions []WeightReduction) {
+	if len(table.servers) == 0 {
 		return nil
 	}
-	closed := 0
-	for _, j := range b.Assess(now, list) {
-		_, answered := own(now, j.Server)
-		if answered > 0 && now-answered <= ownFresh && answered > j.Since+margin {
-			continue // it answers here, after it is said to have stopped
+	ejected := 0
+	for _, assessment := range table.Assess(now, list) {
+		_, answeredAt := ownCondition(now, assessment.Server)
+		if answeredAt > 0 && now-answeredAt <= ownEvidenceMaxAge && answeredAt > assessment.Since+answerMargin {
+			continue // the server has answered this node after the reported start of the condition
 		}
-		w := WeightReduction{j, slowWeight}
-		if j.Condition.closes() {
-			if closed++; float64(closed) > MaxEjectedFraction*float64(len(list)) {
+		reduction := WeightReduction{assessment, slowFraction}
+		if assessment.Condition.ejects() {
+			ejected++
+			if float64(ejected) > MaxEjectedFraction*float64(len(list)) {
 				continue
 			}
-			w.RemainingFraction = steps[min(len(steps)-1, int(max(0, now-j.LastEvidence)/policy.Second))]
-			if j.LastAnswer > j.LastEvidence+refuted {
-				w.RemainingFraction = max(w.RemainingFraction, tryWeight)
+			reduction.RemainingFraction = remainingByEvidenceAge[min(len(remainingByEvidenceAge)-1, int(max(0, now-assessment.LastEvidence)/policy.Second))]
+			if assessment.LastAnswer > assessment.LastEvidence+refutationMargin {
+				reduction.RemainingFraction = max(reduction.RemainingFraction, answeredFraction)
 			}
 		}
-		all = append(all, w)
+		reductions = append(reductions, reduction)
 	}
-	slices.SortFunc(all, func(a, b WeightReduction) int {
+	slices.SortFunc(reductions, func(a, b WeightReduction) int {
 		if a.Server < b.Server {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return reductions
 }
