--- /dev/null
+++ b/internal/fleet/words/messenger_test.go
@@ -0,0 +1,80 @@
+package words
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"canvasrouter/internal/fleet/transport"
+	"canvasrouter/internal/node"
+)
+
+// openTransport opens a transport on a free port of a loopback address.
+func openTransport(t *testing.T, incarnation transport.IncarnationID) (*transport.Transport, netip.AddrPort) {
+	t.Helper()
+	for port := uint16(21000); port < 22000; port++ {
+		addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), port)
+		if opened, err := transport.Open(transport.Options{Listen: addr, Advertise: addr, Incarnation: incarnation, MaxBytesPerSecond: 1 << 20}, zerolog.Nop()); err == nil {
+			t.Cleanup(opened.Close)
+			return opened, addr
+		}
+	}
+	t.Fatal("no port is free")
+	return nil, netip.AddrPort{}
+}
+
+// Messages go in one batch to the owner of the number, the newest of them if the queue overflows. A full queue to one number
+// does not delay the others. Stale messages and unknown formats are dropped.
+func TestMessenger(t *testing.T) {
+	senderTransport, _ := openTransport(t, 1)
+	receiverTransport, receiverAddr := openTransport(t, 2)
+	received := make(chan []byte, 10)
+	busy := false
+	receiver := Start(receiverTransport, nil, func(messages []byte) bool {
+		if !busy {
+			received <- messages
+		}
+		return !busy
+	})
+	defer receiver.Close()
+	receiverTransport.Run()
+	sender := Start(senderTransport, func(number int) (netip.AddrPort, bool) { return receiverAddr, number == 7 }, nil)
+	defer sender.Close()
+	for i := range 100 {
+		sender.Send(8, node.Word{byte(i)}) // has no owner
+		sender.Send(7, node.Word{byte(i), 1, 2})
+	}
+	sender.Send(-1, node.Word{})
+	sender.Send(maxNodeNumbers, node.Word{})
+	select {
+	case messages := <-received:
+		if len(messages) != maxQueued*messageSize || messages[0] != 100-maxQueued || messages[len(messages)-messageSize] != 99 {
+			t.Errorf("received %d bytes, from message %d to %d", len(messages), messages[0], messages[len(messages)-messageSize])
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatalf("nothing was received: %+v", sender.Counts())
+	}
+	for end := time.Now().Add(5 * time.Second); sender.Counts().Sent == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	}
+	if c := sender.Counts(); c.Submitted != 200 || c.Evicted != 2*(100-maxQueued) || c.NoOwner != maxQueued || c.Sent != maxQueued {
+		t.Errorf("sender: %+v", c)
+	}
+	receiver.receive(receiverAddr, &transport.Frame{Payload: []byte{formatVersion, 1, 2, 3}}, maxDelay+1)
+	receiver.receive(receiverAddr, &transport.Frame{Payload: []byte{formatVersion + 1, 1, 2, 3}}, 0)
+	receiver.receive(receiverAddr, &transport.Frame{Payload: []byte{formatVersion, 1, 2}}, 0)
+	receiver.receive(receiverAddr, &transport.Frame{}, 0)
+	busy = true
+	receiver.receive(receiverAddr, &transport.Frame{Payload: []byte{formatVersion, 1, 2, 3}}, 0)
+	if c := receiver.Counts(); c.Delivered != maxQueued || c.Stale != 1 || c.UnknownFormat != 3 || c.MailboxFull != 1 {
+		t.Errorf("receiver: %+v", c)
+	}
+	// A process that was suspended resumes with the messages queued before.
+	sender.mu.Lock()
+	sender.oldestSince = time.Now().Add(-2 * maxDelay)
+	sender.mu.Unlock()
+	if sender.flush(7, nil, true); sender.Counts().Sent != maxQueued {
+		t.Error("stale messages were sent")
+	}
+}
