--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -22,161 +22,173 @@
 )
 
 const (
-	// askEvery is how often a node asks one that it thinks gone, or one to join by that is not there. A cut that is over is
-	// found by it: members ask only those that they think alive.
-	askEvery = time.Second
-	// young is how long after its start a node also asks those that it knows for all that they know, one each second or so.
-	// Danger: where many start together each joins by one that knows few yet; what gossip misses then came 30 s later.
-	young = 10 * time.Second
-	// exchangeEvery is how often a node exchanges all that it knows with another; see ExchangeEvery.
-	exchangeEvery = 5 * time.Second
-	probeEvery    = 500 * time.Millisecond
-	// mostAwareness is by how much a node that finds itself ill looks for the others more slowly. Danger: one that is cut off does, and would
-	// look ever more slowly.
-	mostAwareness = 3
-	// ProbeEnds is how long after Close a probe of the library, which waits for nobody's end, may go on: it waits out its time.
-	MaxProbeAfterClose = probeEvery * mostAwareness
-	// leaveWait is how long a node waits until its leaving has gone out.
-	leaveWait = 300 * time.Millisecond
-	packets   = 256 // that may wait to be worked
+	// rejoinInterval is the mean time between attempts to reach a dead member or an unreached join address. They detect the end
+	// of a network partition: memberlist itself contacts alive members only.
+	rejoinInterval = time.Second
+	// startupPeriod is how long after its start a node also requests the full state from alive members, about once a second.
+	// Where many nodes start together, each joins through a node that knows few members yet, and without these requests what
+	// gossip misses arrived 30 s later.
+	startupPeriod = 10 * time.Second
+	// baseExchangeInterval is the time between exchanges of the full state in a small fleet; see ExchangeInterval.
+	baseExchangeInterval = 5 * time.Second
+	probeInterval        = 500 * time.Millisecond
+	// maxAwareness limits the factor by which a node that finds itself unhealthy slows down its probes. A node that is cut off
+	// finds itself unhealthy, and would probe ever more slowly.
+	maxAwareness = 3
+	// MaxProbeAfterClose is how long after Close a probe of memberlist may still run: it lasts until its timeout, and shutting
+	// memberlist down does not wait for it.
+	MaxProbeAfterClose = probeInterval * maxAwareness
+	// leaveTimeout bounds each step of Leave.
+	leaveTimeout     = 300 * time.Millisecond
+	maxQueuedPackets = 256
 )
 
-// Options say who the node is and by whom it joins.
+// Options describe the node and how it joins the fleet.
 type Options struct {
 	Self              Member
-	FleetSize         int // that the settings tell of
+	FleetSize         int // by the settings
 	JoinAddrs         []netip.AddrPort
 	RandomSeed        uint64
-	DepartedRetention time.Duration // how long one that is gone is kept; 0: ten minutes
+	DepartedRetention time.Duration // how long members that left or died are kept; 0: ten minutes
 }
 
-// Members is the actor. Its methods may be called from any goroutine and don't wait, but for Leave and Close.
+// Members takes part in the membership protocol. Its methods are safe for concurrent use and, except for Leave and Close, do
+// not block.
 type Members struct {
-	options   Options
-	transport *transport.Transport
-	clock     *node.Clock
-	log       zerolog.Logger
-	list      *memberlist.Memberlist
-	leaving   memberlist.TransmitLimitedQueue // who leaves, to be passed on: each member once
-	packets   chan *memberlist.Packet
-	done      chan struct{}
-	over      sync.WaitGroup
-	left      sync.Once
-	leaves    atomic.Bool
-
-	mu    sync.Mutex
-	table *Table
-	there atomic.Pointer[[]Member] // all others that are there; nil: there was a change since somebody asked
+	options         Options
+	transport       *transport.Transport
+	clock           *node.Clock
+	log             zerolog.Logger
+	gossip          *memberlist.Memberlist
+	leaveBroadcasts memberlist.TransmitLimitedQueue // leave messages to forward, one for each member
+	packets         chan *memberlist.Packet
+	done            chan struct{}
+	running         sync.WaitGroup
+	leaveOnce       sync.Once
+	leaving         atomic.Bool
+
+	mu         sync.Mutex
+	table      *Table
+	alivePeers atomic.Pointer[[]Member] // result of AlivePeers; nil after a change, until it is called again
 }
 
-// Start joins. Nobody needs to be there yet.
-func Start(o Options, w *transport.Transport, clock *node.Clock, log zerolog.Logger) (*Members, error) {
-	m := &Members{options: o, transport: w, clock: clock, log: log, packets: make(chan *memberlist.Packet, packets),
+// Start joins the fleet. No other member needs to be reachable yet.
+func Start(o Options, t *transport.Transport, clock *node.Clock, log zerolog.Logger) (*Members, error) {
+	m := &Members{options: o, transport: t, clock: clock, log: log, packets: make(chan *memberlist.Packet, maxQueuedPackets),
 		done: make(chan struct{}), table: NewTable(o.Self, o.FleetSize)}
 	if o.DepartedRetention > 0 {
-		m.table.keep = policy.Micros(o.DepartedRetention.Microseconds())
+		m.table.departedRetention = policy.Micros(o.DepartedRetention.Microseconds())
 	}
-	w.Handle(transport.Membership, m.packet)
+	t.Handle(transport.Membership, m.receive)
 	config := memberlist.DefaultLANConfig()
-	m.leaving.NumNodes, m.leaving.RetransmitMult = func() int { return len(m.AlivePeers()) + 1 }, config.RetransmitMult
-	config.Name = id(o.Self.Name, o.Self.Incarnation)
-	config.BindAddr, config.BindPort = o.Self.Addr.Addr().String(), int(o.Self.Addr.Port())
-	config.AdvertiseAddr, config.AdvertisePort = config.BindAddr, config.BindPort
-	config.Transport = &adapter{m}
-	config.Delegate, config.Events = delegate{m}, events{m}
-	config.Logger = stdlog.New(quiet{log}, "", 0)
+	m.leaveBroadcasts.NumNodes = func() int { return len(m.AlivePeers()) + 1 }
+	m.leaveBroadcasts.RetransmitMult = config.RetransmitMult
+	config.Name = memberID(o.Self.Name, o.Self.Incarnation)
+	config.BindAddr = o.Self.Addr.Addr().String()
+	config.BindPort = int(o.Self.Addr.Port())
+	config.AdvertiseAddr = config.BindAddr
+	config.AdvertisePort = config.BindPort
+	config.Transport = &transportAdapter{m}
+	config.Delegate = delegate{m}
+	config.Events = events{m}
+	config.Logger = stdlog.New(debugWriter{log}, "", 0)
 	config.UDPBufferSize = transport.MaxPayload
-	config.EnableCompression = false // what is told is short
-	config.ProbeInterval, config.ProbeTimeout = clock.Real(probeEvery), clock.Real(200*time.Millisecond)
-	config.SuspicionMult, config.SuspicionMaxTimeoutMult = 3, 2
-	config.AwarenessMaxMultiplier = mostAwareness
+	config.EnableCompression = false // the messages are short
+	config.ProbeInterval = clock.Real(probeInterval)
+	config.ProbeTimeout = clock.Real(200 * time.Millisecond)
+	config.SuspicionMult = 3
+	config.SuspicionMaxTimeoutMult = 2
+	config.AwarenessMaxMultiplier = maxAwareness
 	config.GossipInterval = clock.Real(100 * time.Millisecond)
-	config.PushPullInterval = clock.Real(exchangeEvery)
+	config.PushPullInterval = clock.Real(baseExchangeInterval)
 	config.TCPTimeout = clock.Real(2 * time.Second)
-	config.GossipToTheDeadTime, config.QueueCheckInterval = clock.Real(config.GossipToTheDeadTime), clock.Real(config.QueueCheckInterval)
-	list, err := memberlist.Create(config)
+	config.GossipToTheDeadTime = clock.Real(config.GossipToTheDeadTime)
+	config.QueueCheckInterval = clock.Real(config.QueueCheckInterval)
+	gossip, err := memberlist.Create(config)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	m.list = list
-	m.over.Go(m.ask)
+	m.gossip = gossip
+	m.running.Go(m.rejoinLoop)
 	return m, nil
 }
 
-// ExchangeEvery is how often each of so many nodes exchanges all that it knows with another: the library's base up to 32, and one
-// base more for each doubling past that. What a node sends and gets in the mean is told over whole such spans.
+// ExchangeInterval returns how often each node of a fleet exchanges its full state with another: baseExchangeInterval up to 32 nodes, and
+// as much again for each doubling beyond, as memberlist scales it. Mean traffic figures are taken over whole intervals.
 func ExchangeInterval(nodes int) time.Duration {
-	longer := 1.0
+	scale := 1.0
 	if nodes > 32 {
-		longer += math.Ceil(math.Log2(float64(nodes)) - 5)
+		scale += math.Ceil(math.Log2(float64(nodes)) - 5)
 	}
-	return time.Duration(longer) * exchangeEvery
+	return time.Duration(scale) * baseExchangeInterval
 }
 
-// Leave tells the others that the node leaves, and waits until that has gone out, for a while at the most.
+// Leave announces to the other members that the node leaves. It waits until the announcement has been sent, but no longer
+// than leaveTimeout for each of its steps.
 func (m *Members) Leave() {
-	m.left.Do(func() {
-		m.leaves.Store(true)
-		word := &leaving{life: m.options.Self.Incarnation, told: make(chan struct{})}
-		m.leaving.QueueBroadcast(word)
-		if err := m.list.UpdateNode(m.clock.Real(leaveWait)); err != nil { // members of versions that know no such word go by what it tells of itself
-			m.log.Debug().Err(err).Msg("that the node leaves was not told to all")
+	m.leaveOnce.Do(func() {
+		m.leaving.Store(true)
+		broadcast := &leaveBroadcast{incarnation: m.options.Self.Incarnation, sent: make(chan struct{})}
+		m.leaveBroadcasts.QueueBroadcast(broadcast)
+		if err := m.gossip.UpdateNode(m.clock.Real(leaveTimeout)); err != nil { // for members of versions without leave messages, which read the metadata
+			m.log.Debug().Err(err).Msg("updated metadata did not reach all members before leaving")
 		}
-		if err := m.list.Leave(m.clock.Real(leaveWait)); err != nil {
-			m.log.Debug().Err(err).Msg("leaving was not told to all")
+		if err := m.gossip.Leave(m.clock.Real(leaveTimeout)); err != nil {
+			m.log.Debug().Err(err).Msg("the departure did not reach all members")
 		}
 		select {
-		case <-word.told:
-		case <-time.After(m.clock.Real(leaveWait)):
+		case <-broadcast.sent:
+		case <-time.After(m.clock.Real(leaveTimeout)):
 		}
 	})
 }
 
-// Close ends the actor, after Leave or without a word.
+// Close stops taking part, after Leave or without an announcement.
 func (m *Members) Close() {
 	close(m.done)
-	m.list.Shutdown()
-	m.over.Wait()
+	m.gossip.Shutdown()
+	m.running.Wait()
 }
 
-// View gives all that are known, and the node itself.
-func (m *Members) View() (own Member, all []Member) {
+// View returns the node itself and all other members that are kept.
+func (m *Members) View() (self Member, all []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.own, m.table.All()
+	return m.table.self, m.table.All()
 }
 
-// There gives all others that are there. The slice is shared: it is read alone, and another one after a change.
+// AlivePeers returns all other members that are alive. The slice is shared and must not be modified; after a change of the
+// membership the method returns a new one.
 //
-// It is made when it is asked for. Danger: hundreds join or come back together, and a list sorted anew at each one's word costs
-// their square.
+// The slice is built on demand: when hundreds of members join or return together, sorting a new list at each message would
+// take quadratic time.
 func (m *Members) AlivePeers() []Member {
-	if all := m.there.Load(); all != nil {
-		return *all
+	if cached := m.alivePeers.Load(); cached != nil {
+		return *cached
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if all := m.there.Load(); all != nil {
-		return *all // somebody else has asked meanwhile
+	if cached := m.alivePeers.Load(); cached != nil {
+		return *cached // another caller has built it meanwhile
 	}
-	all := m.table.AlivePeers()
-	m.there.Store(&all) // changes come under the lock, too
-	return all
+	peers := m.table.AlivePeers()
+	m.alivePeers.Store(&peers) // applyChange resets it under the same lock
+	return peers
 }
 
-// Holder is whom a word to a number goes to.
+// Owner returns the member that messages to a number go to, if any member has the number.
 func (m *Members) Owner(number int) (Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Owner(number)
 }
 
-// tell changes the table and logs what an operator may act on.
-func (m *Members) tell(change func(now policy.Micros) []Change) {
+// applyChange changes the table and logs the changes that an operator may act on.
+func (m *Members) applyChange(change func(now policy.Micros) []Change) {
 	m.mu.Lock()
 	changes := change(m.clock.Now())
 	if len(changes) > 0 {
-		m.there.Store(nil)
+		m.alivePeers.Store(nil)
 	}
 	m.mu.Unlock()
 	for _, c := range changes {
@@ -184,214 +196,216 @@
 		if c.ConflictsWith != "" {
 			line = m.log.Warn().Str("beside", c.ConflictsWith)
 		}
-		line.Str("member", id(c.Member.Name, c.Member.Incarnation)).Str("addr", c.Member.Addr.String()).Int("number", c.Member.Number).Msg(c.Text)
+		line.Str("member", memberID(c.Member.Name, c.Member.Incarnation)).Str("addr", c.Member.Addr.String()).Int("number", c.Member.Number).Msg(c.Text)
 	}
 }
 
-// member is a library's node in our terms.
-func member(n *memberlist.Node) (Member, error) {
+// memberFrom converts a node of memberlist to a Member.
+func memberFrom(n *memberlist.Node) (Member, error) {
 	m := Member{}
 	addr, ok := netip.AddrFromSlice(n.Addr)
-	if err := readMeta(n.Meta, &m); err != nil || !ok {
-		return m, errMeta
+	if err := decodeMetadata(n.Meta, &m); err != nil || !ok {
+		return m, errMalformed
 	}
 	m.Addr = netip.AddrPortFrom(addr.Unmap(), n.Port)
 	m.Name, _, _ = strings.Cut(n.Name, "/")
 	return m, nil
 }
 
-// heard takes in what the library says of one that is there.
-func (m *Members) heard(n *memberlist.Node) {
-	of, err := member(n)
+// memberAlive records a member that memberlist reports as alive.
+func (m *Members) memberAlive(n *memberlist.Node) {
+	member, err := memberFrom(n)
 	if err != nil {
-		m.log.Warn().Str("member", n.Name).Err(err).Msg("a member is passed over")
+		m.log.Warn().Str("member", n.Name).Err(err).Msg("a member is ignored")
 		return
 	}
-	m.tell(func(now policy.Micros) []Change { return m.table.MemberAlive(now, of) })
+	m.applyChange(func(now policy.Micros) []Change { return m.table.MemberAlive(now, member) })
 }
 
-// ask asks one address at a time, at random, whether somebody is there. Danger: nodes that start or heal together would
-// all ask the same one at once.
-func (m *Members) ask() {
+// rejoinLoop tries to join through one random address at a time. If all nodes that start together or return after a partition
+// tried the addresses in the same order, they would contact the same node at once.
+func (m *Members) rejoinLoop() {
 	rng := rand.New(rand.NewPCG(m.options.RandomSeed, uint64(m.options.Self.Incarnation)))
-	grown := m.clock.Now() + policy.Micros(young.Microseconds())
-	for wait := time.Duration(0); ; wait = askEvery/2 + time.Duration(rng.Int64N(int64(askEvery))) {
+	startupEnd := m.clock.Now() + policy.Micros(startupPeriod.Microseconds())
+	for delay := time.Duration(0); ; delay = rejoinInterval/2 + time.Duration(rng.Int64N(int64(rejoinInterval))) {
 		select {
 		case <-m.done:
 			return
-		case <-time.After(m.clock.Real(wait)):
+		case <-time.After(m.clock.Real(delay)):
 		}
 		m.mu.Lock()
 		m.table.Expire(m.clock.Now())
-		all := m.table.JoinCandidates(m.options.JoinAddrs)
+		candidates := m.table.JoinCandidates(m.options.JoinAddrs)
 		m.mu.Unlock()
-		if there := m.AlivePeers(); m.clock.Now() < grown && len(there) > 0 && (len(all) == 0 || rng.IntN(2) == 0) {
-			all = []netip.AddrPort{there[rng.IntN(len(there))].Addr}
+		if peers := m.AlivePeers(); m.clock.Now() < startupEnd && len(peers) > 0 && (len(candidates) == 0 || rng.IntN(2) == 0) {
+			candidates = []netip.AddrPort{peers[rng.IntN(len(peers))].Addr}
 		}
-		if len(all) == 0 {
+		if len(candidates) == 0 {
 			continue
 		}
-		addr := all[rng.IntN(len(all))]
-		if _, err := m.list.Join([]string{addr.String()}); err != nil {
-			m.log.Debug().Str("addr", addr.String()).Err(err).Msg("nobody was reached there")
+		addr := candidates[rng.IntN(len(candidates))]
+		if _, err := m.gossip.Join([]string{addr.String()}); err != nil {
+			m.log.Debug().Str("addr", addr.String()).Err(err).Msg("no member was reached at the address")
 		}
 	}
 }
 
-// packet hands a datagram to the library.
-func (m *Members) packet(from netip.AddrPort, f *transport.Frame, _ time.Duration) {
+// receive passes a datagram to memberlist.
+func (m *Members) receive(from netip.AddrPort, frame *transport.Frame, _ time.Duration) {
 	select {
-	case m.packets <- &memberlist.Packet{Buf: append([]byte(nil), f.Payload...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
+	case m.packets <- &memberlist.Packet{Buf: append([]byte(nil), frame.Payload...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
 	default:
 		m.transport.CountDroppedUnread()
 	}
 }
 
-// adapter is the library's transport: ours.
-type adapter struct{ *Members }
+// transportAdapter lets memberlist use the fleet's transport.
+type transportAdapter struct{ *Members }
 
-func (t *adapter) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	a := t.options.Self.Addr
-	return a.Addr().AsSlice(), int(a.Port()), nil
+func (a *transportAdapter) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	addr := a.options.Self.Addr
+	return addr.Addr().AsSlice(), int(addr.Port()), nil
 }
 
-func (t *adapter) WriteTo(b []byte, addr string) (time.Time, error) {
+func (a *transportAdapter) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	t.transport.Send(to, transport.Membership, b) // what the pace or the kernel drops is lost, as on any way
+	a.transport.Send(to, transport.Membership, b) // a datagram dropped by the rate limit or the kernel counts as lost on the network
 	return time.Now(), nil
 }
 
-func (t *adapter) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, addr.Addr)
+func (a *transportAdapter) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
+	return a.WriteTo(b, addr.Addr)
 }
 
-func (t *adapter) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *adapter) StreamCh() <-chan net.Conn           { return t.transport.Streams() }
-func (t *adapter) Shutdown() error                     { return nil } // closed by who opened it
+func (a *transportAdapter) PacketCh() <-chan *memberlist.Packet { return a.packets }
+func (a *transportAdapter) StreamCh() <-chan net.Conn           { return a.transport.Streams() }
+func (a *transportAdapter) Shutdown() error                     { return nil } // whoever opened the transport closes it
 
-func (t *adapter) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return t.transport.Dial(addr, timeout)
+func (a *transportAdapter) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return a.transport.Dial(addr, timeout)
 }
 
-func (t *adapter) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.transport.Dial(addr.Addr, timeout)
+func (a *transportAdapter) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return a.transport.Dial(addr.Addr, timeout)
 }
 
-// delegate tells the library what a member says of itself.
+// delegate implements memberlist.Delegate: the node's metadata and its leave messages.
 type delegate struct{ *Members }
 
 func (d delegate) NodeMeta(int) []byte {
-	own := d.options.Self
-	own.leaves = d.leaves.Load()
-	return meta(&own)
+	self := d.options.Self
+	self.leaving = d.leaving.Load()
+	return encodeMetadata(&self)
 }
 
-// mostSaid of those that left are told in an exchange, the latest: a third of a fleet of 900 in ten minutes.
-const mostSaid = 300
+// maxLeavesPerExchange is the number of leave messages in a state exchange, the latest ones: a third of a fleet of 900 within
+// ten minutes.
+const maxLeavesPerExchange = 300
 
-// LocalState is what an exchange tells beside the library's own: who has said that it leaves. Danger: gossip goes to so many and no
-// further, to the dead as well, and passes one in twenty by.
+// LocalState returns what a state exchange carries besides memberlist's own state: the incarnations that have announced that
+// they leave. Gossip alone does not suffice: it sends each message a limited number of times, dead members take some of them,
+// and it misses one node in twenty.
 func (d delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lives := d.table.LeavingIncarnations(mostSaid)
-	if len(lives) == 0 {
+	incarnations := d.table.LeavingIncarnations(maxLeavesPerExchange)
+	if len(incarnations) == 0 {
 		return nil
 	}
-	return leavingWord(lives...)
+	return encodeLeave(incarnations...)
 }
 
-// MergeRemoteState takes in what an exchange has told.
+// MergeRemoteState handles the LocalState of another member.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
 	if len(b) > 0 {
 		d.NotifyMsg(b)
 	}
 }
 
-// GetBroadcasts gives who leaves, in what the library's own news has left of a datagram.
+// GetBroadcasts returns leave messages that fit into what memberlist's own messages have left of a datagram.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.leaving.GetBroadcasts(overhead, limit)
+	return d.leaveBroadcasts.GetBroadcasts(overhead, limit)
 }
 
-// NotifyMsg takes in who leaves, and passes on what was not known.
+// NotifyMsg handles leave messages and forwards those that are new.
 func (d delegate) NotifyMsg(b []byte) {
-	lives, err := readLeaving(b)
+	incarnations, err := decodeLeave(b)
 	if err != nil {
-		d.log.Debug().Err(err).Msg("a member's word is passed over")
+		d.log.Debug().Err(err).Msg("a message of a member is ignored")
 		return
 	}
-	for _, life := range lives {
-		news := false
-		d.tell(func(policy.Micros) (changes []Change) {
-			changes, news = d.table.LeaveAnnounced(life)
+	for _, incarnation := range incarnations {
+		isNew := false
+		d.applyChange(func(policy.Micros) (changes []Change) {
+			changes, isNew = d.table.LeaveAnnounced(incarnation)
 			return changes
 		})
-		if news { // Danger: the queue asks for the members under its own lock, so it is not told under theirs
-			d.leaving.QueueBroadcast(&leaving{life: life})
+		if isNew { // the queue calls AlivePeers under its own lock: to call it under the members' lock would deadlock
+			d.leaveBroadcasts.QueueBroadcast(&leaveBroadcast{incarnation: incarnation})
 		}
 	}
 }
 
-// leaving is the word that a life leaves, on its way.
-type leaving struct {
-	life transport.IncarnationID
-	told chan struct{} // closed when it has gone out often enough; nil: nobody waits
+// leaveBroadcast is a queued message that an incarnation leaves.
+type leaveBroadcast struct {
+	incarnation transport.IncarnationID
+	sent        chan struct{} // closed when it has been sent often enough; nil if nothing waits for that
 }
 
-const leavingVersion = 1
+const leaveFormatVersion = 1
 
-func (l *leaving) Message() []byte { return leavingWord(l.life) }
+func (l *leaveBroadcast) Message() []byte { return encodeLeave(l.incarnation) }
 
-// leavingWord is a version and lives.
-func leavingWord(lives ...transport.IncarnationID) []byte {
-	b := []byte{leavingVersion}
-	for _, life := range lives {
-		b = binary.BigEndian.AppendUint64(b, uint64(life))
+// encodeLeave encodes a leave message: a version and the incarnations that leave.
+func encodeLeave(incarnations ...transport.IncarnationID) []byte {
+	b := []byte{leaveFormatVersion}
+	for _, incarnation := range incarnations {
+		b = binary.BigEndian.AppendUint64(b, uint64(incarnation))
 	}
 	return b
 }
 
-func (l *leaving) Invalidates(memberlist.Broadcast) bool { return false }
+func (l *leaveBroadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-func (l *leaving) Finished() {
-	if l.told != nil {
-		close(l.told)
+func (l *leaveBroadcast) Finished() {
+	if l.sent != nil {
+		close(l.sent)
 	}
 }
 
-// readLeaving takes the word apart.
-func readLeaving(b []byte) (lives []transport.IncarnationID, err error) {
-	if len(b) < 9 || len(b)%8 != 1 || len(b) > 1+8*mostSaid || b[0] != leavingVersion {
-		return nil, errMeta
+// decodeLeave decodes a leave message.
+func decodeLeave(b []byte) (incarnations []transport.IncarnationID, err error) {
+	if len(b) < 9 || len(b)%8 != 1 || len(b) > 1+8*maxLeavesPerExchange || b[0] != leaveFormatVersion {
+		return nil, errMalformed
 	}
 	for b = b[1:]; len(b) > 0; b = b[8:] {
-		lives = append(lives, transport.IncarnationID(binary.BigEndian.Uint64(b)))
+		incarnations = append(incarnations, transport.IncarnationID(binary.BigEndian.Uint64(b)))
 	}
-	return lives, nil
+	return incarnations, nil
 }
 
-// events are the library's, told under its lock.
+// events implements memberlist.EventDelegate. memberlist calls its methods while it holds a lock of its own.
 type events struct{ *Members }
 
-func (e events) NotifyJoin(n *memberlist.Node)   { e.heard(n) }
-func (e events) NotifyUpdate(n *memberlist.Node) { e.heard(n) }
+func (e events) NotifyJoin(n *memberlist.Node)   { e.memberAlive(n) }
+func (e events) NotifyUpdate(n *memberlist.Node) { e.memberAlive(n) }
 
 func (e events) NotifyLeave(n *memberlist.Node) {
-	of, err := member(n)
+	member, err := memberFrom(n)
 	if err != nil {
 		return
 	}
-	// The library knows as well whether it said that it leaves, and tells nobody.
-	e.tell(func(now policy.Micros) []Change { return e.table.MemberGone(now, of.Incarnation, of.leaves) })
+	// memberlist knows whether the member announced that it leaves but does not pass that on, so the metadata has to tell.
+	e.applyChange(func(now policy.Micros) []Change { return e.table.MemberGone(now, member.Incarnation, member.leaving) })
 }
 
-// quiet writes the library's lines at debug level: what matters in them is told by changes.
-type quiet struct{ log zerolog.Logger }
+// debugWriter logs memberlist's lines at debug level; what matters to an operator is logged as a Change.
+type debugWriter struct{ log zerolog.Logger }
 
-func (q quiet) Write(p []byte) (int, error) {
-	q.log.Debug().Msg(strings.TrimSpace(string(p)))
+func (w debugWriter) Write(p []byte) (int, error) {
+	w.log.Debug().Msg(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -15,118 +15,126 @@
 	"canvasrouter/policy"
 )
 
-func started(t *testing.T, name string, number int, join ...netip.AddrPort) *Members {
+// startMember starts a member on a free loopback port.
+func startMember(t *testing.T, name string, number int, joinAddrs ...netip.AddrPort) *Members {
 	t.Helper()
 	var err error
-	for range 20 { // a port that is free for streams may be taken for datagrams
+	for range 20 { // a port that is free for TCP may be taken for UDP
 		var probe net.Listener
 		if probe, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
-		at := probe.Addr().(*net.TCPAddr).AddrPort()
+		addr := probe.Addr().(*net.TCPAddr).AddrPort()
 		probe.Close()
-		own := Member{Name: name, Incarnation: transport.IncarnationID(number + 1), Number: number, Addr: at}
-		var way *transport.Transport
-		if way, err = transport.Open(transport.Options{Fleet: "test", Listen: at, Advertise: at, Incarnation: own.Incarnation, MaxBytesPerSecond: 1 << 16}, zerolog.Nop()); err != nil {
+		self := Member{Name: name, Incarnation: transport.IncarnationID(number + 1), Number: number, Addr: addr}
+		var opened *transport.Transport
+		if opened, err = transport.Open(transport.Options{Fleet: "test", Listen: addr, Advertise: addr, Incarnation: self.Incarnation, MaxBytesPerSecond: 1 << 16}, zerolog.Nop()); err != nil {
 			continue
 		}
-		m, err := Start(Options{Self: own, FleetSize: 4, JoinAddrs: join}, way, node.NewClock(), zerolog.Nop())
+		m, err := Start(Options{Self: self, FleetSize: 4, JoinAddrs: joinAddrs}, opened, node.NewClock(), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		way.Run()
-		t.Cleanup(func() { m.Close(); way.Close() })
+		opened.Run()
+		t.Cleanup(func() {
+			m.Close()
+			opened.Close()
+		})
 		return m
 	}
 	t.Fatal(err)
 	return nil
 }
 
-// state is what a member knows of another, or "unknown".
-func (m *Members) state(name string) string {
+// stateOf returns the state in which m has another member, or "unknown".
+func (m *Members) stateOf(name string) string {
 	_, all := m.View()
-	for _, o := range all {
-		if o.Name == name {
-			return o.State.String()
+	for _, other := range all {
+		if other.Name == name {
+			return other.State.String()
 		}
 	}
 	return "unknown"
 }
 
-func (m *Members) becomes(t *testing.T, name, want string) {
+// waitForState waits until m has another member in the wanted state.
+func (m *Members) waitForState(t *testing.T, name, want string) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); m.state(name) != want; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); m.stateOf(name) != want; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s has %s as %s, not %s", m.options.Self.Name, name, m.state(name), want)
+			t.Fatalf("%s has %s as %s, want %s", m.options.Self.Name, name, m.stateOf(name), want)
 		}
 	}
 }
 
-// One that leaves is told as left also where word of its going is there before its word that it leaves, and hears of it by others.
-func TestLeftWhateverComesFirst(t *testing.T) {
-	a := started(t, "a", 0)
-	b := started(t, "b", 1, a.options.Self.Addr)
-	c := started(t, "c", 2, a.options.Self.Addr)
+// A member that leaves becomes known as left even where notice of its departure arrives before its leave message, and where
+// the message comes from another member.
+func TestLeaveMessageAfterDeparture(t *testing.T) {
+	a := startMember(t, "a", 0)
+	b := startMember(t, "b", 1, a.options.Self.Addr)
+	c := startMember(t, "c", 2, a.options.Self.Addr)
 	for _, m := range []*Members{a, b, c} {
 		for _, name := range []string{"a", "b", "c"} {
 			if name != m.options.Self.Name {
-				m.becomes(t, name, "alive")
+				m.waitForState(t, name, "alive")
 			}
 		}
 	}
-	if err := b.list.Leave(time.Second); err != nil {
+	if err := b.gossip.Leave(time.Second); err != nil {
 		t.Fatal(err)
 	}
-	a.becomes(t, "b", "dead")
-	c.becomes(t, "b", "dead")
-	(delegate{a}).NotifyMsg((&leaving{life: b.options.Self.Incarnation}).Message()) // a alone hears b's own word
-	a.becomes(t, "b", "left")
-	c.becomes(t, "b", "left")
-	for a.leaving.NumQueued()+c.leaving.NumQueued() > 0 {
+	a.waitForState(t, "b", "dead")
+	c.waitForState(t, "b", "dead")
+	(delegate{a}).NotifyMsg((&leaveBroadcast{incarnation: b.options.Self.Incarnation}).Message()) // only a receives the message from b
+	a.waitForState(t, "b", "left")
+	c.waitForState(t, "b", "left")
+	for a.leaveBroadcasts.NumQueued()+c.leaveBroadcasts.NumQueued() > 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	d := started(t, "d", 3, a.options.Self.Addr) // hears of b by exchanges alone: no word is on its way any more
-	d.becomes(t, "c", "alive")
-	d.tell(func(now policy.Micros) []Change {
+	d := startMember(t, "d", 3, a.options.Self.Addr) // learns of b through state exchanges only, as no broadcast is left
+	d.waitForState(t, "c", "alive")
+	d.applyChange(func(now policy.Micros) []Change {
 		d.table.MemberAlive(now, Member{Name: "b", Incarnation: b.options.Self.Incarnation, Number: 1, Addr: b.options.Self.Addr})
 		return d.table.MemberGone(now, b.options.Self.Incarnation, false)
 	})
-	d.becomes(t, "b", "left")
+	d.waitForState(t, "b", "left")
 	d.Leave()
 	c.Leave()
-	a.becomes(t, "c", "left")
-	a.becomes(t, "d", "left")
-	if s := fmt.Sprint(a.AlivePeers()); s != "[]" {
-		t.Errorf("there are %s", s)
+	a.waitForState(t, "c", "left")
+	a.waitForState(t, "d", "left")
+	if peers := fmt.Sprint(a.AlivePeers()); peers != "[]" {
+		t.Errorf("alive peers are %s", peers)
 	}
 }
 
-// A word that comes for the first time is passed on, whether by gossip or by an exchange, and once; exchanges tell it from then on.
-func TestPassesOnOnce(t *testing.T) {
+// A leave message that is new is forwarded once, whether it arrives by gossip or in a state exchange, and is part of the
+// node's own state exchanges from then on.
+func TestLeaveForwardedOnce(t *testing.T) {
 	m := &Members{table: NewTable(Member{Name: "own", Incarnation: 1}, 3), clock: node.NewClock(), log: zerolog.Nop()}
-	m.leaving.NumNodes, m.leaving.RetransmitMult = func() int { return 3 }, 4
+	m.leaveBroadcasts.NumNodes = func() int { return 3 }
+	m.leaveBroadcasts.RetransmitMult = 4
 	m.table.MemberAlive(1, Member{Name: "n1", Incarnation: 2, Number: 1})
 	m.table.MemberAlive(1, Member{Name: "n2", Incarnation: 3, Number: 2})
 	d := delegate{m}
 	if d.LocalState(false) != nil {
-		t.Error("an exchange tells of one that leaves, and none does")
+		t.Error("a state exchange has a leave message although no member leaves")
 	}
 	for i, step := range []struct {
-		take   func()
-		queued int
-		told   []transport.IncarnationID
+		receive   func()
+		queued    int
+		exchanged []transport.IncarnationID
 	}{
-		{func() { d.NotifyMsg(leavingWord(2)) }, 1, []transport.IncarnationID{2}},
-		{func() { d.NotifyMsg(leavingWord(2)) }, 1, []transport.IncarnationID{2}},
-		{func() { d.MergeRemoteState(leavingWord(2, 3), false) }, 2, []transport.IncarnationID{2, 3}},
+		{func() { d.NotifyMsg(encodeLeave(2)) }, 1, []transport.IncarnationID{2}},
+		{func() { d.NotifyMsg(encodeLeave(2)) }, 1, []transport.IncarnationID{2}},
+		{func() { d.MergeRemoteState(encodeLeave(2, 3), false) }, 2, []transport.IncarnationID{2, 3}},
 		{func() { d.MergeRemoteState(nil, false) }, 2, []transport.IncarnationID{2, 3}},
 		{func() { d.NotifyMsg([]byte("spoilt")) }, 2, []transport.IncarnationID{2, 3}},
-		{func() { d.NotifyMsg(leavingWord(9)) }, 2, []transport.IncarnationID{2, 3}}, // nobody knows it
+		{func() { d.NotifyMsg(encodeLeave(9)) }, 2, []transport.IncarnationID{2, 3}}, // not a known member
 	} {
-		step.take()
-		told, err := readLeaving(d.LocalState(false))
-		if n := m.leaving.NumQueued(); n != step.queued || err != nil || !slices.Equal(told, step.told) {
-			t.Errorf("step %d: %d to pass on, exchanges tell of %v, %v", i, n, told, err)
+		step.receive()
+		exchanged, err := decodeLeave(d.LocalState(false))
+		if n := m.leaveBroadcasts.NumQueued(); n != step.queued || err != nil || !slices.Equal(exchanged, step.exchanged) {
+			t.Errorf("step %d: %d messages queued, %v in state exchanges, %v", i, n, exchanged, err)
 		}
 	}
 }
--- a/internal/fleet/members/table.go
+++ b/internal/fleet/members/table.go
@@ -1,5 +1,5 @@
-// Package members keeps who is there: alive, suspect, left, dead, back as another life. The table and its rules are
-// pure; the actor wraps hashicorp/memberlist, whose ways are ours.
+// Package members keeps the membership of the fleet: which nodes are alive, dead or have left, and which node owns a number.
+// Table holds the rules and does no I/O. Members runs them on hashicorp/memberlist, over the fleet's own transport.
 package members
 
 import (
@@ -18,207 +18,223 @@
 type State uint8
 
 const (
-	Alive State = iota // those that are suspected are alive until they are found dead: the library tells no more
-	Left               // it said so
-	Dead               // it was found so
+	Alive State = iota // includes suspected members: memberlist reports no suspicion
+	Left               // announced that it leaves, and is gone
+	Dead               // was found dead without an announcement
 )
 
 func (s State) String() string { return [...]string{"alive", "left", "dead"}[s] }
 
-// there says that a member may be spoken to.
-func (s State) there() bool { return s == Alive }
+// reachable reports whether messages can be sent to a member in this state.
+func (s State) reachable() bool { return s == Alive }
 
-// Member is one life of a node.
+// Member is one incarnation of a node.
 type Member struct {
-	Name        string
-	Incarnation transport.IncarnationID
-	Zone        uint8
-	Number      int // of the node among those of its tier
-	Addr        netip.AddrPort
-	State       State
-	Since       policy.Micros // of this state, here
-	leaves      bool          // it has said that it leaves
-	passed      bool          // its word of that has come here, and was passed on
-	joined      uint64        // counts joins, as seen here
+	Name           string
+	Incarnation    transport.IncarnationID
+	Zone           uint8
+	Number         int // of the node among those of its tier
+	Addr           netip.AddrPort
+	State          State
+	Since          policy.Micros // when this node learned of the state
+	leaving        bool          // the member has announced that it leaves
+	leaveForwarded bool          // its leave message has arrived here and was forwarded
+	joinOrder      uint64        // position among the joins that this node has seen
 }
 
-// id is a member's name among the members: one life has one, for good.
-func id(name string, life transport.IncarnationID) string {
-	return fmt.Sprintf("%s/%016x", name, uint64(life))
+// memberID returns the unique name of an incarnation, under which memberlist knows it.
+func memberID(name string, incarnation transport.IncarnationID) string {
+	return fmt.Sprintf("%s/%016x", name, uint64(incarnation))
 }
 
-const metaVersion = 1
+const metadataVersion = 1
 
-// meta is what a member tells of itself beside its name and address: version, zone, number, life, whether it leaves.
-func meta(m *Member) []byte {
-	b := []byte{metaVersion, m.Zone}
+// encodeMetadata encodes what a member publishes besides its name and address: version, zone, number, incarnation, and
+// whether it is leaving.
+func encodeMetadata(m *Member) []byte {
+	b := []byte{metadataVersion, m.Zone}
 	b = binary.BigEndian.AppendUint32(b, uint32(m.Number))
 	b = binary.BigEndian.AppendUint64(b, uint64(m.Incarnation))
-	if m.leaves {
+	if m.leaving {
 		return append(b, 1)
 	}
 	return append(b, 0)
 }
 
-var errMeta = errors.New("members: what a member tells of itself is not understood")
+var errMalformed = errors.New("members: malformed metadata or leave message")
 
-// readMeta takes it apart. A newer version may have more behind.
-func readMeta(b []byte, m *Member) error {
-	if len(b) < 15 || b[0] < metaVersion {
-		return errMeta
+// decodeMetadata decodes the metadata of a member. It ignores further bytes, which newer versions may add.
+func decodeMetadata(b []byte, m *Member) error {
+	if len(b) < 15 || b[0] < metadataVersion {
+		return errMalformed
 	}
-	m.leaves = b[14] == 1
-	m.Zone, m.Number, m.Incarnation = b[1], int(binary.BigEndian.Uint32(b[2:])), transport.IncarnationID(binary.BigEndian.Uint64(b[6:]))
+	m.leaving = b[14] == 1
+	m.Zone = b[1]
+	m.Number = int(binary.BigEndian.Uint32(b[2:]))
+	m.Incarnation = transport.IncarnationID(binary.BigEndian.Uint64(b[6:]))
 	return nil
 }
 
 const (
-	// mostMembers are kept, those that are gone among them; what would be more is passed over.
-	mostMembers = 2048
-	// keepGone is how long one that is gone is kept, to be asked whether it is back.
-	keepGone = 10 * 60 * policy.Second
+	// maxMembers is the number of members kept, departed ones included. Further ones are ignored.
+	maxMembers = 2048
+	// defaultDepartedRetention is how long a member that left or died is kept, so that it can be asked whether it is back.
+	defaultDepartedRetention = 10 * 60 * policy.Second
 )
 
-// Change is what an operator may act on.
+// Change is a change of the membership that an operator may act on.
 type Change struct {
 	Text          string
 	Member        Member
-	ConflictsWith string // the life that it stands beside
+	ConflictsWith string // ID of another member, or the setting that the member contradicts; empty if there is no conflict
 }
 
-// Table is who is there. It is told and read by one goroutine at a time.
+// Table holds the known members. It is not safe for concurrent use.
 type Table struct {
-	own     Member
-	nodes   int // that the settings tell of: numbers are under it
-	members map[transport.IncarnationID]*Member
-	joins   uint64
-	numbers map[int][]*Member // those there, by number; who joined last is first
-	keep    policy.Micros     // how long one that is gone is kept
+	self              Member
+	fleetSize         int // by the settings: numbers are below it
+	members           map[transport.IncarnationID]*Member
+	joinCount         uint64
+	byNumber          map[int][]*Member // alive members, the one that joined last first
+	departedRetention policy.Micros
 }
 
-// NewTable begins with the node itself, and how many nodes its settings tell of.
-func NewTable(own Member, nodes int) *Table {
-	return &Table{own: own, nodes: nodes, members: make(map[transport.IncarnationID]*Member), numbers: make(map[int][]*Member), keep: keepGone}
+// NewTable returns a table without members besides the node itself, for the fleet size that the settings give.
+func NewTable(self Member, fleetSize int) *Table {
+	return &Table{
+		self:              self,
+		fleetSize:         fleetSize,
+		members:           make(map[transport.IncarnationID]*Member),
+		byNumber:          make(map[int][]*Member),
+		departedRetention: defaultDepartedRetention,
+	}
 }
 
-// Heard says that a member is there.
+// MemberAlive records that a member is alive, with the data that it publishes.
 func (t *Table) MemberAlive(now policy.Micros, m Member) (changes []Change) {
-	if m.Incarnation == t.own.Incarnation {
+	if m.Incarnation == t.self.Incarnation {
 		return nil
 	}
 	known := t.members[m.Incarnation]
 	if known == nil {
-		if len(t.members) >= mostMembers && !t.room() {
+		if len(t.members) >= maxMembers && !t.evictDeparted() {
 			return nil
 		}
 		known = &Member{}
 		t.members[m.Incarnation] = known
 		known.State = Dead
 	}
-	was := *known
-	m.joined, m.Since, m.leaves, m.passed = was.joined, was.Since, m.leaves || was.leaves, was.passed
-	if m.State != was.State || m.Since == 0 {
+	before := *known
+	m.joinOrder = before.joinOrder
+	m.Since = before.Since
+	m.leaving = m.leaving || before.leaving
+	m.leaveForwarded = before.leaveForwarded
+	if m.State != before.State || m.Since == 0 {
 		m.Since = now
 	}
-	if !was.State.there() {
-		t.joins++
-		m.joined = t.joins
-		changes = append(changes, t.arrived(&m, was.Incarnation != 0)...)
+	if !before.State.reachable() {
+		t.joinCount++
+		m.joinOrder = t.joinCount
+		changes = append(changes, t.arrivalChanges(&m, before.Incarnation != 0)...)
 	}
 	*known = m
-	if len(changes) > 0 || m.Number != was.Number {
-		t.order(was.Number)
-		t.order(m.Number)
+	if len(changes) > 0 || m.Number != before.Number {
+		t.updateOwners(before.Number)
+		t.updateOwners(m.Number)
 	}
 	return changes
 }
 
-// arrived is what there is to say of one that has come.
-func (t *Table) arrived(m *Member, before bool) []Change {
+// arrivalChanges returns what to report of a member that has arrived: the arrival itself and conflicts with other members or
+// the settings.
+func (t *Table) arrivalChanges(m *Member, returning bool) []Change {
 	text := "member is there"
-	if before {
+	if returning {
 		text = "member is back"
 	}
 	changes := []Change{{Text: text, Member: *m}}
-	if m.Number >= t.nodes {
+	if m.Number >= t.fleetSize {
 		changes = append(changes, Change{Text: "number passes the nodes that the settings tell of", Member: *m,
-			ConflictsWith: fmt.Sprintf("fleet_size %d", t.nodes)})
+			ConflictsWith: fmt.Sprintf("fleet_size %d", t.fleetSize)})
 	}
-	// One that it clashes with is enough to tell. Danger: where all have one name, a line for each pair would fill the log.
-	for _, same := range []struct {
-		text string
-		is   func(*Member) bool
+	// One conflicting member is enough to report. Where all have the same name, a log line for each pair would fill the log.
+	for _, conflict := range []struct {
+		text    string
+		matches func(*Member) bool
 	}{
-		{"two processes have one name", func(o *Member) bool { return o.Name == m.Name }},
-		{"two nodes have one number", func(o *Member) bool { return o.Name != m.Name && o.Number == m.Number }},
+		{"two processes have one name", func(other *Member) bool { return other.Name == m.Name }},
+		{"two nodes have one number", func(other *Member) bool { return other.Name != m.Name && other.Number == m.Number }},
 	} {
-		if all := t.there(func(o *Member) bool { return o.Incarnation != m.Incarnation && same.is(o) }); len(all) > 0 {
-			changes = append(changes, Change{Text: same.text, Member: *m, ConflictsWith: id(all[0].Name, all[0].Incarnation)})
+		if others := t.reachable(func(other *Member) bool { return other.Incarnation != m.Incarnation && conflict.matches(other) }); len(others) > 0 {
+			changes = append(changes, Change{Text: conflict.text, Member: *m, ConflictsWith: memberID(others[0].Name, others[0].Incarnation)})
 		}
 	}
-	if t.own.Name == m.Name {
-		changes = append(changes, Change{Text: "two processes have one name", Member: *m, ConflictsWith: id(t.own.Name, t.own.Incarnation)})
-	} else if t.own.Number == m.Number {
-		changes = append(changes, Change{Text: "two nodes have one number", Member: *m, ConflictsWith: id(t.own.Name, t.own.Incarnation)})
+	if t.self.Name == m.Name {
+		changes = append(changes, Change{Text: "two processes have one name", Member: *m, ConflictsWith: memberID(t.self.Name, t.self.Incarnation)})
+	} else if t.self.Number == m.Number {
+		changes = append(changes, Change{Text: "two nodes have one number", Member: *m, ConflictsWith: memberID(t.self.Name, t.self.Incarnation)})
 	}
 	return changes
 }
 
-// there gives those that are, by a rule, in the order of their names.
-func (t *Table) there(which func(*Member) bool) (all []*Member) {
+// reachable returns the reachable members that accept matches, ordered by name.
+func (t *Table) reachable(accept func(*Member) bool) (all []*Member) {
 	for _, m := range t.members {
-		if m.State.there() && which(m) {
+		if m.State.reachable() && accept(m) {
 			all = append(all, m)
 		}
 	}
-	slices.SortFunc(all, byName)
+	slices.SortFunc(all, compareByName)
 	return all
 }
 
-func byName(a, b *Member) int {
+func compareByName(a, b *Member) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// Gone says that a member was found dead, or has left if it said so, now or before.
-func (t *Table) MemberGone(now policy.Micros, life transport.IncarnationID, said bool) []Change {
-	m := t.members[life]
-	if m == nil || !m.State.there() {
+// MemberGone records that a member is gone: it has left if it announced that, now or before, and else it is dead.
+func (t *Table) MemberGone(now policy.Micros, incarnation transport.IncarnationID, announced bool) []Change {
+	m := t.members[incarnation]
+	if m == nil || !m.State.reachable() {
 		return nil
 	}
-	m.State, m.Since = Dead, now
-	if m.leaves = m.leaves || said; m.leaves {
+	m.State = Dead
+	m.Since = now
+	m.leaving = m.leaving || announced
+	if m.leaving {
 		m.State = Left
 	}
-	t.order(m.Number)
+	t.updateOwners(m.Number)
 	return []Change{{Text: "member " + map[State]string{Left: "has left", Dead: "is dead"}[m.State], Member: *m}}
 }
 
-// Said gives the lives whose word has come that they leave, the latest first and so many at the most.
-func (t *Table) LeavingIncarnations(most int) (lives []transport.IncarnationID) {
+// LeavingIncarnations returns at most limit incarnations whose leave message has arrived, the latest first.
+func (t *Table) LeavingIncarnations(limit int) (incarnations []transport.IncarnationID) {
 	var all []*Member
 	for _, m := range t.members {
-		if m.passed {
+		if m.leaveForwarded {
 			all = append(all, m)
 		}
 	}
 	slices.SortFunc(all, func(a, b *Member) int {
 		return cmp.Or(cmp.Compare(b.Since, a.Since), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	for _, m := range all[:min(most, len(all))] {
-		lives = append(lives, m.Incarnation)
+	for _, m := range all[:min(limit, len(all))] {
+		incarnations = append(incarnations, m.Incarnation)
 	}
-	return lives
+	return incarnations
 }
 
-// Leaves says that a member's word has come that it leaves. News is whether it comes for the first time: then it is passed on, also where
-// what the member tells of itself has said as much. Danger: word of its going may come first, by another way, and who takes it for
-// dead asks for it for as long as those gone are kept.
-func (t *Table) LeaveAnnounced(life transport.IncarnationID) (changes []Change, news bool) {
-	m := t.members[life]
-	if m == nil || m.passed {
+// LeaveAnnounced records that the leave message of a member has arrived. It returns isNew for the first one, which the caller
+// forwards, even if the member's metadata has announced the same before. Notice of the departure may arrive first by another
+// path: a node that took the member for dead would then try to rejoin it for as long as departed members are kept.
+func (t *Table) LeaveAnnounced(incarnation transport.IncarnationID) (changes []Change, isNew bool) {
+	m := t.members[incarnation]
+	if m == nil || m.leaveForwarded {
 		return nil, false
 	}
-	m.leaves, m.passed = true, true
+	m.leaving = true
+	m.leaveForwarded = true
 	if m.State == Dead {
 		m.State = Left
 		changes = append(changes, Change{Text: "member has left", Member: *m})
@@ -226,20 +242,20 @@
 	return changes, true
 }
 
-// Forget lets those go that are gone for long.
+// Expire drops members that have been gone for longer than departedRetention.
 func (t *Table) Expire(now policy.Micros) {
-	for life, m := range t.members {
-		if !m.State.there() && now-m.Since > t.keep {
-			delete(t.members, life)
+	for incarnation, m := range t.members {
+		if !m.State.reachable() && now-m.Since > t.departedRetention {
+			delete(t.members, incarnation)
 		}
 	}
 }
 
-// room lets the one go that is gone for longest, if any is.
-func (t *Table) room() bool {
+// evictDeparted drops the member that has been gone for longest and reports whether there was one.
+func (t *Table) evictDeparted() bool {
 	var oldest *Member
 	for _, m := range t.members {
-		if !m.State.there() && (oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Incarnation < oldest.Incarnation) {
+		if !m.State.reachable() && (oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Incarnation < oldest.Incarnation) {
 			oldest = m
 		}
 	}
@@ -249,68 +265,68 @@
 	return oldest != nil
 }
 
-// order puts those that are there and have a number in order. Where two have one number, the one that joined last is first: a
-// process that was killed is found dead only after the one that took its place has come.
-func (t *Table) order(number int) {
-	all := t.there(func(m *Member) bool { return m.Number == number })
-	if len(all) == 0 {
-		delete(t.numbers, number)
+// updateOwners updates the members that have a number. If several have it, the one that joined last comes first: a process that
+// was killed is found dead only after its replacement has joined.
+func (t *Table) updateOwners(number int) {
+	owners := t.reachable(func(m *Member) bool { return m.Number == number })
+	if len(owners) == 0 {
+		delete(t.byNumber, number)
 		return
 	}
-	slices.SortFunc(all, func(a, b *Member) int { return cmp.Compare(b.joined, a.joined) })
-	t.numbers[number] = all
+	slices.SortFunc(owners, func(a, b *Member) int { return cmp.Compare(b.joinOrder, a.joinOrder) })
+	t.byNumber[number] = owners
 }
 
-// Holder is whom a word to a number goes to, if anybody has it.
+// Owner returns the member that messages to a number go to, if any member has the number.
 func (t *Table) Owner(number int) (Member, bool) {
-	if all := t.numbers[number]; len(all) > 0 {
-		return *all[0], true
+	if owners := t.byNumber[number]; len(owners) > 0 {
+		return *owners[0], true
 	}
 	return Member{}, false
 }
 
-// There gives all that are there, by name, without the node itself.
+// AlivePeers returns all members that are alive, without the node itself, ordered by name.
 func (t *Table) AlivePeers() (all []Member) {
-	for _, m := range t.there(func(*Member) bool { return true }) {
+	for _, m := range t.reachable(func(*Member) bool { return true }) {
 		all = append(all, *m)
 	}
 	return all
 }
 
-// All gives all that are kept, by name, without the node itself.
+// All returns all members that are kept, without the node itself, ordered by name.
 func (t *Table) All() (all []Member) {
 	for _, m := range t.members {
 		all = append(all, *m)
 	}
-	slices.SortFunc(all, func(a, b Member) int { return byName(&a, &b) })
+	slices.SortFunc(all, func(a, b Member) int { return compareByName(&a, &b) })
 	return all
 }
 
-// Own is the node itself.
-func (t *Table) Self() Member { return t.own }
+// Self returns the node itself.
+func (t *Table) Self() Member { return t.self }
 
-// Ask gives the addresses that may be asked whether somebody is there: those to join by, and of members that are gone and
-// did not say that they leave, but for those where somebody else is now.
-func (t *Table) JoinCandidates(join []netip.AddrPort) (all []netip.AddrPort) {
-	taken := map[netip.AddrPort]bool{t.own.Addr: true}
+// JoinCandidates returns the addresses at which a member may have to be found again: the configured join addresses and those
+// of members that died without leaving, except where an alive member has the address now.
+func (t *Table) JoinCandidates(joinAddrs []netip.AddrPort) (candidates []netip.AddrPort) {
+	excluded := map[netip.AddrPort]bool{t.self.Addr: true}
 	for _, m := range t.members {
-		if m.State.there() {
-			taken[m.Addr] = true
+		if m.State.reachable() {
+			excluded[m.Addr] = true
 		}
 	}
-	add := func(a netip.AddrPort) {
-		if !taken[a] {
-			taken[a] = true
-			all = append(all, a)
+	add := func(addr netip.AddrPort) {
+		if !excluded[addr] {
+			excluded[addr] = true
+			candidates = append(candidates, addr)
 		}
 	}
-	for _, a := range join {
-		add(a)
+	for _, addr := range joinAddrs {
+		add(addr)
 	}
 	for _, m := range t.All() {
 		if m.State == Dead {
 			add(m.Addr)
 		}
 	}
-	return all
+	return candidates
 }
--- a/internal/fleet/members/table_test.go
+++ b/internal/fleet/members/table_test.go
@@ -15,7 +15,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(n)}), 7946)
 }
 
-// What is told of members, step by step: who is there, who has a number, what an operator is told.
+// Each step changes the table and checks which changes are reported and who owns a number. Afterwards the candidates for
+// rejoining and the expiry of departed members are checked.
 func TestTable(t *testing.T) {
 	table := NewTable(Member{Name: "n0", Incarnation: 100, Number: 0, Addr: addr(1)}, 3)
 	texts := func(changes []Change) string {
@@ -26,9 +27,9 @@
 		return strings.Join(all, "; ")
 	}
 	for i, step := range []struct {
-		do     func() []Change
-		want   string
-		holder transport.IncarnationID // of number 1
+		do    func() []Change
+		want  string
+		owner transport.IncarnationID // of number 1
 	}{
 		{func() []Change {
 			return table.MemberAlive(1, Member{Name: "n1", Incarnation: 11, Number: 1, Addr: addr(2)})
@@ -58,55 +59,63 @@
 		}, "member is there; two processes have one name", 11},
 		{func() []Change {
 			return table.MemberAlive(12, Member{Name: "n0", Incarnation: 100, Number: 0, Addr: addr(1)})
-		}, "", 11}, // itself
+		}, "", 11}, // the node itself
 	} {
 		if got := texts(step.do()); got != step.want {
-			t.Errorf("step %d: %q, not %q", i, got, step.want)
+			t.Errorf("step %d: %q, want %q", i, got, step.want)
 		}
-		if m, _ := table.Owner(1); m.Incarnation != step.holder {
-			t.Errorf("step %d: number 1 is with %d, not %d", i, m.Incarnation, step.holder)
+		if m, _ := table.Owner(1); m.Incarnation != step.owner {
+			t.Errorf("step %d: number 1 is owned by %d, want %d", i, m.Incarnation, step.owner)
 		}
 	}
-	// Asked are those to join by and those found dead, but not where somebody is, and not those that left.
-	ask := table.JoinCandidates([]netip.AddrPort{addr(1), addr(4), addr(9)})
-	if len(ask) != 1 || ask[0] != addr(9) {
-		t.Errorf("asks %v", ask)
+	// Candidates are the join addresses and dead members, but not addresses of alive members, nor members that left.
+	candidates := table.JoinCandidates([]netip.AddrPort{addr(1), addr(4), addr(9)})
+	if len(candidates) != 1 || candidates[0] != addr(9) {
+		t.Errorf("join candidates %v", candidates)
 	}
 	table.MemberGone(20, 14, false)
-	if ask := table.JoinCandidates(nil); len(ask) != 1 || ask[0] != addr(4) {
-		t.Errorf("asks %v", ask)
+	if candidates := table.JoinCandidates(nil); len(candidates) != 1 || candidates[0] != addr(4) {
+		t.Errorf("join candidates %v", candidates)
 	}
-	table.Expire(21 + keepGone)
+	table.Expire(21 + defaultDepartedRetention)
 	if all := table.All(); len(all) != 2 || len(table.AlivePeers()) != 2 {
 		t.Errorf("kept %v", all)
 	}
 }
 
-// Word that a member leaves and word of its going come in any order, and each is told once; nobody asks for one that left. What was
-// told of it before its word does not take that back.
-func TestLeavesInAnyOrder(t *testing.T) {
-	for name, order := range map[string]string{"as said": "lg", "gone first": "gl", "told anew between": "lhg", "twice": "llggl", "gone, back, gone": "ghlg",
-		"told of itself before": "slg", "told of itself, gone": "sgl"} {
+// A member's leave message and the notice of its departure may arrive in any order: each is reported once, and no node tries to
+// rejoin a member that left. Metadata from before the leave message does not take the announcement back.
+func TestLeaveAndDepartureInAnyOrder(t *testing.T) {
+	for name, order := range map[string]string{
+		"message, departure":           "md",
+		"departure, message":           "dm",
+		"alive in between":             "mad",
+		"duplicates":                   "mmddm",
+		"departure, back, departure":   "damd",
+		"metadata, message, departure": "tmd",
+		"metadata, departure, message": "tdm",
+	} {
 		table := NewTable(Member{Name: "own", Incarnation: 1, Addr: addr(1)}, 3)
-		of := Member{Name: "n1", Incarnation: 2, Number: 1, Addr: addr(2)}
-		table.MemberAlive(1, of)
-		news, left := 0, 0
-		for i, what := range order {
+		member := Member{Name: "n1", Incarnation: 2, Number: 1, Addr: addr(2)}
+		table.MemberAlive(1, member)
+		newMessages := 0
+		left := 0
+		for i, event := range order {
 			var changes []Change
-			switch what {
-			case 'l':
-				var is bool
-				if changes, is = table.LeaveAnnounced(2); is {
-					news++
+			switch event {
+			case 'm': // leave message
+				var isNew bool
+				if changes, isNew = table.LeaveAnnounced(2); isNew {
+					newMessages++
 				}
-			case 'g':
+			case 'd': // departure
 				changes = table.MemberGone(policy.Micros(i+2), 2, false)
-			case 's':
-				says := of
-				says.leaves = true
-				changes = table.MemberAlive(policy.Micros(i+2), says)
-			case 'h':
-				changes = table.MemberAlive(policy.Micros(i+2), of)
+			case 't': // metadata that announces the leave
+				leaving := member
+				leaving.leaving = true
+				changes = table.MemberAlive(policy.Micros(i+2), leaving)
+			case 'a': // alive, with the metadata from before
+				changes = table.MemberAlive(policy.Micros(i+2), member)
 			}
 			for _, c := range changes {
 				if c.Text == "member has left" {
@@ -115,67 +124,68 @@
 			}
 		}
 		all := table.All()
-		if news != 1 || left != 1 || len(all) != 1 || all[0].State != Left || len(table.JoinCandidates(nil)) != 0 {
-			t.Errorf("%s: %d times news, %d times left, %+v, asks %v", name, news, left, all, table.JoinCandidates(nil))
+		if newMessages != 1 || left != 1 || len(all) != 1 || all[0].State != Left || len(table.JoinCandidates(nil)) != 0 {
+			t.Errorf("%s: %d new messages, reported as left %d times, %+v, join candidates %v", name, newMessages, left, all, table.JoinCandidates(nil))
 		}
 	}
 	table := NewTable(Member{Name: "own", Incarnation: 1}, 3)
-	for life := transport.IncarnationID(2); life < 9; life++ { // the latest are told first, and so many
-		table.MemberAlive(policy.Micros(life), Member{Name: fmt.Sprint(life), Incarnation: life, Number: int(life)})
-		table.MemberGone(policy.Micros(10+life), life, false)
-		if life != 6 {
-			table.LeaveAnnounced(life)
+	for incarnation := transport.IncarnationID(2); incarnation < 9; incarnation++ { // the latest come first, up to the limit
+		table.MemberAlive(policy.Micros(incarnation), Member{Name: fmt.Sprint(incarnation), Incarnation: incarnation, Number: int(incarnation)})
+		table.MemberGone(policy.Micros(10+incarnation), incarnation, false)
+		if incarnation != 6 {
+			table.LeaveAnnounced(incarnation)
 		}
 	}
-	if said := table.LeavingIncarnations(3); !slices.Equal(said, []transport.IncarnationID{8, 7, 5}) {
-		t.Errorf("said of %v", said)
+	if leaving := table.LeavingIncarnations(3); !slices.Equal(leaving, []transport.IncarnationID{8, 7, 5}) {
+		t.Errorf("leaving incarnations %v", leaving)
 	}
 	table = NewTable(Member{Name: "own", Incarnation: 1}, 3)
-	if changes, news := table.LeaveAnnounced(7); news || len(changes) > 0 {
-		t.Error("news of one that nobody knows")
+	if changes, isNew := table.LeaveAnnounced(7); isNew || len(changes) > 0 {
+		t.Error("the leave message of an unknown member counts as new")
 	}
 }
 
-// However many come, so many are kept; those that are gone make room, those there don't.
-func TestMostMembers(t *testing.T) {
+// The table never exceeds maxMembers. A new member replaces a departed one, but not one that is alive.
+func TestMaxMembers(t *testing.T) {
 	table := NewTable(Member{Name: "own", Incarnation: 1 << 40}, 1)
-	for i := range mostMembers + 10 {
+	for i := range maxMembers + 10 {
 		table.MemberAlive(policy.Micros(i), Member{Name: fmt.Sprint("n", i), Incarnation: transport.IncarnationID(i + 1), Number: i})
 	}
-	if len(table.members) != mostMembers {
+	if len(table.members) != maxMembers {
 		t.Errorf("%d members", len(table.members))
 	}
 	table.MemberGone(1, 1, false)
 	table.MemberAlive(2, Member{Name: "new", Incarnation: 1 << 41, Number: 5})
-	if len(table.members) != mostMembers || table.members[1<<41] == nil || table.members[1] != nil {
-		t.Errorf("%d members, the new one %v", len(table.members), table.members[1<<41])
+	if len(table.members) != maxMembers || table.members[1<<41] == nil || table.members[1] != nil {
+		t.Errorf("%d members, the new one is %v", len(table.members), table.members[1<<41])
 	}
 }
 
-// What a member tells of itself comes back; anything shorter is refused, anything longer may be a newer version's.
-func TestMeta(t *testing.T) {
-	want := Member{Incarnation: 1<<63 + 5, Zone: 3, Number: 70_000, leaves: true}
-	b := meta(&want)
+// Metadata and leave messages survive encoding and decoding. Truncated ones are rejected, as are leave messages of more members
+// than allowed; metadata may be longer, as in newer versions.
+func TestEncodings(t *testing.T) {
+	want := Member{Incarnation: 1<<63 + 5, Zone: 3, Number: 70_000, leaving: true}
+	metadata := encodeMetadata(&want)
 	got := Member{}
-	if err := readMeta(append(b, "more"...), &got); err != nil || got != want {
+	if err := decodeMetadata(append(metadata, "more"...), &got); err != nil || got != want {
 		t.Errorf("%v, %+v", err, got)
 	}
-	for n := range b {
-		if readMeta(b[:n], &got) == nil {
-			t.Errorf("%d bytes are understood", n)
+	for n := range metadata {
+		if decodeMetadata(metadata[:n], &got) == nil {
+			t.Errorf("metadata truncated to %d bytes is decoded", n)
 		}
 	}
-	lives := []transport.IncarnationID{1<<63 + 5, 7}
-	word := leavingWord(lives...)
-	if got, err := readLeaving(word); err != nil || !slices.Equal(got, lives) {
+	incarnations := []transport.IncarnationID{1<<63 + 5, 7}
+	message := encodeLeave(incarnations...)
+	if got, err := decodeLeave(message); err != nil || !slices.Equal(got, incarnations) {
 		t.Errorf("%v, %d", err, got)
 	}
-	for n := range word {
-		if got, err := readLeaving(word[:n]); (err == nil) != (n == 9) {
-			t.Errorf("%d bytes of a word are %v", n, got)
+	for n := range message {
+		if got, err := decodeLeave(message[:n]); (err == nil) != (n == 9) {
+			t.Errorf("a leave message truncated to %d bytes is decoded as %v", n, got)
 		}
 	}
-	if _, err := readLeaving(leavingWord(make([]transport.IncarnationID, mostSaid+1)...)); err == nil {
-		t.Error("a word of more than may be told is understood")
+	if _, err := decodeLeave(encodeLeave(make([]transport.IncarnationID, maxLeavesPerExchange+1)...)); err == nil {
+		t.Error("a leave message of more members than allowed is decoded")
 	}
 }
