--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -1,5 +1,6 @@
-// Package transport carries what nodes say to each other: frames over UDP for what may be lost, over TCP for what must arrive.
-// Each frame has a version, a length and a sum; what is not understood is counted and passed over.
+// Package transport carries the traffic between nodes: frames over UDP for messages that may be lost, and streams over TCP for
+// data that must arrive. Each frame has a version, a length and a checksum; frames that cannot be decoded are counted and
+// ignored.
 package transport
 
 import (
@@ -14,104 +15,112 @@
 type Kind uint8
 
 const (
-	Membership    Kind = 1 + iota // of the library that keeps the members
-	PeerMessages                  // of modules to each other
-	ServerReports                 // on servers
-	piece                         // of a stream
+	Membership    Kind = 1 + iota // the membership protocol
+	PeerMessages                  // messages between the decision modules of nodes
+	ServerReports                 // reports on the condition of servers
+	streamChunk                   // a part of a stream
 )
 
 const (
-	version = 1
-	// MostPayload is the most that a datagram holds beside its head, so that it passes whole where 1,500 bytes do.
+	formatVersion = 1
+	// MaxPayload is the largest payload of a datagram in bytes. The datagram then passes unfragmented where the MTU is 1,500
+	// bytes.
 	MaxPayload = 1400
-	// MostPiece is the most that a piece of a stream holds.
+	// MaxChunk is the largest payload of a stream chunk in bytes.
 	MaxChunk = 16 << 10
 
-	headLen      = 24 // version, kind, length; life; number; time; sum
-	pieceHeadLen = 8  // version, kind, length; sum
-	sumAt        = 20
+	headerSize      = 24 // bytes: version 1, kind 1, length 2, incarnation 8, sequence number 4, time sent 4, checksum 4
+	chunkHeaderSize = 8  // bytes: version 1, kind 1, length 2, checksum 4
+	checksumOffset  = 20 // of a frame's checksum in its header
 )
 
-// LifeID is one process's life under a name: drawn at its start. One that comes back has another.
+// IncarnationID identifies one process of a node. It is drawn at random when the process starts.
 type IncarnationID uint64
 
-// Frame is one datagram as it came. Payload is valid until the handler returns.
+// Frame is a received datagram. Payload is valid until the handler returns.
 type Frame struct {
 	Kind        Kind
-	Incarnation IncarnationID
-	Sequence    uint32 // counts the sender's frames
-	SentMs      uint32 // milliseconds of the sender's own clock, from its start
+	Incarnation IncarnationID // of the sender
+	Sequence    uint32        // counts the sender's frames
+	SentMs      uint32        // milliseconds since the sender's start, by its own clock
 	Payload     []byte
 }
 
 var (
-	errShort    = errors.New("transport: shorter than a head")
-	errVersion  = errors.New("transport: another version")
-	errLength   = errors.New("transport: another length than it says")
-	errSum      = errors.New("transport: another sum than it says: spoilt, or another fleet's")
-	errTooLong  = errors.New("transport: longer than a frame may be")
-	errNotPiece = errors.New("transport: no piece of a stream")
+	errShort    = errors.New("transport: frame shorter than its header")
+	errVersion  = errors.New("transport: unknown version")
+	errLength   = errors.New("transport: length differs from the length in the header")
+	errChecksum = errors.New("transport: checksum mismatch: corrupted, or from another fleet")
+	errTooLong  = errors.New("transport: frame or chunk too long")
+	errNotChunk = errors.New("transport: not a stream chunk")
 )
 
-// seal is what a fleet's name adds to its sums. It keeps fleets apart by accident; it is no secret.
-func seal(fleet string) uint64 { return xxhash.Sum64String("canvasrouter fleet " + fleet) }
+// checksumSeed derives the seed of a fleet's checksums from its name. It keeps fleets from mixing by accident; it is not a
+// security measure.
+func checksumSeed(fleet string) uint64 { return xxhash.Sum64String("canvasrouter fleet " + fleet) }
 
-func sum(seal uint64, head, payload []byte) uint32 {
-	d := xxhash.NewWithSeed(seal)
-	d.Write(head)
-	d.Write(payload)
-	s := d.Sum64()
-	return uint32(s) ^ uint32(s>>32)
+func checksum(seed uint64, header, payload []byte) uint32 {
+	digest := xxhash.NewWithSeed(seed)
+	digest.Write(header)
+	digest.Write(payload)
+	sum := digest.Sum64()
+	return uint32(sum) ^ uint32(sum>>32)
 }
 
-// append writes a frame behind b.
-func (f *Frame) append(b []byte, seal uint64) ([]byte, error) {
+// appendTo appends the encoded frame to b.
+func (f *Frame) appendTo(b []byte, seed uint64) ([]byte, error) {
 	if len(f.Payload) > MaxPayload {
 		return b, errTooLong
 	}
-	from := len(b)
-	b = append(b, version, byte(f.Kind))
+	start := len(b)
+	b = append(b, formatVersion, byte(f.Kind))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.Payload)))
 	b = binary.BigEndian.AppendUint64(b, uint64(f.Incarnation))
 	b = binary.BigEndian.AppendUint32(b, f.Sequence)
 	b = binary.BigEndian.AppendUint32(b, f.SentMs)
-	b = binary.BigEndian.AppendUint32(b, sum(seal, b[from:from+sumAt], f.Payload))
+	b = binary.BigEndian.AppendUint32(b, checksum(seed, b[start:start+checksumOffset], f.Payload))
 	return append(b, f.Payload...), nil
 }
 
-// read takes a datagram apart. The payload is a part of b.
-func read(b []byte, seal uint64) (f Frame, err error) {
+// decodeFrame decodes a datagram. The payload of the frame is a slice of b.
+func decodeFrame(b []byte, seed uint64) (f Frame, err error) {
 	switch {
-	case len(b) < headLen:
+	case len(b) < headerSize:
 		return f, errShort
-	case b[0] != version:
+	case b[0] != formatVersion:
 		return f, errVersion
-	case int(binary.BigEndian.Uint16(b[2:])) != len(b)-headLen:
+	case int(binary.BigEndian.Uint16(b[2:])) != len(b)-headerSize:
 		return f, errLength
-	case len(b)-headLen > MaxPayload:
+	case len(b)-headerSize > MaxPayload:
 		return f, errTooLong
-	case binary.BigEndian.Uint32(b[sumAt:]) != sum(seal, b[:sumAt], b[headLen:]):
-		return f, errSum
+	case binary.BigEndian.Uint32(b[checksumOffset:]) != checksum(seed, b[:checksumOffset], b[headerSize:]):
+		return f, errChecksum
 	}
-	return Frame{Kind: Kind(b[1]), Incarnation: IncarnationID(binary.BigEndian.Uint64(b[4:])), Sequence: binary.BigEndian.Uint32(b[12:]),
-		SentMs: binary.BigEndian.Uint32(b[16:]), Payload: b[headLen:]}, nil
+	return Frame{
+		Kind:        Kind(b[1]),
+		Incarnation: IncarnationID(binary.BigEndian.Uint64(b[4:])),
+		Sequence:    binary.BigEndian.Uint32(b[12:]),
+		SentMs:      binary.BigEndian.Uint32(b[16:]),
+		Payload:     b[headerSize:],
+	}, nil
 }
 
-// pieceHead writes the head of a stream's piece. Pieces of one stream are numbered by its own count, which goes into the
-// sum: one that is missing or comes twice is seen.
-func pieceHead(b []byte, seal uint64, count uint32, payload []byte) {
-	b[0], b[1] = version, byte(piece)
+// putChunkHeader writes the header of a stream chunk to b. The number of the chunk in its stream is not transmitted but
+// goes into the checksum, so that a missing or repeated chunk is detected.
+func putChunkHeader(b []byte, seed uint64, chunkNumber uint32, payload []byte) {
+	b[0] = formatVersion
+	b[1] = byte(streamChunk)
 	binary.BigEndian.PutUint16(b[2:], uint16(len(payload)))
-	binary.BigEndian.PutUint32(b[4:], sum(seal+uint64(count), b[:4], payload))
+	binary.BigEndian.PutUint32(b[4:], checksum(seed+uint64(chunkNumber), b[:4], payload))
 }
 
-// readPieceHead gives the length of the piece that follows, and its sum.
-func readPieceHead(b []byte) (length int, want uint32, err error) {
+// decodeChunkHeader returns the payload length of the chunk that follows and its expected checksum.
+func decodeChunkHeader(b []byte) (length int, want uint32, err error) {
 	switch {
-	case b[0] != version:
+	case b[0] != formatVersion:
 		return 0, 0, errVersion
-	case b[1] != byte(piece):
-		return 0, 0, errNotPiece
+	case b[1] != byte(streamChunk):
+		return 0, 0, errNotChunk
 	}
 	if length = int(binary.BigEndian.Uint16(b[2:])); length > MaxChunk {
 		return 0, 0, errTooLong
@@ -119,44 +128,45 @@
 	return length, binary.BigEndian.Uint32(b[4:]), nil
 }
 
-// window is how many of a sender's frames are known to have come.
-const window = 512
-
-// sender is what is known of one that frames come from.
-type sender struct {
-	highest uint32
-	seen    [window / 64]uint64 // the last ones, by number
-	begun   bool
-	// The least time that a frame took, on this clock less the sender's: of this span and of the one before, so that a
-	// clock that runs apart is followed.
-	least, before int64
-	spanAt        time.Duration
-	used          time.Duration // last frame
+// reorderWindow is the number of a sender's latest sequence numbers that are checked for duplicates; older frames are dropped.
+const reorderWindow = 512
+
+// senderState is what a transport keeps of one incarnation that it receives frames from.
+type senderState struct {
+	highest uint32                     // sequence number
+	seen    [reorderWindow / 64]uint64 // bitmap of the latest sequence numbers
+	started bool                       // a frame has arrived
+	// Shortest delay of a frame in milliseconds, as this process's clock less the sender's: in the present baseline interval
+	// and in the one before. Keeping both lets the baseline follow clocks that drift apart.
+	minDelay, previousMinDelay int64
+	intervalStart              time.Duration
+	lastFrameAt                time.Duration
 }
 
-// spanLen is how long the least time is looked for.
-const spanLen = 15 * time.Second
+// baselineInterval is the time over which the shortest delay is determined.
+const baselineInterval = 15 * time.Second
 
-// first says whether a frame comes for the first time. Danger: a way may bring each frame twice, and out of order.
-func (s *sender) first(number uint32) bool {
-	bit := func(n uint32) (*uint64, uint64) { return &s.seen[n/64%(window/64)], 1 << (n % 64) }
-	ahead := int32(number - s.highest)
+// first reports whether a frame arrives for the first time. The network may duplicate and reorder frames.
+func (s *senderState) first(sequence uint32) bool {
+	bit := func(n uint32) (*uint64, uint64) { return &s.seen[n/64%(reorderWindow/64)], 1 << (n % 64) }
+	ahead := int32(sequence - s.highest)
 	switch {
-	case !s.begun:
-		s.begun, s.highest = true, number
+	case !s.started:
+		s.started = true
+		s.highest = sequence
 	case ahead > 0:
-		for n := s.highest + 1; n != number+1 && n-s.highest <= window; n++ {
+		for n := s.highest + 1; n != sequence+1 && n-s.highest <= reorderWindow; n++ {
 			word, mask := bit(n)
 			*word &^= mask
 		}
-		if ahead >= window {
-			s.seen = [window / 64]uint64{}
+		if ahead >= reorderWindow {
+			s.seen = [reorderWindow / 64]uint64{}
 		}
-		s.highest = number
-	case ahead <= -window:
-		return false // too old to tell
+		s.highest = sequence
+	case ahead <= -reorderWindow:
+		return false // older than the window: it may be a duplicate
 	}
-	word, mask := bit(number)
+	word, mask := bit(sequence)
 	if *word&mask != 0 {
 		return false
 	}
@@ -164,18 +174,22 @@
 	return true
 }
 
-// late is how much longer a frame took than the quickest of late. No clock but durations: what this process's clock
-// and the sender's differ by is in both.
-func (s *sender) late(now time.Duration, sent uint32) time.Duration {
-	took := int64(int32(uint32(now.Milliseconds()) - sent)) // differences hold also where the count wraps
+// lateness returns how much longer a frame took than the sender's fastest frame of late. Only differences of time readings
+// are compared, so an offset between the two clocks cancels out.
+func (s *senderState) lateness(now time.Duration, sentMs uint32) time.Duration {
+	delay := int64(int32(uint32(now.Milliseconds()) - sentMs)) // correct across wrap-around of the 32-bit time
 	switch {
-	case s.used == 0 || now-s.spanAt > 2*spanLen:
-		s.least, s.before, s.spanAt = took, took, now
-	case now-s.spanAt > spanLen:
-		s.before, s.least, s.spanAt = s.least, took, now
+	case s.lastFrameAt == 0 || now-s.intervalStart > 2*baselineInterval:
+		s.minDelay = delay
+		s.previousMinDelay = delay
+		s.intervalStart = now
+	case now-s.intervalStart > baselineInterval:
+		s.previousMinDelay = s.minDelay
+		s.minDelay = delay
+		s.intervalStart = now
 	default:
-		s.least = min(s.least, took)
+		s.minDelay = min(s.minDelay, delay)
 	}
-	s.used = max(now, 1)
-	return time.Duration(took-min(s.least, s.before)) * time.Millisecond
+	s.lastFrameAt = max(now, 1)
+	return time.Duration(delay-min(s.minDelay, s.previousMinDelay)) * time.Millisecond
 }
--- a/internal/fleet/transport/stream.go
+++ b/internal/fleet/transport/stream.go
@@ -8,94 +8,96 @@
 	"time"
 )
 
-// stream is a connection whose bytes go in pieces, each with its sum. One spoilt byte ends it.
+// stream is a TCP connection that carries its data in chunks, each with a checksum. A corrupted chunk ends the stream.
 //
-// Danger: the connection is held as net.Conn, since copying to one of TCP's own type would go past Write.
+// The connection is embedded as net.Conn, not as *net.TCPConn: the latter's ReadFrom would be promoted, and io.Copy would use
+// it and bypass Write.
 type stream struct {
 	net.Conn
-	of     *Transport
-	closed atomic.Bool
+	transport *Transport
+	closed    atomic.Bool
 
-	reading  sync.Mutex
-	got      uint32
-	rest     []byte // of the piece that is being read
-	piece    []byte
-	writing  sync.Mutex
-	sent     uint32
-	outgoing []byte
+	readMu         sync.Mutex
+	chunksReceived uint32
+	unread         []byte // part of chunk
+	chunk          []byte // the last one received
+
+	writeMu     sync.Mutex
+	chunksSent  uint32
+	writeBuffer []byte
 }
 
-func (w *Transport) stream(c *net.TCPConn) *stream {
-	c.SetDeadline(time.Now().Add(w.real(streamWait))) // whoever uses it may set another
-	w.open.Add(1)
-	w.count(func(n *Counts) { n.Streams++ })
-	return &stream{Conn: c, of: w}
+func (t *Transport) newStream(c *net.TCPConn) *stream {
+	c.SetDeadline(time.Now().Add(t.realTime(defaultStreamTimeout))) // the user of the stream may set another deadline
+	t.openStreams.Add(1)
+	t.updateCounts(func(n *Counts) { n.Streams++ })
+	return &stream{Conn: c, transport: t}
 }
 
-// Close gives the stream's room back, once.
+// Close closes the connection and frees the stream's slot. Further calls have no effect.
 func (s *stream) Close() error {
 	if s.closed.Swap(true) {
 		return nil
 	}
-	s.of.open.Add(-1)
+	s.transport.openStreams.Add(-1)
 	return s.Conn.Close()
 }
 
-// harm counts a stream that was spoilt, and ends it.
-func (s *stream) harm(err error) error {
-	s.of.count(func(n *Counts) { n.StreamsCorrupted++ })
+// failCorrupted counts the stream as corrupted, closes it and returns err.
+func (s *stream) failCorrupted(err error) error {
+	s.transport.updateCounts(func(n *Counts) { n.StreamsCorrupted++ })
 	s.Close()
 	return err
 }
 
-// Read gives bytes of whole pieces alone.
+// Read returns data from chunks that have arrived whole and passed the checksum.
 func (s *stream) Read(b []byte) (int, error) {
-	s.reading.Lock()
-	defer s.reading.Unlock()
-	for len(s.rest) == 0 {
-		var head [pieceHeadLen]byte
-		if _, err := io.ReadFull(s.Conn, head[:]); err != nil {
+	s.readMu.Lock()
+	defer s.readMu.Unlock()
+	for len(s.unread) == 0 {
+		var header [chunkHeaderSize]byte
+		if _, err := io.ReadFull(s.Conn, header[:]); err != nil {
 			return 0, err
 		}
-		length, want, err := readPieceHead(head[:])
+		length, want, err := decodeChunkHeader(header[:])
 		if err != nil {
-			return 0, s.harm(err)
+			return 0, s.failCorrupted(err)
 		}
-		if cap(s.piece) < length {
-			s.piece = make([]byte, length)
+		if cap(s.chunk) < length {
+			s.chunk = make([]byte, length)
 		}
-		s.piece = s.piece[:length]
-		if _, err := io.ReadFull(s.Conn, s.piece); err != nil {
+		s.chunk = s.chunk[:length]
+		if _, err := io.ReadFull(s.Conn, s.chunk); err != nil {
 			return 0, err
 		}
-		if sum(s.of.seal+uint64(s.got), head[:4], s.piece) != want {
-			return 0, s.harm(errSum)
+		if checksum(s.transport.checksumSeed+uint64(s.chunksReceived), header[:4], s.chunk) != want {
+			return 0, s.failCorrupted(errChecksum)
 		}
-		s.got++
-		s.of.count(func(n *Counts) { n.StreamBytesReceived += int64(pieceHeadLen + length) })
-		s.rest = s.piece
+		s.chunksReceived++
+		s.transport.updateCounts(func(n *Counts) { n.StreamBytesReceived += int64(chunkHeaderSize + length) })
+		s.unread = s.chunk
 	}
-	n := copy(b, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(b, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 func (s *stream) Write(b []byte) (n int, err error) {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	for len(b) > 0 {
 		part := b[:min(len(b), MaxChunk)]
-		if cap(s.outgoing) < pieceHeadLen+len(part) {
-			s.outgoing = make([]byte, pieceHeadLen+len(part))
+		if cap(s.writeBuffer) < chunkHeaderSize+len(part) {
+			s.writeBuffer = make([]byte, chunkHeaderSize+len(part))
 		}
-		out := s.outgoing[:pieceHeadLen+len(part)]
-		copy(out[pieceHeadLen:], part)
-		pieceHead(out, s.of.seal, s.sent, part)
+		out := s.writeBuffer[:chunkHeaderSize+len(part)]
+		copy(out[chunkHeaderSize:], part)
+		putChunkHeader(out, s.transport.checksumSeed, s.chunksSent, part)
 		if _, err := s.Conn.Write(out); err != nil {
 			return n, err
 		}
-		s.sent++
-		s.of.count(func(n *Counts) { n.StreamBytesSent += int64(len(out)) })
+		s.chunksSent++
+		s.transport.updateCounts(func(n *Counts) { n.StreamBytesSent += int64(len(out)) })
 		n += len(part)
 		b = b[len(part):]
 	}
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	// mostSenders are remembered at a time; past that the one silent for longest is forgotten.
-	mostSenders = 4096
-	// mostStreams are taken at a time; further ones are closed.
-	mostStreams = 64
-	// streamWait ends a stream that nobody has set an end for.
-	streamWait = 10 * time.Second
-	readBuffer = 1 << 20
-	burst      = time.Second / 4 // of the pace, which may go out at once
+	// maxSenders is the number of senders whose state is kept; beyond that the one without frames for longest is dropped.
+	maxSenders = 4096
+	// maxStreams is the number of open streams from which on incoming ones are refused.
+	maxStreams = 64
+	// defaultStreamTimeout ends a stream unless its user sets another deadline.
+	defaultStreamTimeout = 10 * time.Second
+	readBufferBytes      = 1 << 20
+	burstDuration        = time.Second / 4 // the rate limiter's burst, as time at the full rate
 )
 
-// Options say where a node's ways end.
+// Options describe the node's end of the transport.
 type Options struct {
-	Fleet             string // nodes of one fleet have one name
+	Fleet             string // name that all nodes of a fleet share
 	Listen, Advertise netip.AddrPort
 	Incarnation       IncarnationID
-	MaxBytesPerSecond int // bytes a second of datagrams that it sends; past that they are dropped
-	SlowdownFactor    int // by this factor all times here are longer; 0: none. A laboratory's, where many nodes share few cores
+	MaxBytesPerSecond int // of datagrams sent; those beyond are dropped
+	SlowdownFactor    int // stretches all times here, for tests in which many nodes share few cores; 0: none
 }
 
-// Counts are what has become of frames so far.
+// Counts says what has become of frames and streams so far.
 type Counts struct {
 	Sent             int64 `json:"sent"`
 	SentBytes        int64 `json:"sent_bytes"`
 	Received         int64 `json:"got"`
 	ReceivedBytes    int64 `json:"got_bytes"`
 	RateLimited      int64 `json:"dropped_for_pace"`  // not sent
-	SendFailed       int64 `json:"failed_to_send"`    // the kernel refused
-	Malformed        int64 `json:"not_understood"`    // by version, length or sum; another fleet's too
-	Duplicates       int64 `json:"doubled"`           // had come before
-	UnknownKind      int64 `json:"of_unknown_kind"`   // a newer version's
-	DroppedUnread    int64 `json:"dropped_unread"`    // came faster than they were worked
-	Streams          int64 `json:"streams"`           // taken and opened
-	StreamsRefused   int64 `json:"streams_refused"`   // beyond those that may be open
-	StreamsCorrupted int64 `json:"streams_with_harm"` // spoilt on their way
-	HandlerPanics    int64 `json:"handlers_panicked"` // over what came
+	SendFailed       int64 `json:"failed_to_send"`    // the kernel returned an error
+	Malformed        int64 `json:"not_understood"`    // wrong version, length or checksum; includes frames of other fleets
+	Duplicates       int64 `json:"doubled"`           // had arrived before
+	UnknownKind      int64 `json:"of_unknown_kind"`   // of newer versions, or without a handler
+	DroppedUnread    int64 `json:"dropped_unread"`    // arrived faster than they were handled
+	Streams          int64 `json:"streams"`           // accepted and dialled
+	StreamsRefused   int64 `json:"streams_refused"`   // over maxStreams
+	StreamsCorrupted int64 `json:"streams_with_harm"` // ended by a malformed chunk
+	HandlerPanics    int64 `json:"handlers_panicked"` // on a frame
 
 	SentBytesByKind     BytesByKind `json:"sent_kinds"`
 	ReceivedBytesByKind BytesByKind `json:"got_kinds"`
-	StreamBytesSent     int64       `json:"stream_bytes_sent"` // heads of pieces among them
-	StreamBytesReceived int64       `json:"stream_bytes_got"`
+	StreamBytesSent     int64       `json:"stream_bytes_sent"` // with chunk headers
+	StreamBytesReceived int64       `json:"stream_bytes_got"`  // with chunk headers
 }
 
-// Kinds are the bytes of datagrams of each kind, heads among them.
+// BytesByKind holds the bytes of datagrams of each kind, with headers.
 type BytesByKind struct {
 	Membership    int64 `json:"membership"`
 	PeerMessages  int64 `json:"words"`
@@ -73,33 +73,33 @@
 	}
 }
 
-// Handler takes one frame. It must not wait. late is how much longer the frame took than the sender's quickest lately.
-type Handler func(from netip.AddrPort, f *Frame, late time.Duration)
+// Handler handles a frame. It must not block. late is how much longer the frame took than the sender's fastest one of late.
+type Handler func(from netip.AddrPort, frame *Frame, late time.Duration)
 
-// Transport is a node's one port for nodes. Only its own goroutine reads; any may send.
+// Transport is a node's port for traffic with other nodes. A single goroutine receives frames; any goroutine may send.
 type Transport struct {
-	options  Options
-	seal     uint64
-	log      zerolog.Logger
-	udp      *net.UDPConn
-	tcp      *net.TCPListener
-	began    time.Time
-	handlers [256]Handler
-	streams  chan net.Conn
-	open     atomic.Int32
-	done     chan struct{}
-	over     sync.WaitGroup
-	number   atomic.Uint32
+	options      Options
+	checksumSeed uint64
+	log          zerolog.Logger
+	udp          *net.UDPConn
+	tcp          *net.TCPListener
+	startedAt    time.Time
+	handlers     [256]Handler // by kind
+	streams      chan net.Conn
+	openStreams  atomic.Int32
+	done         chan struct{}
+	running      sync.WaitGroup
+	lastSequence atomic.Uint32
 
-	mu      sync.Mutex // guards what follows
-	bucket  float64    // bytes that may go out now
-	filled  time.Duration
-	buffer  []byte
-	senders map[IncarnationID]*sender
-	counts  Counts
+	mu         sync.Mutex    // guards the fields below
+	tokens     float64       // bytes that the rate limit allows to send now
+	refilledAt time.Duration // when tokens were last added
+	sendBuffer []byte
+	senders    map[IncarnationID]*senderState
+	counts     Counts
 }
 
-// Open takes the port, UDP and TCP. Handle comes next, then Run.
+// Open opens the node's UDP and TCP port. The caller then registers handlers with Handle and calls Run.
 func Open(o Options, log zerolog.Logger) (*Transport, error) {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(o.Listen))
 	if err != nil {
@@ -110,223 +110,234 @@
 		tcp.Close()
 		return nil, err
 	}
-	udp.SetReadBuffer(readBuffer) // best effort: the kernel may give less
+	udp.SetReadBuffer(readBufferBytes) // best effort: the kernel may set a smaller one
 	o.SlowdownFactor = max(1, o.SlowdownFactor)
-	return &Transport{options: o, seal: seal(o.Fleet), log: log, udp: udp, tcp: tcp, began: time.Now(), streams: make(chan net.Conn),
-		done: make(chan struct{}), senders: make(map[IncarnationID]*sender), bucket: float64(o.MaxBytesPerSecond) * burst.Seconds()}, nil
+	return &Transport{
+		options:      o,
+		checksumSeed: checksumSeed(o.Fleet),
+		log:          log,
+		udp:          udp,
+		tcp:          tcp,
+		startedAt:    time.Now(),
+		streams:      make(chan net.Conn),
+		done:         make(chan struct{}),
+		senders:      make(map[IncarnationID]*senderState),
+		tokens:       float64(o.MaxBytesPerSecond) * burstDuration.Seconds(),
+	}, nil
 }
 
-// Handle says who takes frames of a kind.
-func (w *Transport) Handle(kind Kind, take Handler) { w.handlers[kind] = take }
+// Handle registers the handler for frames of a kind. It must not be called after Run.
+func (t *Transport) Handle(kind Kind, handler Handler) { t.handlers[kind] = handler }
 
-// Run takes what comes until Close.
-func (w *Transport) Run() {
-	w.over.Go(w.read)
-	w.over.Go(w.accept)
+// Run starts to receive frames and accept streams, until Close.
+func (t *Transport) Run() {
+	t.running.Go(t.receiveLoop)
+	t.running.Go(t.acceptLoop)
 }
 
-// Close gives the port back and ends what runs.
-func (w *Transport) Close() {
+// Close closes the port and waits until receiving has ended. Further calls have no effect.
+func (t *Transport) Close() {
 	select {
-	case <-w.done:
+	case <-t.done:
 		return
 	default:
 	}
-	close(w.done)
-	w.udp.Close()
-	w.tcp.Close()
-	w.over.Wait()
+	close(t.done)
+	t.udp.Close()
+	t.tcp.Close()
+	t.running.Wait()
 }
 
-// Counts gives what has become of frames so far.
-func (w *Transport) Counts() Counts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.counts
+// Counts returns what has become of frames and streams so far.
+func (t *Transport) Counts() Counts {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.counts
 }
 
-// Life is this process's.
-func (w *Transport) Incarnation() IncarnationID { return w.options.Incarnation }
+// Incarnation returns the ID of this process.
+func (t *Transport) Incarnation() IncarnationID { return t.options.Incarnation }
 
-// now is this process's own clock, from the transport's start.
-func (w *Transport) now() time.Duration {
-	return time.Since(w.began) / time.Duration(w.options.SlowdownFactor)
+// now returns the time since the transport was opened, by the slowed clock.
+func (t *Transport) now() time.Duration {
+	return time.Since(t.startedAt) / time.Duration(t.options.SlowdownFactor)
 }
 
-// real is how long a span takes in real time.
-func (w *Transport) real(span time.Duration) time.Duration {
-	return span * time.Duration(w.options.SlowdownFactor)
+// realTime converts a duration of the slowed clock to real time.
+func (t *Transport) realTime(d time.Duration) time.Duration {
+	return d * time.Duration(t.options.SlowdownFactor)
 }
 
-// Send sends a datagram, if the pace allows. It does not wait for anybody. Membership goes before everything else: it may
-// use the pace to its end, the others leave an eighth of it.
-func (w *Transport) Send(to netip.AddrPort, kind Kind, payload []byte) bool {
-	now := w.now()
-	f := Frame{Kind: kind, Incarnation: w.options.Incarnation, Sequence: w.number.Add(1), SentMs: uint32(now.Milliseconds()), Payload: payload}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	most := float64(w.options.MaxBytesPerSecond) * burst.Seconds()
-	w.bucket = min(most, w.bucket+float64(w.options.MaxBytesPerSecond)*(now-w.filled).Seconds())
-	w.filled = now
-	size, least := float64(headLen+len(payload)), 0.0
+// Send sends a datagram unless the rate limit forbids it, and reports whether it was sent. It does not block. Membership
+// traffic has priority: other kinds leave an eighth of the burst unused.
+func (t *Transport) Send(to netip.AddrPort, kind Kind, payload []byte) bool {
+	now := t.now()
+	frame := Frame{Kind: kind, Incarnation: t.options.Incarnation, Sequence: t.lastSequence.Add(1), SentMs: uint32(now.Milliseconds()), Payload: payload}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	maxTokens := float64(t.options.MaxBytesPerSecond) * burstDuration.Seconds()
+	t.tokens = min(maxTokens, t.tokens+float64(t.options.MaxBytesPerSecond)*(now-t.refilledAt).Seconds())
+	t.refilledAt = now
+	size := float64(headerSize + len(payload))
+	reserve := 0.0
 	if kind != Membership {
-		least = most / 8
+		reserve = maxTokens / 8
 	}
-	if w.bucket-size < least {
-		w.counts.RateLimited++
+	if t.tokens-size < reserve {
+		t.counts.RateLimited++
 		return false
 	}
 	var err error
-	if w.buffer, err = f.append(w.buffer[:0], w.seal); err == nil {
-		_, err = w.udp.WriteToUDPAddrPort(w.buffer, to)
+	if t.sendBuffer, err = frame.appendTo(t.sendBuffer[:0], t.checksumSeed); err == nil {
+		_, err = t.udp.WriteToUDPAddrPort(t.sendBuffer, to)
 	}
 	if err != nil {
-		w.counts.SendFailed++
+		t.counts.SendFailed++
 		return false
 	}
-	w.bucket -= size
-	w.counts.Sent++
-	w.counts.SentBytes += int64(len(w.buffer))
-	w.counts.SentBytesByKind.add(kind, len(w.buffer))
+	t.tokens -= size
+	t.counts.Sent++
+	t.counts.SentBytes += int64(len(t.sendBuffer))
+	t.counts.SentBytesByKind.add(kind, len(t.sendBuffer))
 	return true
 }
 
-func (w *Transport) read() {
-	buffer := make([]byte, headLen+MaxPayload+1) // one more shows that there was more
+func (t *Transport) receiveLoop() {
+	buffer := make([]byte, headerSize+MaxPayload+1) // the extra byte shows that a datagram was longer than allowed
 	for {
-		n, from, err := w.udp.ReadFromUDPAddrPort(buffer)
+		n, from, err := t.udp.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			select {
-			case <-w.done:
+			case <-t.done:
 				return
 			default:
 			}
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the answer of a host where nobody listens
+			continue // an ICMP error of a host where no process listens on the port
 		}
-		w.take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
+		t.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
 	}
 }
 
-// take works one datagram. Danger: what comes from outside must not end the node, whatever it holds.
-func (w *Transport) take(from netip.AddrPort, b []byte) {
+// receive handles one datagram. It recovers from panics, so that no datagram from outside can end the process.
+func (t *Transport) receive(from netip.AddrPort, b []byte) {
 	defer func() {
 		if r := recover(); r != nil {
-			w.mu.Lock()
-			w.counts.HandlerPanics++
-			w.mu.Unlock()
-			w.log.Error().Str("from", from.String()).Str("panic", fmt.Sprint(r)).Msg("a frame was passed over")
+			t.mu.Lock()
+			t.counts.HandlerPanics++
+			t.mu.Unlock()
+			t.log.Error().Str("from", from.String()).Str("panic", fmt.Sprint(r)).Msg("a frame was passed over")
 		}
 	}()
-	f, err := read(b, w.seal)
-	w.mu.Lock()
-	w.counts.Received++
-	w.counts.ReceivedBytes += int64(len(b))
-	w.counts.ReceivedBytesByKind.add(f.Kind, len(b))
+	frame, err := decodeFrame(b, t.checksumSeed)
+	t.mu.Lock()
+	t.counts.Received++
+	t.counts.ReceivedBytes += int64(len(b))
+	t.counts.ReceivedBytesByKind.add(frame.Kind, len(b))
 	var late time.Duration
-	known := false
+	accepted := false
 	switch {
 	case err != nil:
-		w.counts.Malformed++
-	case f.Incarnation == w.options.Incarnation: // its own, come back
+		t.counts.Malformed++
+	case frame.Incarnation == t.options.Incarnation: // sent by this process itself
 	default:
-		now := w.now()
-		s := w.sender(f.Incarnation)
-		if known = s.first(f.Sequence); known {
-			late = s.late(now, f.SentMs)
+		now := t.now()
+		sender := t.sender(frame.Incarnation)
+		if accepted = sender.first(frame.Sequence); accepted {
+			late = sender.lateness(now, frame.SentMs)
 		} else {
-			w.counts.Duplicates++
+			t.counts.Duplicates++
 		}
 	}
-	handler := w.handlers[f.Kind]
-	if known && handler == nil {
-		w.counts.UnknownKind++
+	handler := t.handlers[frame.Kind]
+	if accepted && handler == nil {
+		t.counts.UnknownKind++
 	}
-	w.mu.Unlock()
-	if known && handler != nil {
-		handler(from, &f, late)
+	t.mu.Unlock()
+	if accepted && handler != nil {
+		handler(from, &frame, late)
 	}
 }
 
-// sender finds what is known of one. The lock is held.
-func (w *Transport) sender(life IncarnationID) *sender {
-	s := w.senders[life]
-	if s != nil {
-		return s
+// sender returns the state of a sender. The caller holds the lock.
+func (t *Transport) sender(incarnation IncarnationID) *senderState {
+	state := t.senders[incarnation]
+	if state != nil {
+		return state
 	}
-	if len(w.senders) >= mostSenders {
+	if len(t.senders) >= maxSenders {
 		var oldest IncarnationID
-		for id, s := range w.senders {
-			if o := w.senders[oldest]; o == nil || s.used < o.used {
+		for id, candidate := range t.senders {
+			if known := t.senders[oldest]; known == nil || candidate.lastFrameAt < known.lastFrameAt {
 				oldest = id
 			}
 		}
-		delete(w.senders, oldest)
+		delete(t.senders, oldest)
 	}
-	s = &sender{}
-	w.senders[life] = s
-	return s
+	state = &senderState{}
+	t.senders[incarnation] = state
+	return state
 }
 
-// Overrun counts a frame that nobody had room for.
-func (w *Transport) CountDroppedUnread() {
-	w.mu.Lock()
-	w.counts.DroppedUnread++
-	w.mu.Unlock()
+// CountDroppedUnread counts a frame that a handler dropped because its queue was full.
+func (t *Transport) CountDroppedUnread() {
+	t.mu.Lock()
+	t.counts.DroppedUnread++
+	t.mu.Unlock()
 }
 
-// accept takes streams, no more at a time than may be open.
-func (w *Transport) accept() {
+// acceptLoop accepts streams, and refuses them while maxStreams are open.
+func (t *Transport) acceptLoop() {
 	for {
-		c, err := w.tcp.AcceptTCP()
+		c, err := t.tcp.AcceptTCP()
 		if err != nil {
 			select {
-			case <-w.done:
+			case <-t.done:
 				return
-			case <-time.After(10 * time.Millisecond): // Danger: a full table of descriptors would make it spin
+			case <-time.After(10 * time.Millisecond): // without the delay, the loop would spin when the process has no free file descriptor
 			}
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		if w.open.Load() >= mostStreams {
+		if t.openStreams.Load() >= maxStreams {
 			c.Close()
-			w.count(func(n *Counts) { n.StreamsRefused++ })
+			t.updateCounts(func(n *Counts) { n.StreamsRefused++ })
 			continue
 		}
-		s := w.stream(c)
+		s := t.newStream(c)
 		select {
-		case w.streams <- s:
-		case <-time.After(w.real(time.Second)): // nobody takes streams
+		case t.streams <- s:
+		case <-time.After(t.realTime(time.Second)): // nothing receives from Streams
 			s.Close()
-		case <-w.done:
+		case <-t.done:
 			s.Close()
 			return
 		}
 	}
 }
 
-func (w *Transport) count(do func(*Counts)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	do(&w.counts)
+func (t *Transport) updateCounts(update func(*Counts)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	update(&t.counts)
 }
 
-// Dial opens a stream to a node, from the node's own address.
-func (w *Transport) Dial(addr string, timeout time.Duration) (net.Conn, error) {
+// Dial opens a stream to a node, from the address that this node listens on.
+func (t *Transport) Dial(addr string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
-	if ip := w.options.Listen.Addr(); !ip.IsUnspecified() {
+	if ip := t.options.Listen.Addr(); !ip.IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
 	}
 	c, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return w.stream(c.(*net.TCPConn)), nil
+	return t.newStream(c.(*net.TCPConn)), nil
 }
 
-// Streams are those that others open. Whoever takes one closes it.
-func (w *Transport) Streams() <-chan net.Conn { return w.streams }
+// Streams returns the channel of streams that other nodes open. The receiver of a stream closes it.
+func (t *Transport) Streams() <-chan net.Conn { return t.streams }
