--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -19,17 +19,17 @@
 	"canvasrouter/policy"
 )
 
-// View is what one node knows, as canvasrouter fleet prints it.
+// View is what one node knows of the fleet, as the command "canvasrouter fleet" prints it.
 type View struct {
 	Fleet              string           `json:"fleet"`
 	Self               MemberView       `json:"own"`
-	Members            []MemberView     `json:"members"` // the others, by name; those gone are kept for a while
+	Members            []MemberView     `json:"members"` // the other members, by name, with departed ones that are still kept
 	Transport          transport.Counts `json:"ways"`
 	Messages           *words.Counts    `json:"words,omitempty"`
-	Servers            []ServerView     `json:"servers"` // of which anything is held
-	ReadyServers       int              `json:"listed"`  // servers that are ready, by the list
+	Servers            []ServerView     `json:"servers"` // ready servers on which there are reports
+	ReadyServers       int              `json:"listed"`  // number of servers that the registry lists as ready
 	UndecodableReports int64            `json:"judgements_not_understood"`
-	Store              *store.Look      `json:"store,omitempty"` // of configuration
+	Store              *store.Look      `json:"store,omitempty"` // the configuration store
 }
 
 // MemberView is a member as a node sees it.
@@ -40,66 +40,90 @@
 	Zone        int     `json:"zone"`
 	Addr        string  `json:"addr"`
 	State       string  `json:"state"`
-	StateAgeMs  float64 `json:"for_ms"` // in this state
+	StateAgeMs  float64 `json:"for_ms"` // time in this state
 }
 
-// ServerView is what a node holds on a server.
+// ServerView is what a node knows of the condition of a server.
 type ServerView struct {
 	Server            string       `json:"server"`
-	OwnCondition      string       `json:"own"`  // its own finding; "" if it has no fresh one
-	Condition         string       `json:"ill"`  // what others' reports come to
-	RemainingFraction float64      `json:"part"` // of its weight that is left
+	OwnCondition      string       `json:"own"`  // by the node's own evidence; "" if it has no recent evidence
+	Condition         string       `json:"ill"`  // by the reports of peers
+	RemainingFraction float64      `json:"part"` // of the server's weight
 	Reports           []ReportView `json:"reports"`
 }
 
-// ReportView is one node's report.
+// ReportView is the report of one node on a server.
 type ReportView struct {
-	Reporter   string  `json:"source"` // a life
-	NodeNumber int     `json:"node"`   // its number
-	Zone       int     `json:"zone"`
+	Reporter   string  `json:"source"` // incarnation
+	NodeNumber int     `json:"node"`   // of the reporter
+	Zone       int     `json:"zone"`   // of the reporter
 	Condition  string  `json:"ill"`
-	AgeMs      float64 `json:"age_ms"`
-	DurationMs float64 `json:"span_ms"`
+	AgeMs      float64 `json:"age_ms"`  // of the evidence
+	DurationMs float64 `json:"span_ms"` // of the condition, up to the evidence
 }
 
-func ms(t policy.Micros) float64 { return float64(t) / 1000 }
+func milliseconds(t policy.Micros) float64 { return float64(t) / 1000 }
 
-// View gives what the node knows now.
+// View returns what the node knows now.
 func (f *Fleet) View() *View {
-	own, all := f.members.View()
+	self, all := f.members.View()
 	now := f.clock.Now()
 	v := &View{Fleet: f.config.Name, Transport: f.transport.Counts(), Members: []MemberView{}, Servers: []ServerView{}}
-	v.Self = MemberView{own.Name, fmt.Sprintf("%016x", uint64(own.Incarnation)), own.Number, int(own.Zone), own.Addr.String(), "alive", 0}
+	v.Self = MemberView{
+		Name:        self.Name,
+		Incarnation: fmt.Sprintf("%016x", uint64(self.Incarnation)),
+		Number:      self.Number,
+		Zone:        int(self.Zone),
+		Addr:        self.Addr.String(),
+		State:       "alive",
+		StateAgeMs:  0,
+	}
 	for _, m := range all {
-		v.Members = append(v.Members, MemberView{m.Name, fmt.Sprintf("%016x", uint64(m.Incarnation)), m.Number, int(m.Zone), m.Addr.String(),
-			m.State.String(), ms(now - m.Since)})
+		v.Members = append(v.Members, MemberView{
+			Name:        m.Name,
+			Incarnation: fmt.Sprintf("%016x", uint64(m.Incarnation)),
+			Number:      m.Number,
+			Zone:        int(m.Zone),
+			Addr:        m.Addr.String(),
+			State:       m.State.String(),
+			StateAgeMs:  milliseconds(now - m.Since),
+		})
 	}
-	if look := f.store.Load(); look != nil {
-		v.Store = (*look)()
+	if storeView := f.storeView.Load(); storeView != nil {
+		v.Store = (*storeView)()
 	}
-	if f.words != nil {
-		counts := f.words.Counts()
+	if f.messenger != nil {
+		counts := f.messenger.Counts()
 		v.Messages = &counts
 	}
-	f.books.Lock()
-	defer f.books.Unlock()
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
 	f.mu.Lock()
-	ids := slices.Clone(f.ids)
+	readyServers := slices.Clone(f.readyServers)
 	f.mu.Unlock()
-	v.UndecodableReports, v.ReadyServers = f.foreign, len(ids)
-	held := f.book.Snapshot(now)
-	for _, server := range ids {
-		s := ServerView{Server: name(server), RemainingFraction: 1, Condition: "well", Reports: []ReportView{}}
-		if ill, answered := f.finding(now, server); answered > 0 || ill != 0 {
-			s.OwnCondition = ill.String()
+	v.UndecodableReports = f.undecodableReports
+	v.ReadyServers = len(readyServers)
+	reports := f.table.Snapshot(now)
+	for _, server := range readyServers {
+		s := ServerView{Server: serverName(server), RemainingFraction: 1, Condition: "well", Reports: []ReportView{}}
+		if condition, answeredAt := f.ownCondition(now, server); answeredAt > 0 || condition != 0 {
+			s.OwnCondition = condition.String()
 		}
-		for _, w := range f.weights {
-			if w.Server == server {
-				s.RemainingFraction, s.Condition = w.RemainingFraction, w.Condition.String()
+		for _, reduction := range f.reductions {
+			if reduction.Server == server {
+				s.RemainingFraction = reduction.RemainingFraction
+				s.Condition = reduction.Condition.String()
 			}
 		}
-		for _, r := range held[server] {
-			s.Reports = append(s.Reports, ReportView{fmt.Sprintf("%016x", uint64(r.Reporter)), int(r.NodeNumber), int(r.Zone), r.Condition.String(), ms(r.Age), ms(r.Duration)})
+		for _, report := range reports[server] {
+			s.Reports = append(s.Reports, ReportView{
+				Reporter:   fmt.Sprintf("%016x", uint64(report.Reporter)),
+				NodeNumber: int(report.NodeNumber),
+				Zone:       int(report.Zone),
+				Condition:  report.Condition.String(),
+				AgeMs:      milliseconds(report.Age),
+				DurationMs: milliseconds(report.Duration),
+			})
 		}
 		if len(s.Reports) > 0 {
 			v.Servers = append(v.Servers, s)
@@ -108,26 +132,26 @@
 	return v
 }
 
-// control answers the node's own user on a Unix socket.
-type control struct {
+// controlServer serves the node's view over HTTP on a Unix socket, to the user that the node runs as.
+type controlServer struct {
 	listener net.Listener
 	server   *http.Server
 	path     string
 }
 
-const controlWait = 2 * time.Second
+const controlTimeout = 2 * time.Second
 
-// listen opens the socket, for its own user alone from the first moment. One that a process left behind is taken over; one
-// that somebody answers on is not.
-func listen(path string, f *Fleet) (*control, error) {
-	if c, err := net.DialTimeout("unix", path, controlWait); err == nil {
+// listenControl opens the control socket, accessible only to its own user from the moment it exists. It replaces a socket that
+// an ended process has left behind, but fails if another process answers on it.
+func listenControl(path string, f *Fleet) (*controlServer, error) {
+	if c, err := net.DialTimeout("unix", path, controlTimeout); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another process answers there", path)
+		return nil, fmt.Errorf("%s: another process answers on the socket", path)
 	} else if errors.Is(err, syscall.ECONNREFUSED) {
 		os.Remove(path)
 	}
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		c.Control(func(fd uintptr) { err = syscall.Fchmod(int(fd), 0o600) }) // before it has a name
+		c.Control(func(fd uintptr) { err = syscall.Fchmod(int(fd), 0o600) }) // runs before the socket is bound to the path
 		return err
 	}}
 	l, err := config.Listen(context.Background(), "unix", path)
@@ -139,20 +163,23 @@
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(f.View())
 	})
-	return &control{listener: l, path: path, server: &http.Server{Handler: mux, ReadTimeout: controlWait, WriteTimeout: controlWait,
-		IdleTimeout: controlWait}}, nil
+	return &controlServer{
+		listener: l,
+		path:     path,
+		server:   &http.Server{Handler: mux, ReadTimeout: controlTimeout, WriteTimeout: controlTimeout, IdleTimeout: controlTimeout},
+	}, nil
 }
 
-func (c *control) serve() { go c.server.Serve(c.listener) }
+func (c *controlServer) serve() { go c.server.Serve(c.listener) }
 
-func (c *control) close() {
+func (c *controlServer) close() {
 	c.server.Close()
 	c.listener.Close()
 }
 
-// Ask gets a node's view by its socket.
+// FetchView fetches a node's view from its control socket.
 func FetchView(ctx context.Context, path string) (*View, error) {
-	client := &http.Client{Timeout: 2 * controlWait, Transport: &http.Transport{DisableKeepAlives: true,
+	client := &http.Client{Timeout: 2 * controlTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
 		}}}
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -10,59 +10,59 @@
 	"testing"
 )
 
-var faults = flag.Bool("faults", false, "change the real code and look whether a test sees it")
+var faults = flag.Bool("faults", false, "check that tests detect faults laid over the real code")
 
-// Each of these changes to the real code is seen by a test that is green without it. The changed file is laid over the real
-// one for one build; nothing in the tree changes.
+// Each row describes a small change to the real code that makes it faulty. The test checks that a test that passes without the
+// change fails with it. The changed file replaces the real one by a build overlay, so that no file in the tree changes.
 //
-// Danger: builds beside tests that measure time make nodes look late. So this is asked for by -faults alone, after the
-// others, as .ci/run does.
+// The builds load the machine, and tests that measure time would see late nodes beside them. So the test runs with -faults
+// only, after all others, as .ci/run does.
 func TestFaultsAreSeen(t *testing.T) {
 	if !*faults {
 		return
 	}
 	for name, c := range map[string]struct{ file, was, is, pkg, run string }{
-		"one node closes a server":             {"judged/judged.go", "witnesses = 2\n", "witnesses = 1\n", "internal/fleet/judged", "TestWeights"},
-		"hearsay closes everything":            {"judged/judged.go", "Part = 1.0 / 2\n", "Part = 1.0\n", "internal/fleet/judged", "TestWeights|TestFleet"},
-		"a copy is news":                       {"judged/judged.go", "k.Number > all[i].Number", "k.Number >= all[i].Number", "internal/fleet/judged", "TestMerge"},
-		"two lives are two witnesses":          {"judged/judged.go", "latest[k.Node]", "latest[uint16(k.Source)]", "internal/fleet/judged", "TestWeights"},
-		"own answers don't count":              {"judged/weights.go", "answered > j.Since+margin", "answered < 0", "internal/fleet/judged", "TestWeights"},
-		"a doubled frame counts twice":         {"transport/frame.go", "if *word&mask != 0 {", "if false {", "internal/fleet/transport", "TestFirst"},
-		"spoilt frames are read":               {"transport/frame.go", "case binary.BigEndian.Uint32(b[sumAt:]) != sum(seal, b[:sumAt], b[headLen:]):", "case false:", "internal/fleet/transport", "TestFrames"},
-		"words that came late count":           {"words/words.go", "case late > stale:", "case late < 0:", "internal/fleet/words", "TestWords"},
-		"the newest word is dropped":           {"words/words.go", "q.first = (q.first + 1) % mostQueued\n\t\tq.n--", "q.n--", "internal/fleet/words", "TestWords"},
-		"a number stays with who had it first": {"members/table.go", "cmp.Compare(b.joined, a.joined)", "cmp.Compare(a.joined, b.joined)", "internal/fleet/members", "TestTable"},
-		"a word that one leaves ends here":     {"members/members.go", "if news {", "if news && false {", "internal/fleet/members", "TestPassesOnOnce"},
-		"who was found dead did not leave":     {"members/table.go", "if m.State == Dead {", "if false {", "internal/fleet/members", "TestLeavesInAnyOrder"},
+		"one node ejects a server":             {"judged/report_table.go", "minReporters = 2\n", "minReporters = 1\n", "internal/fleet/judged", "TestWeightReductions"},
+		"peers eject every server":             {"judged/report_table.go", "MaxEjectedFraction = 1.0 / 2\n", "MaxEjectedFraction = 1.0\n", "internal/fleet/judged", "TestWeightReductions|TestSimulatedFleet"},
+		"a copy replaces the stored report":    {"judged/report_table.go", "incoming.Sequence > stored[i].Sequence", "incoming.Sequence >= stored[i].Sequence", "internal/fleet/judged", "TestMerge"},
+		"two incarnations are two reporters":   {"judged/report_table.go", "latest[r.NodeNumber]", "latest[uint16(r.Reporter)]", "internal/fleet/judged", "TestWeightReductions"},
+		"own answers do not count":             {"judged/weights.go", "answeredAt > assessment.Since+answerMargin", "answeredAt < 0", "internal/fleet/judged", "TestWeightReductions"},
+		"a duplicate frame is accepted":        {"transport/frame.go", "if *word&mask != 0 {", "if false {", "internal/fleet/transport", "TestFirst"},
+		"corrupted frames are decoded":         {"transport/frame.go", "case binary.BigEndian.Uint32(b[checksumOffset:]) != checksum(seed, b[:checksumOffset], b[headerSize:]):", "case false:", "internal/fleet/transport", "TestFrameEncoding"},
+		"late peer messages are delivered":     {"words/messenger.go", "case late > maxDelay:", "case late < 0:", "internal/fleet/words", "TestMessenger"},
+		"the newest message is dropped":        {"words/messenger.go", "q.first = (q.first + 1) % maxQueued\n\t\tq.length--", "q.length--", "internal/fleet/words", "TestMessenger"},
+		"the first owner of a number keeps it": {"members/table.go", "cmp.Compare(b.joinOrder, a.joinOrder)", "cmp.Compare(a.joinOrder, b.joinOrder)", "internal/fleet/members", "TestTable"},
+		"a leave message is not forwarded":     {"members/members.go", "if isNew {", "if isNew && false {", "internal/fleet/members", "TestLeaveForwardedOnce"},
+		"a dead member does not become left":   {"members/table.go", "if m.State == Dead {", "if false {", "internal/fleet/members", "TestLeaveAndDepartureInAnyOrder"},
 		"weights of drained servers change":    {"../node/peers.go", "e.State == policy.Ready && was != is", "was != is", "internal/node", "TestPeers"},
-		"weights look like a list that came":   {"../../policy/policy.go", "case !r.Ask || form == ListWeighed:", "case !r.Ask:", "policy", "TestWeighed"},
-		"older news keeps fresher out":         {"judged/judged.go", "!b.makeRoom(k.at)", "true", "internal/fleet/judged", "TestBounds"},
+		"new weights look like a new list":     {"../../policy/policy.go", "case !r.Ask || form == ListWeighed:", "case !r.Ask:", "policy", "TestWeighed"},
+		"older reports keep newer ones out":    {"judged/report_table.go", "!t.evictServer(incoming.evidenceAt)", "true", "internal/fleet/judged", "TestBounds"},
 
-		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
-		"the kernel is not asked for the client":   {"../node/op.go", "if o.Client.Left() {", "if false {", "internal/node", "TestKeptBack"},
-		"a client counts as there for long":        {"../node/op.go", "askAfter = 10", "askAfter = 110", "internal/node", "TestKeptBack"},
-		"a hung call is waited for alone":          {"../registry/registry.go", "if out < 2 {", "if out < 1 {", "internal/registry", "TestToldOnceBack$"},
-		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(wait):\n\t\tr.Watch()", "case <-time.After(wait):\n\t\tif r.unasked.Load() {\n\t\t\tr.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
-		"clients can take every descriptor":        {"../sockets/sockets.go", "reserve = 24", "reserve = -60", "cmd/canvasrouter", "TestIdleCrowd"},
-		"a minority decides":                       {"../store/round.go", "r.replicas/2 + 1", "r.replicas / 2", "internal/store", "TestRegisterProperties"},
+		"a push continues after its client left":   {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
+		"the client's connection is not checked":   {"../node/op.go", "if o.Client.Left() {", "if false {", "internal/node", "TestKeptBack"},
+		"a client is assumed present too long":     {"../node/op.go", "askAfter = 10", "askAfter = 110", "internal/node", "TestKeptBack"},
+		"no second call is made beside a hung one": {"../registry/registry.go", "if out < 2 {", "if out < 1 {", "internal/registry", "TestToldOnceBack$"},
+		"no watch unless the module asks for it":   {"../registry/registry.go", "case <-time.After(wait):\n\t\tr.Watch()", "case <-time.After(wait):\n\t\tif r.unasked.Load() {\n\t\t\tr.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
+		"clients can use every file descriptor":    {"../sockets/sockets.go", "reserve = 24", "reserve = -60", "cmd/canvasrouter", "TestIdleCrowd"},
+		"half of the replicas are a majority":      {"../store/round.go", "r.replicas/2 + 1", "r.replicas / 2", "internal/store", "TestRegisterProperties"},
 		"an earlier value is taken for the latest": {"../store/round.go", "best.Value == nil || p.Accepted.Compare(best.Accepted) > 0", "best.Value == nil", "internal/store", "TestRegisterProperties"},
-		"a faulty change takes the others with it": {"../store/apply/apply.go", "c, err := Lay(file, trial", "runs = trial\n\t\tc, err := Lay(file, trial", "internal/store/apply", "TestApplier"},
-		"a promise is not kept on disk":            {"../store/replica.go", "if err := r.save(key); err != nil {\n\t\t\t*of = before", "if err := error(nil); err != nil {\n\t\t\t*of = before", "internal/store", "TestStartsAnew"},
-		"the time left is told as of the push":     {"../servers/peer.go", "\t\t\ttell()\n\t\t\tway.begin", "\t\t\tway.begin", "internal/servers", "TestTimeToldOnALateConnection"},
+		"one faulty change rejects the others too": {"../store/apply/apply.go", "c, err := Lay(file, trial", "runs = trial\n\t\tc, err := Lay(file, trial", "internal/store/apply", "TestApplier"},
+		"a promise is not written to disk":         {"../store/replica.go", "if err := r.save(key); err != nil {\n\t\t\t*of = before", "if err := error(nil); err != nil {\n\t\t\t*of = before", "internal/store", "TestStartsAnew"},
+		"the remaining time is computed too early": {"../servers/peer.go", "\t\t\ttell()\n\t\t\tway.begin", "\t\t\tway.begin", "internal/servers", "TestTimeToldOnALateConnection"},
 		"unsent pushes outlive their op":           {"../node/node.go", "if !push.ended {\n\t\t\tpush.keepBack()", "if false {\n\t\t\tpush.keepBack()", "internal/node", "TestKeptBack"},
-		"a drain calls nothing back":               {"../node/node.go", "n.callBack(before)\n", "_ = before\n", "internal/node", "TestKeptBack"},
-		"ops in hand outlive the process":          {"../node/node.go", "!op.settled {\n\t\t\tn.bound(op)", "!op.settled {\n\t\t\t_ = op", "internal/node", "TestKeptBack"},
-		"a push begins whatever it says":           {"../servers/conn.go", "!c.push.Begin()", "!c.push.Begin() && false", "internal/servers", "TestLeavesBeforeTheFirstByte"},
-		"an answer before a break is not seen":     {"../servers/conn.go", "c.raw); unread {", "c.raw); unread && false {", "internal/servers", "TestAnsweredAndWriteFailsFirst"},
-		"what was answered counts as never run":    {"../servers/peer.go", "!c.replied() && (", "(", "internal/servers", "TestAnsweredBeforeTheWhole"},
-		"a client that left is taken":              {"../clients/clients.go", "h.ended || !c.take() {", "!c.take() {", "internal/clients", "TestLeftInBacklog"},
-		"a request is taken on a shut connection":  {"../clients/clients.go", "h.ended || !c.take() {", "h.ended {\n\t\t\tc.take()", "internal/clients", "TestWholeAsItIsShut"},
-		"the backlog is reset at the end":          {"../clients/listener.go", "by.Before(end);", "by.Before(end) && false;", "internal/clients", "TestBacklogAtTheEnd"},
-		"its id is not given back":                 {"../clients/clients.go", "s.ids.give(id)\n\t\t\tbody", "body", "internal/clients", "TestLeftInBacklog"},
-		"unread bytes are closed away":             {"../clients/listener.go", " && !unread(c.tcp)", "", "internal/clients", "TestHalfUnread"},
-		"a silent watch waits":                     {"../registry/registry.go", "least := 1; errors.Is", "least := 1; false && errors.Is", "internal/registry", "TestWatch"},
-		"an older whole list is taken":             {"../registry/registry.go", "if generation < r.generation {", "if false {", "internal/registry", "TestWatch"},
-		"a watch comes back ever later":            {"../registry/registry.go", "most = min(most, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
+		"a drain recalls no unsent pushes":         {"../node/node.go", "n.callBack(before)\n", "_ = before\n", "internal/node", "TestKeptBack"},
+		"pending ops outlive the process":          {"../node/node.go", "!op.settled {\n\t\t\tn.bound(op)", "!op.settled {\n\t\t\t_ = op", "internal/node", "TestKeptBack"},
+		"a push that may not begin is sent":        {"../servers/conn.go", "!c.push.Begin()", "!c.push.Begin() && false", "internal/servers", "TestLeavesBeforeTheFirstByte"},
+		"an answer before a broken write is lost":  {"../servers/conn.go", "c.raw); unread {", "c.raw); unread && false {", "internal/servers", "TestAnsweredAndWriteFailsFirst"},
+		"an answered push counts as never run":     {"../servers/peer.go", "!c.replied() && (", "(", "internal/servers", "TestAnsweredBeforeTheWhole"},
+		"a disconnected client is accepted":        {"../clients/clients.go", "h.ended || !c.take() {", "!c.take() {", "internal/clients", "TestLeftInBacklog"},
+		"a closed connection's request is taken":   {"../clients/clients.go", "h.ended || !c.take() {", "h.ended {\n\t\t\tc.take()", "internal/clients", "TestWholeAsItIsShut"},
+		"the backlog is reset at shutdown":         {"../clients/listener.go", "by.Before(end);", "by.Before(end) && false;", "internal/clients", "TestBacklogAtTheEnd"},
+		"the ID of a lost client's op is kept":     {"../clients/clients.go", "s.ids.give(id)\n\t\t\tbody", "body", "internal/clients", "TestLeftInBacklog"},
+		"a connection with unread bytes is closed": {"../clients/listener.go", " && !unread(c.tcp)", "", "internal/clients", "TestHalfUnread"},
+		"a silent watch is not reopened at once":   {"../registry/registry.go", "least := 1; errors.Is", "least := 1; false && errors.Is", "internal/registry", "TestWatch"},
+		"an older full list is accepted":           {"../registry/registry.go", "if generation < r.generation {", "if false {", "internal/registry", "TestWatch"},
+		"the delay of a watch grows too long":      {"../registry/registry.go", "most = min(most, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
 		"an op without benefit is nacked":          {"../../policy/policy.go", "cmp.Or(n.levels[len(n.levels)-1], 1)", "n.levels[len(n.levels)-1]", "policy", "TestNoBenefit"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,21 +72,22 @@
 			}
 			raw, err := os.ReadFile(path)
 			if err != nil || strings.Count(string(raw), c.was) == 0 {
-				t.Fatalf("%v: %s has no %q", err, c.file, c.was)
+				t.Fatalf("%v: %s does not contain %q", err, c.file, c.was)
 			}
 			dir := t.TempDir()
-			changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-			laid, _ := json.Marshal(map[string]any{"Replace": map[string]string{path: changed}})
+			changed := filepath.Join(dir, "changed.go")
+			overlay := filepath.Join(dir, "overlay.json")
+			overlayJSON, _ := json.Marshal(map[string]any{"Replace": map[string]string{path: changed}})
 			if err := os.WriteFile(changed, []byte(strings.ReplaceAll(string(raw), c.was, c.is)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(overlay, laid, 0o600); err != nil {
+			if err := os.WriteFile(overlay, overlayJSON, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			t.Parallel()
 			out, err := exec.Command("go", "test", "-count=1", "-overlay", overlay, "-run", c.run, "canvasrouter/"+c.pkg).CombinedOutput()
 			if err == nil || !strings.Contains(string(out), "--- FAIL") {
-				t.Errorf("not seen: %v: %s", err, out)
+				t.Errorf("no test detects the fault: %v: %s", err, out)
 			}
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet is what a node hears of the others: ways, members, words between modules and judgements on servers, wired
-// together. Nothing here is waited for while an op is in hand; what is heard is advice.
+// Package fleet connects a node with the other nodes of its fleet. It wires together the transport, the membership, the messages
+// between decision modules and the exchange of reports on servers. No op waits for anything in this package, and what peers
+// report is advice only.
 package fleet
 
 import (
@@ -25,322 +26,342 @@
 )
 
 const (
-	// judgeEvery is the beat of judgements: what is new is told, what was heard is weighed.
-	judgeEvery = 50 * time.Millisecond
-	// tellTo is how many others are told in a beat, drawn anew each time.
-	tellTo = 3
-	// passOn is how often a node passes a report on: with tellTo, nine sends by each who has it leave about one in eight
-	// thousand without.
-	passOn = 3
-	// newcomers is how many that have just come are told all in a beat: the hand-over of many at once is spread.
-	newcomers = 2
+	// reportInterval is the tick at which new reports are sent and received ones are assessed.
+	reportInterval = 50 * time.Millisecond
+	// fanOut is the number of random peers that reports are sent to at each tick.
+	fanOut = 3
+	// sendsPerReport is how often a node sends a report. With fanOut, each node that has a report sends it nine times in all,
+	// which leaves about one node in eight thousand without it.
+	sendsPerReport = 3
+	// maxNewcomersPerTick is the number of new members that are sent all reports at one tick, which spreads the load when many
+	// join at once.
+	maxNewcomersPerTick = 2
 )
 
-// Fleet is one node's side. It is made by Start and ends with Close.
+// Fleet connects one node with its peers, from Start until Close.
 type Fleet struct {
-	config    *config.Fleet
-	clock     *node.Clock
-	log       zerolog.Logger
-	node      *node.Node
-	transport *transport.Transport
-	members   *members.Members
-	words     *words.Messenger // nil: modules tell nothing
-	control   *control         // nil: no socket
-	number    uint16
-	done      chan struct{}
-	over      sync.WaitGroup
+	config     *config.Fleet
+	clock      *node.Clock
+	log        zerolog.Logger
+	node       *node.Node
+	transport  *transport.Transport
+	members    *members.Members
+	messenger  *words.Messenger // nil if modules exchange no messages
+	control    *controlServer   // nil if there is no control socket
+	nodeNumber uint16
+	done       chan struct{}
+	running    sync.WaitGroup
 
-	// Danger: the node's actor waits for own's lock with ops in hand, and weighing many reports takes milliseconds. So the book
-	// has a lock of its own, which the actor never takes; whoever takes both takes the book's first.
-	mu      sync.Mutex // guards own, list, started, anew, ids
-	own     *judged.LocalDetector
-	list    []policy.Entry
-	started map[policy.ServerID]policy.Micros
-	anew    []policy.ServerID // that have started anew since the last beat
-	ids     []policy.ServerID
+	// The node's actor takes mu while ops are pending, and assessing many reports takes milliseconds. So the report table has a
+	// lock of its own, tableMu, which the actor never takes. A goroutine that takes both takes tableMu first.
+	mu           sync.Mutex // guards detector, list, startedAt, restarted, readyServers
+	detector     *judged.LocalDetector
+	list         []policy.Entry
+	startedAt    map[policy.ServerID]policy.Micros // by the list
+	restarted    []policy.ServerID                 // servers that have restarted since the last tick
+	readyServers []policy.ServerID
 
-	store atomic.Pointer[func() *store.Look] // what is known of the store of configuration; nil: nothing
+	storeView atomic.Pointer[func() *store.Look] // returns the state of the configuration store; nil if there is none
 
-	books   sync.Mutex // guards book, weights, foreign
-	book    *judged.ReportTable
-	weights []judged.WeightReduction
-	foreign int64 // frames of judgements of another form
+	tableMu            sync.Mutex // guards table, reductions, undecodableReports
+	table              *judged.ReportTable
+	reductions         []judged.WeightReduction
+	undecodableReports int64 // received frames of reports in another format
 }
 
-// Start opens the node's transport and begins to hear. The node is told what others judge, and tells what it sees, from Join on.
+// Start opens the node's transport and joins the fleet. From then on the node receives weights from the reports of peers, and
+// reports what it observes itself.
 func Start(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger) (*Fleet, error) {
 	return StartWithRetention(c, n, clock, log, 0)
 }
 
-// StartKeeping is Start, where members that are gone are kept for another time than usual: a test of long cuts has no hours. All
-// waits here are by the clock, which may be slowed.
-func StartWithRetention(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, keep time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Place.Number), done: make(chan struct{}),
-		started: make(map[policy.ServerID]policy.Micros)}
-	life := transport.IncarnationID(rand.Uint64()) // Danger: not from the seed, which a process that is back has again
+// StartWithRetention is Start with another retention of departed members, 0 for the default: tests of long network partitions
+// cannot take hours. All delays follow the clock, which may be slowed down.
+func StartWithRetention(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, departedRetention time.Duration) (*Fleet, error) {
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, nodeNumber: uint16(c.Rules.Place.Number), done: make(chan struct{}),
+		startedAt: make(map[policy.ServerID]policy.Micros)}
+	incarnation := transport.IncarnationID(rand.Uint64()) // not from the configured seed, which a restarted process has again
 	zone := uint8(c.Rules.Place.Zone)
-	f.book, f.own = judged.NewReportTable(judged.ReporterID(life), zone), judged.NewLocalDetector()
+	f.table = judged.NewReportTable(judged.ReporterID(incarnation), zone)
+	f.detector = judged.NewLocalDetector()
 	var err error
-	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Incarnation: life, MaxBytesPerSecond: c.Fleet.Pace,
-		SlowdownFactor: int(clock.Real(1))},
-		log.With().Str("part", "transport").Logger())
+	f.transport, err = transport.Open(transport.Options{
+		Fleet:             c.Fleet.Name,
+		Listen:            c.Fleet.Listen,
+		Advertise:         c.Fleet.Advertise,
+		Incarnation:       incarnation,
+		MaxBytesPerSecond: c.Fleet.Pace,
+		SlowdownFactor:    int(clock.Real(1)),
+	}, log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
 	}
 	if c.Fleet.Control != "" {
-		if f.control, err = listen(c.Fleet.Control, f); err != nil {
+		if f.control, err = listenControl(c.Fleet.Control, f); err != nil {
 			f.transport.Close()
 			return nil, fmt.Errorf("key fleet.control: %w", err)
 		}
 	}
 	if c.Fleet.Judged {
-		f.transport.Handle(transport.ServerReports, f.hear)
+		f.transport.Handle(transport.ServerReports, f.receiveReports)
 	}
 	if c.Fleet.Words && c.Rules.Place.Peers {
-		f.words = words.Start(f.transport, f.holder, n.Said)
+		f.messenger = words.Start(f.transport, f.ownerAddr, n.Said)
 	}
-	own := members.Member{Name: c.Name, Incarnation: life, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
-	f.members, err = members.Start(members.Options{Self: own, FleetSize: c.Rules.Place.Nodes, JoinAddrs: c.Fleet.Join, RandomSeed: c.Seed, DepartedRetention: keep}, f.transport, clock,
-		log.With().Str("part", "members").Logger())
+	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
+	f.members, err = members.Start(members.Options{
+		Self:              self,
+		FleetSize:         c.Rules.Place.Nodes,
+		JoinAddrs:         c.Fleet.Join,
+		RandomSeed:        c.Seed,
+		DepartedRetention: departedRetention,
+	}, f.transport, clock, log.With().Str("part", "members").Logger())
 	if err != nil {
-		f.end()
+		f.stop()
 		return nil, err
 	}
 	f.transport.Run()
 	if c.Fleet.Judged {
-		f.over.Go(f.judge)
+		f.running.Go(f.reportLoop)
 	}
 	n.Peer(f)
 	if f.control != nil {
 		f.control.serve()
 	}
-	log.Info().Str("listen", c.Fleet.Listen.String()).Str("advertise", c.Fleet.Advertise.String()).Str("life", fmt.Sprintf("%016x", uint64(life))).
-		Bool("words", f.words != nil).Bool("judged", c.Fleet.Judged).Msg("the node hears others")
+	log.Info().Str("listen", c.Fleet.Listen.String()).Str("advertise", c.Fleet.Advertise.String()).Str("life", fmt.Sprintf("%016x", uint64(incarnation))).
+		Bool("words", f.messenger != nil).Bool("judged", c.Fleet.Judged).Msg("the node hears others")
 	return f, nil
 }
 
-// Leave tells the others that the node leaves. It waits for a moment at the most.
+// Leave announces to the other members that the node leaves. It waits for a moment at most.
 func (f *Fleet) Leave() { f.members.Leave() }
 
-// Close ends it all: the node hears nobody, and what it was told of servers is forgotten.
+// Close disconnects the node from the fleet and discards the weights that follow from the reports of peers.
 func (f *Fleet) Close() {
 	f.node.Peer(nil)
-	f.end()
+	f.stop()
 	f.log.Info().Msg("the node hears nobody any more")
 }
 
-// Kill ends it all without a word to anybody, as the end of a process would.
-func (f *Fleet) Kill() { f.end() }
+// Kill disconnects without an announcement, as when the process dies.
+func (f *Fleet) Kill() { f.stop() }
 
-func (f *Fleet) end() {
+func (f *Fleet) stop() {
 	close(f.done)
 	if f.control != nil {
 		f.control.close()
 	}
-	if f.words != nil {
-		f.words.Close()
+	if f.messenger != nil {
+		f.messenger.Close()
 	}
 	if f.members != nil {
 		f.members.Close()
 	}
 	f.transport.Close()
-	f.over.Wait()
+	f.running.Wait()
 }
 
-// Show says where a look at the store of configuration comes from.
-func (f *Fleet) SetStoreView(look func() *store.Look) { f.store.Store(&look) }
+// SetStoreView sets the function from which View takes the state of the configuration store.
+func (f *Fleet) SetStoreView(view func() *store.Look) { f.storeView.Store(&view) }
 
-// Others gives all others that are there. The slice is shared: it is read alone.
+// AlivePeers returns all other members that are alive. The slice is shared and must not be modified.
 func (f *Fleet) AlivePeers() []members.Member { return f.members.AlivePeers() }
 
-// Life is this process's among the members.
+// Incarnation returns the ID of this process in the fleet.
 func (f *Fleet) Incarnation() transport.IncarnationID { return f.transport.Incarnation() }
 
-// Counts gives what has become of frames so far.
+// TransportCounts returns what has become of frames so far.
 func (f *Fleet) TransportCounts() transport.Counts { return f.transport.Counts() }
 
-// Lowered is how many servers others' findings have taken more than half of the weight of.
+// ReducedServers returns the number of servers that have lost more than half of their weight because of reports of peers.
 func (f *Fleet) ReducedServers() (n int) {
-	f.books.Lock()
-	defer f.books.Unlock()
-	for _, w := range f.weights {
-		if w.RemainingFraction < 1.0/2 {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	for _, reduction := range f.reductions {
+		if reduction.RemainingFraction < 1.0/2 {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *Fleet) holder(number int) (netip.AddrPort, bool) {
-	m, known := f.members.Owner(number)
-	return m.Addr, known
+// ownerAddr returns the address of the node that owns a number.
+func (f *Fleet) ownerAddr(number int) (netip.AddrPort, bool) {
+	owner, known := f.members.Owner(number)
+	return owner.Addr, known
 }
 
-// Tell, Ended and Follow are node.Peers.
-func (f *Fleet) Tell(number int, word node.Word) {
-	if f.words != nil {
-		f.words.Send(number, word)
+// Tell sends a message to the node that owns a number. It implements node.Peers.
+func (f *Fleet) Tell(number int, message node.Word) {
+	if f.messenger != nil {
+		f.messenger.Send(number, message)
 	}
 }
 
+// Sent records that a push was sent. It implements node.Peers.
 func (f *Fleet) Sent(server policy.ServerID, category policy.CategoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own.PushSent(f.clock.Now(), server, category)
+	f.detector.PushSent(f.clock.Now(), server, category)
 }
 
+// Ended records the outcome of a push and the time it took. It implements node.Peers.
 func (f *Fleet) Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own.PushEnded(f.clock.Now(), server, category, outcome, took)
+	f.detector.PushEnded(f.clock.Now(), server, category, outcome, took)
 }
 
+// Follow sets the list of servers. It implements node.Peers.
 func (f *Fleet) Follow(list []policy.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
-	f.own.SetServers(f.list, func(s policy.ServerID) policy.Micros { return f.started[s] })
-	for _, e := range f.list {
-		if was, known := f.started[e.Server]; known && was != e.Started && f.config.Judged { // else no beat takes them
-			f.anew = append(f.anew, e.Server)
+	f.detector.SetServers(f.list, func(server policy.ServerID) policy.Micros { return f.startedAt[server] })
+	for _, entry := range f.list {
+		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.Judged { // without reports no tick empties f.restarted
+			f.restarted = append(f.restarted, entry.Server)
 		}
 	}
-	clear(f.started)
-	f.ids = f.ids[:0]
-	for _, e := range f.list {
-		f.started[e.Server] = e.Started
-		if e.State == policy.Ready { // nothing is said of those that drain
-			f.ids = append(f.ids, e.Server)
+	clear(f.startedAt)
+	f.readyServers = f.readyServers[:0]
+	for _, entry := range f.list {
+		f.startedAt[entry.Server] = entry.Started
+		if entry.State == policy.Ready { // draining servers are not reported on
+			f.readyServers = append(f.readyServers, entry.Server)
 		}
 	}
 }
 
-// hear takes in what another node says of servers.
-func (f *Fleet) hear(_ netip.AddrPort, frame *transport.Frame, late time.Duration) {
+// receiveReports handles a frame of reports from another node.
+func (f *Fleet) receiveReports(_ netip.AddrPort, frame *transport.Frame, late time.Duration) {
 	reports, understood := judged.DecodeReports(frame.Payload, make([]judged.Report, 0, judged.MaxReports(len(frame.Payload))))
-	f.books.Lock()
-	defer f.books.Unlock()
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
 	if !understood {
-		f.foreign++
+		f.undecodableReports++
 		return
 	}
 	for i := range reports {
 		reports[i].Age += policy.Micros(late.Microseconds())
 	}
-	f.book.Merge(f.clock.Now(), reports)
+	f.table.Merge(f.clock.Now(), reports)
 }
 
-// judge is the beat of judgements.
-func (f *Fleet) judge() {
-	ticker := time.NewTicker(f.clock.Real(judgeEvery))
+// reportLoop assesses and sends reports at each tick.
+func (f *Fleet) reportLoop() {
+	ticker := time.NewTicker(f.clock.Real(reportInterval))
 	defer ticker.Stop()
 	payload := make([]byte, 0, transport.MaxPayload)
-	told := make(map[transport.IncarnationID]bool) // those who were told all when they came
-	var known *members.Member                      // of the others, as they were told last
+	welcomed := make(map[transport.IncarnationID]bool) // members that were sent all reports after they joined
+	var welcomedPeers *members.Member                  // first of the AlivePeers slice whose members have all been welcomed
 	for {
 		select {
 		case <-f.done:
 			return
 		case <-ticker.C:
 		}
-		reports, parts, changed := f.beat()
+		reports, fractions, changed := f.updateReports()
 		if changed {
-			f.node.Weigh(parts)
+			f.node.Weigh(fractions)
 		}
-		others := f.members.AlivePeers()
-		if len(others) == 0 {
+		peers := f.members.AlivePeers()
+		if len(peers) == 0 {
 			continue
 		}
-		if known != &others[0] && f.welcome(others, told, payload) {
-			known = &others[0]
+		if welcomedPeers != &peers[0] && f.welcomeNewcomers(peers, welcomed, payload) {
+			welcomedPeers = &peers[0]
 		}
 		if len(reports) == 0 {
 			continue
 		}
 		payload = judged.AppendReports(payload[:0], reports)
-		for range min(tellTo, len(others)) { // one may be drawn twice; then it is told twice
-			f.transport.Send(others[rand.IntN(len(others))].Addr, transport.ServerReports, payload)
+		for range min(fanOut, len(peers)) { // a peer that is drawn twice gets the reports twice
+			f.transport.Send(peers[rand.IntN(len(peers))].Addr, transport.ServerReports, payload)
 		}
 	}
 }
 
-// welcome tells those who have come what is held, the youngest first and as much as one datagram takes, a few in a beat, and forgets
-// those who have gone. It says whether
-// all have been told.
-func (f *Fleet) welcome(others []members.Member, told map[transport.IncarnationID]bool, payload []byte) bool {
-	here := make(map[transport.IncarnationID]bool, len(others))
-	left := newcomers
-	for _, m := range others {
-		here[m.Incarnation] = true
-		if told[m.Incarnation] || left == 0 {
+// welcomeNewcomers sends all reports, youngest first and as many as fit into one datagram, to at most maxNewcomersPerTick
+// peers that are not in welcomed, and adds them to it. It removes members that are gone from welcomed, and reports
+// whether all peers are in it: false also when the limit was reached exactly, which the next tick corrects.
+func (f *Fleet) welcomeNewcomers(peers []members.Member, welcomed map[transport.IncarnationID]bool, payload []byte) bool {
+	alive := make(map[transport.IncarnationID]bool, len(peers))
+	remaining := maxNewcomersPerTick
+	for _, m := range peers {
+		alive[m.Incarnation] = true
+		if welcomed[m.Incarnation] || remaining == 0 {
 			continue
 		}
-		left--
-		told[m.Incarnation] = true
-		f.books.Lock()
-		all := f.book.ReportsToSend(f.clock.Now(), 0, judged.MaxReports(transport.MaxPayload))
-		f.books.Unlock()
-		if len(all) > 0 {
-			f.transport.Send(m.Addr, transport.ServerReports, judged.AppendReports(payload[:0], all))
+		remaining--
+		welcomed[m.Incarnation] = true
+		f.tableMu.Lock()
+		reports := f.table.ReportsToSend(f.clock.Now(), 0, judged.MaxReports(transport.MaxPayload))
+		f.tableMu.Unlock()
+		if len(reports) > 0 {
+			f.transport.Send(m.Addr, transport.ServerReports, judged.AppendReports(payload[:0], reports))
 		}
 	}
-	maps.DeleteFunc(told, func(life transport.IncarnationID, _ bool) bool { return !here[life] })
-	return left > 0
+	maps.DeleteFunc(welcomed, func(incarnation transport.IncarnationID, _ bool) bool { return !alive[incarnation] })
+	return remaining > 0
 }
 
-// beat says what is new, weighs what was heard, and gives what to pass on.
-func (f *Fleet) beat() (reports []judged.Report, parts map[policy.ServerID]float64, changed bool) {
-	f.books.Lock()
-	defer f.books.Unlock()
+// updateReports adds the node's own reports to the table and assesses all reports. It returns the reports to send, the
+// remaining fractions of the weights of servers, and whether these have changed.
+func (f *Fleet) updateReports() (reports []judged.Report, fractions map[policy.ServerID]float64, changed bool) {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
 	now := f.clock.Now()
 	f.mu.Lock()
-	for _, server := range f.anew {
-		f.book.ServerRestarted(now, server)
+	for _, server := range f.restarted {
+		f.table.ServerRestarted(now, server)
 	}
-	f.anew = f.anew[:0]
-	news, ids := f.own.DueReports(now, f.number, f.book), slices.Clone(f.ids)
+	f.restarted = f.restarted[:0]
+	ownReports := f.detector.DueReports(now, f.nodeNumber, f.table)
+	readyServers := slices.Clone(f.readyServers)
 	f.mu.Unlock()
-	for _, r := range news {
-		f.book.AddOwn(now, r)
+	for _, report := range ownReports {
+		f.table.AddOwn(now, report)
 	}
-	f.book.Expire(now)
-	weights := judged.WeightReductions(now, ids, f.book, f.finding)
-	parts, changed = f.compare(weights)
-	f.weights = weights
-	reports = f.book.ReportsToSend(now, passOn, judged.MaxReports(transport.MaxPayload))
-	return reports, parts, changed
+	f.table.Expire(now)
+	reductions := judged.WeightReductions(now, readyServers, f.table, f.ownCondition)
+	fractions, changed = f.compareReductions(reductions)
+	f.reductions = reductions
+	reports = f.table.ReportsToSend(now, sendsPerReport, judged.MaxReports(transport.MaxPayload))
+	return reports, fractions, changed
 }
 
-// finding is the node's own on a server.
-func (f *Fleet) finding(now policy.Micros, server policy.ServerID) (judged.Condition, policy.Micros) {
+// ownCondition is LocalDetector.Condition under the lock.
+func (f *Fleet) ownCondition(now policy.Micros, server policy.ServerID) (judged.Condition, policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own.Condition(now, server)
+	return f.detector.Condition(now, server)
 }
 
-// compare says whether parts have changed, and logs what an operator acts on: a server that goes out of use by what others
-// say, and one that is back.
-func (f *Fleet) compare(weights []judged.WeightReduction) (parts map[policy.ServerID]float64, changed bool) {
-	before := make(map[policy.ServerID]judged.WeightReduction, len(f.weights))
-	for _, w := range f.weights {
-		before[w.Server] = w
+// compareReductions returns the remaining fractions of the weights of servers, and whether they differ from the present ones.
+// It logs what an operator acts on: servers that peers report in a new condition, and servers whose weight is restored.
+func (f *Fleet) compareReductions(reductions []judged.WeightReduction) (fractions map[policy.ServerID]float64, changed bool) {
+	previous := make(map[policy.ServerID]judged.WeightReduction, len(f.reductions))
+	for _, reduction := range f.reductions {
+		previous[reduction.Server] = reduction
 	}
-	parts = make(map[policy.ServerID]float64, len(weights))
-	for _, w := range weights {
-		parts[w.Server] = w.RemainingFraction
-		was, known := before[w.Server]
-		changed = changed || !known || was.RemainingFraction != w.RemainingFraction
-		if !known || was.Condition != w.Condition {
-			f.log.Info().Str("server", name(w.Server)).Stringer("ill", w.Condition).Int("witnesses", w.UnhealthyReporters).Int("against", w.HealthyReporters).
-				Bool("own zone", w.OwnZoneOnly).Int64("since_ms", int64(f.clock.Now()-w.Since)/1000).Msg("others find a server bad")
+	fractions = make(map[policy.ServerID]float64, len(reductions))
+	for _, reduction := range reductions {
+		fractions[reduction.Server] = reduction.RemainingFraction
+		before, known := previous[reduction.Server]
+		changed = changed || !known || before.RemainingFraction != reduction.RemainingFraction
+		if !known || before.Condition != reduction.Condition {
+			f.log.Info().Str("server", serverName(reduction.Server)).Stringer("ill", reduction.Condition).
+				Int("witnesses", reduction.UnhealthyReporters).Int("against", reduction.HealthyReporters).
+				Bool("own zone", reduction.OwnZoneOnly).Int64("since_ms", int64(f.clock.Now()-reduction.Since)/1000).Msg("others find a server bad")
 		}
-		delete(before, w.Server)
+		delete(previous, reduction.Server)
 	}
-	for server := range before {
+	for server := range previous {
 		changed = true
-		f.log.Info().Str("server", name(server)).Msg("others' finding on a server is let go")
+		f.log.Info().Str("server", serverName(server)).Msg("others' finding on a server is let go")
 	}
-	return parts, changed
+	return fractions, changed
 }
 
-func name(s policy.ServerID) string { return fmt.Sprintf("%012x", uint64(s)) }
+func serverName(server policy.ServerID) string { return fmt.Sprintf("%012x", uint64(server)) }
