--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet connects a node with the other nodes of its fleet. It wires together the transport, the membership, the messages
-// between decision modules and the exchange of reports on servers. No op waits for anything in this package, and what peers
-// report is advice only.
+// Package fleet connects a node with the other nodes of its fleet. It wires together the transport, the membership, the
+// messages between decision modules and the exchange of reports on servers. No op waits for anything in this package, and what
+// peers report is advice only.
 package fleet
 
 import (
@@ -191,35 +191,36 @@
 	return owner.Addr, known
 }
 
-// Tell sends a message to the node that owns a number. It implements node.Peers.
+// Send sends a message to the node that owns a number. It implements node.Peers.
 func (f *Fleet) Tell(number int, message node.Word) {
 	if f.messenger != nil {
 		f.messenger.Send(number, message)
 	}
 }
 
-// Sent records that a push was sent. It implements node.Peers.
+// PushSent records that a push was sent. It implements node.Peers.
 func (f *Fleet) Sent(server policy.ServerID, category policy.CategoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.PushSent(f.clock.Now(), server, category)
 }
 
-// Ended records the outcome of a push and the time it took. It implements node.Peers.
+// PushEnded records the outcome of a push and the time it took. It implements node.Peers.
 func (f *Fleet) Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.PushEnded(f.clock.Now(), server, category, outcome, took)
 }
 
-// Follow sets the list of servers. It implements node.Peers.
+// ListChanged sets the list of servers. It implements node.Peers.
 func (f *Fleet) Follow(list []policy.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
 	f.detector.SetServers(f.list, func(server policy.ServerID) policy.Micros { return f.startedAt[server] })
 	for _, entry := range f.list {
-		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.Judged { // without reports no tick empties f.restarted
+		// Without the exchange of reports, no tick would empty f.restarted.
+		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.Judged {
 			f.restarted = append(f.restarted, entry.Server)
 		}
 	}
@@ -283,8 +284,8 @@
 }
 
 // welcomeNewcomers sends all reports, youngest first and as many as fit into one datagram, to at most maxNewcomersPerTick
-// peers that are not in welcomed, and adds them to it. It removes members that are gone from welcomed, and reports
-// whether all peers are in it: false also when the limit was reached exactly, which the next tick corrects.
+// peers that are not in welcomed, and adds them to it. It removes members that are gone from welcomed, and reports whether all
+// peers are in it. It returns false also if it has added the last missing ones at the limit; the next tick corrects that.
 func (f *Fleet) welcomeNewcomers(peers []members.Member, welcomed map[transport.IncarnationID]bool, payload []byte) bool {
 	alive := make(map[transport.IncarnationID]bool, len(peers))
 	remaining := maxNewcomersPerTick
--- a/internal/fleet/judged/local_detector.go
+++ b/internal/fleet/judged/local_detector.go
@@ -65,7 +65,7 @@
 // push allocates no memory.
 type LocalDetector struct {
 	servers        map[policy.ServerID]*ServerEvidence
-	typicalLatency []float64 // moving average of the answer time of each category, in microseconds
+	typicalLatency []float64 // of each category: moving average over about 64 answer times, in microseconds
 }
 
 // NewLocalDetector returns a detector that knows no servers yet.
@@ -207,8 +207,8 @@
 	return Healthy
 }
 
-// Condition returns the condition of a server by the node's own evidence, and the time of the last answer from it. Without
-// evidence younger than ownEvidenceMaxAge it returns Healthy and 0.
+// Condition returns the condition of a server by the node's own evidence, and the time of the last answer from it. If no push
+// to the server is overdue and none has ended in the last two seconds (ownEvidenceMaxAge), it returns Healthy and 0.
 func (d *LocalDetector) Condition(now policy.Micros, server policy.ServerID) (condition Condition, answeredAt policy.Micros) {
 	e := d.servers[server]
 	if e == nil || e.overdueSince(now) == 0 && (e.lastEnd == 0 || now-e.lastEnd > ownEvidenceMaxAge) {
--- a/internal/fleet/judged/outlier_test.go
+++ b/internal/fleet/judged/outlier_test.go
@@ -13,7 +13,7 @@
 
 const now = 100 * policy.Second
 
-var seeds = flag.Int("seeds", 150, "simulated fleets")
+var seeds = flag.Int("seeds", 150, "number of simulated fleets")
 
 // drawReports draws reports as a few reporters may have made them: for one reporter, server and sequence number there is a
 // single report, in copies of several ages.
--- a/internal/fleet/judged/report_table.go
+++ b/internal/fleet/judged/report_table.go
@@ -41,7 +41,7 @@
 // ReporterID identifies one incarnation of a node.
 type ReporterID uint64
 
-// Report is what one node reports on one server. It replaces reports of the same reporter with a lower sequence number.
+// Report is what one node reports on one server. It replaces the reporter's earlier reports on the same server.
 type Report struct {
 	Server     policy.ServerID
 	Reporter   ReporterID
@@ -236,9 +236,9 @@
 	return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Reporter, b.Reporter))
 }
 
-// ReportedUnhealthy reports whether two peers or more report a server in a condition that ejects it. Only then does a node that finds the
-// server healthy say so: a report on every answer that is late for one node only would fill the network while nothing is
-// wrong.
+// ReportedUnhealthy reports whether at least two peers report a server in a condition that ejects it. Only then does a node
+// that finds the server healthy report that: a report for every answer that is late for one node only would fill the network
+// while nothing is wrong.
 func (t *ReportTable) ReportedUnhealthy(now policy.Micros, server policy.ServerID) bool {
 	firstNode := uint16(0)
 	found := false
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -113,8 +113,9 @@
 	return m, nil
 }
 
-// ExchangeInterval returns how often each node of a fleet exchanges its full state with another: baseExchangeInterval up to 32 nodes, and
-// as much again for each doubling beyond, as memberlist scales it. Mean traffic figures are taken over whole intervals.
+// ExchangeInterval returns the time between two state exchanges of a node in a fleet of the given size: five seconds
+// (baseExchangeInterval) up to 32 nodes, and as much again for each doubling beyond, as memberlist scales it. Mean traffic
+// figures are taken over whole intervals.
 func ExchangeInterval(nodes int) time.Duration {
 	scale := 1.0
 	if nodes > 32 {
@@ -124,13 +125,14 @@
 }
 
 // Leave announces to the other members that the node leaves. It waits until the announcement has been sent, but no longer
-// than leaveTimeout for each of its steps.
+// than leaveTimeout for each of its three steps.
 func (m *Members) Leave() {
 	m.leaveOnce.Do(func() {
 		m.leaving.Store(true)
 		broadcast := &leaveBroadcast{incarnation: m.options.Self.Incarnation, sent: make(chan struct{})}
 		m.leaveBroadcasts.QueueBroadcast(broadcast)
-		if err := m.gossip.UpdateNode(m.clock.Real(leaveTimeout)); err != nil { // for members of versions without leave messages, which read the metadata
+		// Members of versions without leave messages read the announcement from the metadata.
+		if err := m.gossip.UpdateNode(m.clock.Real(leaveTimeout)); err != nil {
 			m.log.Debug().Err(err).Msg("updated metadata did not reach all members before leaving")
 		}
 		if err := m.gossip.Leave(m.clock.Real(leaveTimeout)); err != nil {
@@ -143,7 +145,7 @@
 	})
 }
 
-// Close stops taking part, after Leave or without an announcement.
+// Close ends the membership protocol. Without a Leave before, the other members find the node dead.
 func (m *Members) Close() {
 	close(m.done)
 	m.gossip.Shutdown()
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -85,7 +85,8 @@
 	}
 	a.waitForState(t, "b", "dead")
 	c.waitForState(t, "b", "dead")
-	(delegate{a}).NotifyMsg((&leaveBroadcast{incarnation: b.options.Self.Incarnation}).Message()) // only a receives the message from b
+	// Only a receives the message of b.
+	(delegate{a}).NotifyMsg((&leaveBroadcast{incarnation: b.options.Self.Incarnation}).Message())
 	a.waitForState(t, "b", "left")
 	c.waitForState(t, "b", "left")
 	for a.leaveBroadcasts.NumQueued()+c.leaveBroadcasts.NumQueued() > 0 {
--- a/internal/fleet/members/table.go
+++ b/internal/fleet/members/table.go
@@ -122,7 +122,7 @@
 		}
 		known = &Member{}
 		t.members[m.Incarnation] = known
-		known.State = Dead
+		known.State = Dead // so that the member counts as arriving below
 	}
 	before := *known
 	m.joinOrder = before.joinOrder
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -146,8 +146,9 @@
 // baselineInterval is the time over which the shortest delay is determined.
 const baselineInterval = 15 * time.Second
 
-// first reports whether a frame arrives for the first time. The network may duplicate and reorder frames.
-func (s *senderState) first(sequence uint32) bool {
+// isFirstArrival reports whether a frame arrives for the first time, and records it. The network may duplicate and reorder
+// frames.
+func (s *senderState) isFirstArrival(sequence uint32) bool {
 	bit := func(n uint32) (*uint64, uint64) { return &s.seen[n/64%(reorderWindow/64)], 1 << (n % 64) }
 	ahead := int32(sequence - s.highest)
 	switch {
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -32,7 +32,7 @@
 	SlowdownFactor    int // stretches all times here, for tests in which many nodes share few cores; 0: none
 }
 
-// Counts says what has become of frames and streams so far.
+// Counts counts frames and streams by what has become of them.
 type Counts struct {
 	Sent             int64 `json:"sent"`
 	SentBytes        int64 `json:"sent_bytes"`
@@ -76,7 +76,8 @@
 // Handler handles a frame. It must not block. late is how much longer the frame took than the sender's fastest one of late.
 type Handler func(from netip.AddrPort, frame *Frame, late time.Duration)
 
-// Transport is a node's port for traffic with other nodes. A single goroutine receives frames; any goroutine may send.
+// Transport is a node's port for traffic with other nodes. A single goroutine receives frames and calls the handlers; any
+// goroutine may send.
 type Transport struct {
 	options      Options
 	checksumSeed uint64
@@ -148,7 +149,7 @@
 	t.running.Wait()
 }
 
-// Counts returns what has become of frames and streams so far.
+// Counts returns the present counts.
 func (t *Transport) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,7 +246,7 @@
 	default:
 		now := t.now()
 		sender := t.sender(frame.Incarnation)
-		if accepted = sender.first(frame.Sequence); accepted {
+		if accepted = sender.isFirstArrival(frame.Sequence); accepted {
 			late = sender.lateness(now, frame.SentMs)
 		} else {
 			t.counts.Duplicates++
@@ -296,7 +297,8 @@
 			select {
 			case <-t.done:
 				return
-			case <-time.After(10 * time.Millisecond): // without the delay, the loop would spin when the process has no free file descriptor
+			case <-time.After(10 * time.Millisecond):
+				// Without the delay, the loop would spin while the process has no free file descriptor.
 			}
 			if errors.Is(err, net.ErrClosed) {
 				return
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -79,8 +79,8 @@
 			if highest >= 0 && step <= highest-reorderWindow {
 				want = false
 			}
-			if got := sender.first(sequence); got != want {
-				t.Fatalf("sequence number start+%d: first returns %v", step, got)
+			if got := sender.isFirstArrival(sequence); got != want {
+				t.Fatalf("sequence number start+%d: isFirstArrival returns %v", step, got)
 			}
 			seen[sequence] = true
 			highest = max(highest, step)
--- a/internal/fleet/words/messenger.go
+++ b/internal/fleet/words/messenger.go
@@ -14,8 +14,8 @@
 const (
 	// batchDelay is how long a message may wait for others to the same node.
 	batchDelay = 10 * time.Millisecond
-	// maxDelay is the age beyond which messages are dropped. They describe what was counted over two seconds, and a process that
-	// was suspended would otherwise resume with outdated ones, its own and those waiting in its socket.
+	// maxDelay is the age beyond which messages are dropped. They describe what was counted over two seconds, and a process
+	// that was suspended would otherwise resume with outdated ones, its own and those waiting in its socket.
 	maxDelay = 500 * time.Millisecond
 	// maxQueued is the number of messages that wait for one node; beyond that the oldest are dropped.
 	maxQueued = 64
@@ -26,7 +26,7 @@
 	formatVersion = 1
 )
 
-// Counts says what has become of messages so far.
+// Counts counts messages by what has become of them.
 type Counts struct {
 	Submitted     int64 `json:"told"`    // by this node's module
 	Sent          int64 `json:"sent"`    // to the owner of the number
@@ -62,8 +62,8 @@
 	counts      Counts
 }
 
-// Start starts a messenger on t. The function owner returns the address of the node that owns a number. The function deliver takes the
-// messages of a received datagram, one after another, and returns false if it has no capacity for them.
+// Start starts a messenger on t. The function owner returns the address of the node that owns a number. The function deliver
+// takes the messages of a received datagram, as one byte slice, and returns false if it has no capacity for them.
 func Start(t *transport.Transport, owner func(int) (netip.AddrPort, bool), deliver func([]byte) bool) *Messenger {
 	m := &Messenger{transport: t, owner: owner, deliver: deliver, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	t.Handle(transport.PeerMessages, m.receive)
@@ -71,13 +71,13 @@
 	return m
 }
 
-// Close stops sending and waits until it has ended.
+// Close stops sending, drops the messages still queued, and waits for the sending goroutine to end.
 func (m *Messenger) Close() {
 	close(m.done)
 	m.running.Wait()
 }
 
-// Counts returns what has become of messages so far.
+// Counts returns the present counts.
 func (m *Messenger) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
