--- a/internal/fleet/judged/report_table.go
+++ b/internal/fleet/judged/report_table.go
@@ -98,7 +98,7 @@
 	zone        uint8
 	servers     map[policy.ServerID][]storedReport // at most one report of each reporter
 	restartedAt map[policy.ServerID]policy.Micros
-	now         policy.Micros
+	now         policy.Micros // of the latest call
 }
 
 // NewReportTable returns an empty table for one incarnation of a node in the given zone.
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -25,8 +25,8 @@
 
 // Options describe the node's end of the transport.
 type Options struct {
-	Fleet             string // name that all nodes of a fleet share
-	Listen, Advertise netip.AddrPort
+	Fleet             string         // name that all nodes of a fleet share
+	Listen, Advertise netip.AddrPort // where the node listens, and where other nodes reach it
 	Incarnation       IncarnationID
 	MaxBytesPerSecond int // of datagrams sent; those beyond are dropped
 	SlowdownFactor    int // stretches all times here, for tests in which many nodes share few cores; 0: none
