--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -78,10 +78,10 @@
 // StartWithRetention is Start with another retention of departed members, 0 for the default: tests of long network partitions
 // cannot take hours. All delays follow the clock, which may be slowed down.
 func StartWithRetention(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, departedRetention time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, nodeNumber: uint16(c.Rules.Place.Number), done: make(chan struct{}),
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, nodeNumber: uint16(c.Rules.Topology.Number), done: make(chan struct{}),
 		startedAt: make(map[policy.ServerID]policy.Micros)}
 	incarnation := transport.IncarnationID(rand.Uint64()) // not from the configured seed, which a restarted process has again
-	zone := uint8(c.Rules.Place.Zone)
+	zone := uint8(c.Rules.Topology.Zone)
 	f.table = judged.NewReportTable(judged.ReporterID(incarnation), zone)
 	f.detector = judged.NewLocalDetector()
 	var err error
@@ -90,28 +90,28 @@
 		Listen:            c.Fleet.Listen,
 		Advertise:         c.Fleet.Advertise,
 		Incarnation:       incarnation,
-		MaxBytesPerSecond: c.Fleet.Pace,
+		MaxBytesPerSecond: c.Fleet.MaxBytesPerSecond,
 		SlowdownFactor:    int(clock.Real(1)),
 	}, log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
 	}
-	if c.Fleet.Control != "" {
-		if f.control, err = listenControl(c.Fleet.Control, f); err != nil {
+	if c.Fleet.ControlSocket != "" {
+		if f.control, err = listenControl(c.Fleet.ControlSocket, f); err != nil {
 			f.transport.Close()
 			return nil, fmt.Errorf("key fleet.control: %w", err)
 		}
 	}
-	if c.Fleet.Judged {
+	if c.Fleet.OutlierReports {
 		f.transport.Handle(transport.ServerReports, f.receiveReports)
 	}
-	if c.Fleet.Words && c.Rules.Place.Peers {
+	if c.Fleet.PeerMessages && c.Rules.Topology.Peers {
 		f.messenger = words.Start(f.transport, f.ownerAddr, n.Said)
 	}
-	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
+	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Topology.Number, Addr: c.Fleet.Advertise}
 	f.members, err = members.Start(members.Options{
 		Self:              self,
-		FleetSize:         c.Rules.Place.Nodes,
+		FleetSize:         c.Rules.Topology.Nodes,
 		JoinAddrs:         c.Fleet.Join,
 		RandomSeed:        c.Seed,
 		DepartedRetention: departedRetention,
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	f.transport.Run()
-	if c.Fleet.Judged {
+	if c.Fleet.OutlierReports {
 		f.running.Go(f.reportLoop)
 	}
 	n.Peer(f)
@@ -129,7 +129,7 @@
 		f.control.serve()
 	}
 	log.Info().Str("listen", c.Fleet.Listen.String()).Str("advertise", c.Fleet.Advertise.String()).Str("life", fmt.Sprintf("%016x", uint64(incarnation))).
-		Bool("words", f.messenger != nil).Bool("judged", c.Fleet.Judged).Msg("the node hears others")
+		Bool("words", f.messenger != nil).Bool("judged", c.Fleet.OutlierReports).Msg("the node hears others")
 	return f, nil
 }
 
@@ -220,7 +220,7 @@
 	f.detector.SetServers(f.list, func(server policy.ServerID) policy.Micros { return f.startedAt[server] })
 	for _, entry := range f.list {
 		// Without the exchange of reports, no tick would empty f.restarted.
-		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.Judged {
+		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.OutlierReports {
 			f.restarted = append(f.restarted, entry.Server)
 		}
 	}
