--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -26,10 +26,10 @@
 	if err != nil {
 		return err
 	}
-	if c.Fleet == nil || c.Fleet.Control == "" {
+	if c.Fleet == nil || c.Fleet.ControlSocket == "" {
 		return errors.New("config: key fleet.control is left out: the node has no socket to be asked by")
 	}
-	view, err := fleet.Ask(context.Background(), c.Fleet.Control)
+	view, err := fleet.Ask(context.Background(), c.Fleet.ControlSocket)
 	if err != nil {
 		return fmt.Errorf("the node does not answer: %w", err)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -75,39 +75,39 @@
 // StartKeeping is Start, where members that are gone are kept for another time than usual: a test of long cuts has no hours. All
 // waits here are by the clock, which may be slowed.
 func StartKeeping(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, keep time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Place.Number), done: make(chan struct{}),
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Topology.Number), done: make(chan struct{}),
 		started: make(map[policy.ServerID]policy.Micros)}
 	life := transport.LifeID(rand.Uint64()) // Danger: not from the seed, which a process that is back has again
-	zone := uint8(c.Rules.Place.Zone)
+	zone := uint8(c.Rules.Topology.Zone)
 	f.book, f.own = judged.NewBook(judged.SourceID(life), zone), judged.NewLog()
 	var err error
-	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Life: life, Pace: c.Fleet.Pace,
+	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Life: life, Pace: c.Fleet.MaxBytesPerSecond,
 		Slow: int(clock.Real(1))},
 		log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
 	}
-	if c.Fleet.Control != "" {
-		if f.control, err = listen(c.Fleet.Control, f); err != nil {
+	if c.Fleet.ControlSocket != "" {
+		if f.control, err = listen(c.Fleet.ControlSocket, f); err != nil {
 			f.transport.Close()
 			return nil, fmt.Errorf("key fleet.control: %w", err)
 		}
 	}
-	if c.Fleet.Judged {
+	if c.Fleet.OutlierReports {
 		f.transport.Handle(transport.Judgements, f.hear)
 	}
-	if c.Fleet.Words && c.Rules.Place.Peers {
+	if c.Fleet.PeerMessages && c.Rules.Topology.Peers {
 		f.words = words.Start(f.transport, f.holder, n.Said)
 	}
-	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
-	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Place.Nodes, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
+	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Topology.Number, Addr: c.Fleet.Advertise}
+	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Topology.Nodes, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
 		log.With().Str("part", "members").Logger())
 	if err != nil {
 		f.end()
 		return nil, err
 	}
 	f.transport.Run()
-	if c.Fleet.Judged {
+	if c.Fleet.OutlierReports {
 		f.over.Go(f.judge)
 	}
 	n.Peer(f)
@@ -115,7 +115,7 @@
 		f.control.serve()
 	}
 	log.Info().Str("listen", c.Fleet.Listen.String()).Str("advertise", c.Fleet.Advertise.String()).Str("life", fmt.Sprintf("%016x", uint64(life))).
-		Bool("words", f.words != nil).Bool("judged", c.Fleet.Judged).Msg("the node hears others")
+		Bool("words", f.words != nil).Bool("judged", c.Fleet.OutlierReports).Msg("the node hears others")
 	return f, nil
 }
 
@@ -201,7 +201,7 @@
 	f.list = append(f.list[:0], list...)
 	f.own.Follow(f.list, func(s policy.ServerID) policy.Micros { return f.started[s] })
 	for _, e := range f.list {
-		if was, known := f.started[e.Server]; known && was != e.Started && f.config.Judged { // else no beat takes them
+		if was, known := f.started[e.Server]; known && was != e.Started && f.config.OutlierReports { // else no beat takes them
 			f.anew = append(f.anew, e.Server)
 		}
 	}
--- a/internal/serve/others.go
+++ b/internal/serve/others.go
@@ -17,7 +17,7 @@
 }
 
 // canHear says whether modules have a way to tell each other.
-func canHear(c *config.Config) bool { return c.Fleet != nil && c.Fleet.Words }
+func canHear(c *config.Config) bool { return c.Fleet != nil && c.Fleet.PeerMessages }
 
 // hearOthers begins to hear others, if the configuration says so.
 func (r *running) hearOthers(c *config.Config) (err error) {
