--- a/cmd/canvasrouter/commands.go
+++ b/cmd/canvasrouter/commands.go
@@ -13,7 +13,7 @@
 	"canvasrouter/internal/serve"
 )
 
-type commands struct {
+type commandLine struct {
 	Serve   serveCommand   `cmd:"" help:"Run a node until SIGTERM, as the program does without arguments."`
 	Check   checkCommand   `cmd:"" help:"Read a configuration and say what is wrong with it."`
 	Explain explainCommand `cmd:"" help:"Say in words what a configuration means."`
@@ -25,8 +25,8 @@
 }
 
 // command runs what the arguments name.
-func command() {
-	var c commands
+func runCommandLine() {
+	var c commandLine
 	parser := kong.Must(&c, kong.Name("canvasrouter"), kong.UsageOnError(),
 		kong.Description("A load balancer for services that call services."))
 	context, err := parser.Parse(os.Args[1:])
@@ -38,7 +38,7 @@
 }
 
 // environment gives the file in place of NODE_CONFIG, and the rest as it is.
-func environment(file string) func(string) string {
+func environmentWithConfig(file string) func(string) string {
 	return func(key string) string {
 		if key == "NODE_CONFIG" && file != "" {
 			return file
@@ -52,7 +52,7 @@
 }
 
 func (s *serveCommand) Run() error {
-	os.Exit(serve.Main(serve.Options{Getenv: environment(s.File)}))
+	os.Exit(serve.Main(serve.Options{Getenv: environmentWithConfig(s.File)}))
 	return nil
 }
 
@@ -61,11 +61,11 @@
 }
 
 func (c *checkCommand) Run() error {
-	got, err := config.Load(environment(c.File))
+	loaded, err := config.Load(environmentWithConfig(c.File))
 	if err != nil {
 		return err
 	}
-	if err := serve.CheckConfig(got); err != nil {
+	if err := serve.CheckConfig(loaded); err != nil {
 		return err
 	}
 	fmt.Printf("%s: no fault found\n", c.File)
@@ -77,7 +77,7 @@
 }
 
 func (e *explainCommand) Run() error {
-	c, err := config.Load(environment(e.File))
+	c, err := config.Load(environmentWithConfig(e.File))
 	if err != nil {
 		return err
 	}
--- a/cmd/canvasrouter/deploy_test.go
+++ b/cmd/canvasrouter/deploy_test.go
@@ -53,7 +53,7 @@
 }
 
 // The platform's build links nothing of what nodes hear each other by, nor its libraries.
-func TestPlatformHearsNobody(t *testing.T) {
+func TestPlatformBuildDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-tags", "platform", "canvasrouter/cmd/canvasrouter").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
--- a/cmd/canvasrouter/gone_test.go
+++ b/cmd/canvasrouter/disconnect_test.go
@@ -19,22 +19,22 @@
 )
 
 // goneBy is half of the 0.1 s after which an attempt for a client that has gone is a break of the rules.
-const goneBy = 50 * time.Millisecond
+const disconnectDeadline = 50 * time.Millisecond
 
 // arrivals are the pushes that stand-in servers have had the last byte of, by id.
-type arrivals struct {
-	mu sync.Mutex
-	at map[string][]time.Time
+type pushLog struct {
+	mu   sync.Mutex
+	byID map[string][]time.Time
 }
 
-func (a *arrivals) note(id string) {
+func (a *pushLog) record(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.at[id] = append(a.at[id], time.Now())
+	a.byID[id] = append(a.byID[id], time.Now())
 }
 
 // resetting is a server that notes each request, and answers it or resets its connection, as hold says.
-func (a *arrivals) resetting(t *testing.T, hold func(id string) (answer bool)) (addr string) {
+func (a *pushLog) startServer(t *testing.T, hold func(id string) (answer bool)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 					return
 				}
 				id := q.Header.Get("X-Txn")
-				a.note(id)
+				a.record(id)
 				if hold(id) {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine")
 					return
@@ -67,9 +67,9 @@
 }
 
 // known puts servers into a configuration, in place of the one that the example knows.
-func (p *process) known(t *testing.T, addrs ...string) {
+func (p *process) setCachedServers(t *testing.T, addrs ...string) {
 	t.Helper()
-	raw, err := os.ReadFile(p.config)
+	raw, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,31 +84,31 @@
 	}
 	all["known"].(map[string]any)["instances"] = instances
 	if raw, err = json.Marshal(all); err == nil {
-		err = os.WriteFile(p.config, raw, 0o600)
+		err = os.WriteFile(p.configPath, raw, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func lookup(id string) string {
+func checkoutRequest(id string) string {
 	return fmt.Sprintf("GET /checkout/%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining-Ms: 2500\r\n\r\n", id, id)
 }
 
 // leave closes a client's connection: with an end, or with a reset.
-func leave(c net.Conn, reset bool) time.Time {
+func disconnect(conn net.Conn, reset bool) time.Time {
 	if reset {
-		c.(*net.TCPConn).SetLinger(0)
+		conn.(*net.TCPConn).SetLinger(0)
 	}
-	at := time.Now()
-	c.Close()
-	return at
+	closedAt := time.Now()
+	conn.Close()
+	return closedAt
 }
 
 // Some hundred clients leave at any moment, with and without bytes behind their request that nobody reads, while servers reset
 // what they get and the node pushes again and again. No push begins later after the close than half of what is allowed.
-func TestGoneOnSockets(t *testing.T) {
-	got := &arrivals{at: make(map[string][]time.Time)}
+func TestNoPushAfterDisconnect(t *testing.T) {
+	got := &pushLog{byID: make(map[string][]time.Time)}
 	var gone sync.Map // closed when an id's client leaves
 	wait := func(id string) bool {
 		if rand.IntN(2) == 0 {
@@ -116,7 +116,7 @@
 		}
 		if at, known := gone.Load(id); known && rand.IntN(4) > 0 {
 			<-at.(chan struct{})
-			time.Sleep(goneBy + time.Duration(rand.IntN(45))*time.Millisecond) // nobody may have noticed yet
+			time.Sleep(disconnectDeadline + time.Duration(rand.IntN(45))*time.Millisecond) // nobody may have noticed yet
 			return false
 		}
 		time.Sleep(time.Duration(rand.IntN(60)) * time.Millisecond)
@@ -124,10 +124,10 @@
 	}
 	var addrs []string
 	for range 6 {
-		addrs = append(addrs, got.resetting(t, wait))
+		addrs = append(addrs, got.startServer(t, wait))
 	}
-	addr := free(t)
-	start(t, func(p *process) { p.known(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", free(t))
+	addr := freeAddr(t)
+	startNode(t, func(p *process) { p.setCachedServers(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t))
 	awaitReady(t, addr)
 	const clients, ops = 16, 25
 	var all sync.WaitGroup
@@ -145,13 +145,13 @@
 					t.Error(err)
 					return
 				}
-				io.WriteString(c, lookup(id))
+				io.WriteString(c, checkoutRequest(id))
 				if i%4 > 0 {
 					time.Sleep(time.Millisecond)
 					io.WriteString(c, "G") // the library reads it, and no further
 				}
 				time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
-				at := leave(c, i%3 == 0)
+				at := disconnect(c, i%3 == 0)
 				close(left)
 				mu.Lock()
 				closed[id] = at
@@ -166,8 +166,8 @@
 	defer got.mu.Unlock()
 	worst, pushes, after := time.Duration(0), 0, 0
 	for id, at := range closed {
-		pushes += len(got.at[id])
-		for _, push := range got.at[id] {
+		pushes += len(got.byID[id])
+		for _, push := range got.byID[id] {
 			if over := push.Sub(at); over > 0 {
 				after++
 				worst = max(worst, over)
@@ -178,7 +178,7 @@
 	if pushes < clients*ops/2 {
 		t.Errorf("only %d pushes", pushes)
 	}
-	if worst > goneBy+late {
+	if worst > disconnectDeadline+late {
 		t.Errorf("a push came %v after its client's close", worst)
 	}
 }
@@ -186,8 +186,8 @@
 // The node is stopped with pushes out; their servers reset them, their clients leave, and it goes on 70 ms later. All that it
 // finds then it finds together, and nobody has noticed yet who left: no further push may begin. Each third round clients leave whole
 // requests behind that the node has not read.
-func TestGoneWhileStopped(t *testing.T) {
-	got := &arrivals{at: make(map[string][]time.Time)}
+func TestNoPushAfterDisconnectWhilePaused(t *testing.T) {
+	got := &pushLog{byID: make(map[string][]time.Time)}
 	var mu sync.Mutex
 	resets := make(chan struct{})
 	hold := func(id string) bool {
@@ -202,17 +202,17 @@
 	}
 	var addrs []string
 	for range 6 {
-		addrs = append(addrs, got.resetting(t, hold))
+		addrs = append(addrs, got.startServer(t, hold))
 	}
 	defer func() { close(resets) }()
-	addr := free(t)
-	p := start(t, func(p *process) { p.known(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", free(t))
+	addr := freeAddr(t)
+	p := startNode(t, func(p *process) { p.setCachedServers(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t))
 	awaitReady(t, addr)
 	const rounds, each = 20, 6
 	pushed := func() (n int) {
 		got.mu.Lock()
 		defer got.mu.Unlock()
-		for _, at := range got.at {
+		for _, at := range got.byID {
 			n += len(at)
 		}
 		return n
@@ -221,8 +221,8 @@
 	for round := range rounds {
 		for i := range 3 * len(addrs) { // or the node would think that all servers are down
 			well := dialRaw(t, addr)
-			well.send(lookup(fmt.Sprintf("well-%d-%d", round, i)))
-			well.answer()
+			well.send(checkoutRequest(fmt.Sprintf("well-%d-%d", round, i)))
+			well.readAnswer()
 			well.Close()
 		}
 		before := pushed()
@@ -233,7 +233,7 @@
 				t.Fatal(err)
 			}
 			conns[i] = c
-			io.WriteString(c, lookup(fmt.Sprintf("%d-%d", round, i)))
+			io.WriteString(c, checkoutRequest(fmt.Sprintf("%d-%d", round, i)))
 		}
 		for begun := time.Now(); pushed() < before+each && time.Since(begun) < time.Second/2; {
 			time.Sleep(time.Millisecond)
@@ -242,14 +242,14 @@
 			io.WriteString(c, "G")
 		}
 		time.Sleep(20 * time.Millisecond) // the library reads no further
-		p.hold(t)
+		p.pause(t)
 		out := pushed()
 		mu.Lock()
 		close(resets)
 		resets = make(chan struct{})
 		mu.Unlock()
 		for i, c := range conns {
-			leave(c, i%2 == 0)
+			disconnect(c, i%2 == 0)
 		}
 		if round%3 == 0 { // nobody has read these
 			for i := range each {
@@ -257,8 +257,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(c, lookup(fmt.Sprintf("%d-unread-%d", round, i)))
-				leave(c, i%2 == 0)
+				io.WriteString(c, checkoutRequest(fmt.Sprintf("%d-unread-%d", round, i)))
+				disconnect(c, i%2 == 0)
 			}
 		}
 		time.Sleep(70 * time.Millisecond)
--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -22,7 +22,7 @@
 }
 
 func (f *fleetCommand) Run() error {
-	c, err := config.Load(environment(f.File))
+	c, err := config.Load(environmentWithConfig(f.File))
 	if err != nil {
 		return err
 	}
@@ -43,43 +43,43 @@
 }
 
 // printView writes a view as a person reads it.
-func printView(w io.Writer, v *fleet.View) {
-	there := 1
-	for _, m := range v.Members {
-		if m.State == "alive" {
-			there++
+func printView(out io.Writer, view *fleet.View) {
+	aliveCount := 1
+	for _, member := range view.Members {
+		if member.State == "alive" {
+			aliveCount++
 		}
 	}
-	fmt.Fprintf(w, "fleet %s: node %s, number %d, life %s at %s; %d there\n", v.Fleet, v.Own.Name, v.Own.Number, v.Own.Life, v.Own.Addr, there)
-	for _, m := range v.Members {
-		fmt.Fprintf(w, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", m.Name, m.State, m.ForMs/1000, m.Number, m.Zone, m.Life, m.Addr)
+	fmt.Fprintf(out, "fleet %s: node %s, number %d, life %s at %s; %d there\n", view.Fleet, view.Own.Name, view.Own.Number, view.Own.Life, view.Own.Addr, aliveCount)
+	for _, member := range view.Members {
+		fmt.Fprintf(out, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", member.Name, member.State, member.ForMs/1000, member.Number, member.Zone, member.Life, member.Addr)
 	}
-	c := v.Ways
-	fmt.Fprintf(w, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
-		c.Sent, c.SentBytes, c.Got, c.GotBytes, c.Paced, c.Overrun, c.Spoilt, c.Doubled, c.Unknown)
-	fmt.Fprintf(w, "streams: %d, refused %d, with harm %d\n", c.Streams, c.Refused, c.Broken)
-	if s := v.Words; s != nil {
-		fmt.Fprintf(w, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
+	counts := view.Ways
+	fmt.Fprintf(out, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
+		counts.Sent, counts.SentBytes, counts.Got, counts.GotBytes, counts.Paced, counts.Overrun, counts.Spoilt, counts.Doubled, counts.Unknown)
+	fmt.Fprintf(out, "streams: %d, refused %d, with harm %d\n", counts.Streams, counts.Refused, counts.Broken)
+	if s := view.Words; s != nil {
+		fmt.Fprintf(out, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
 			s.Told, s.Sent, s.Heard, s.Pushed, s.Nobody, s.Paced, s.Stale, s.Foreign, s.Busy)
 	}
-	if s := v.Store; s != nil {
-		at := s.Replica
-		if at == "" {
-			at = "no replica"
+	if s := view.Store; s != nil {
+		replica := s.Replica
+		if replica == "" {
+			replica = "no replica"
 		}
-		fmt.Fprintf(w, "store: watches %s; runs %v of what it was told, %v\n", at, s.Runs, s.Told)
+		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, s.Runs, s.Told)
 		for _, key := range slices.Sorted(maps.Keys(s.Refused)) {
-			fmt.Fprintf(w, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Why)
+			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Why)
 		}
 	}
-	for _, s := range v.Servers {
-		own := s.Own
-		if own == "" {
-			own = "nothing fresh"
+	for _, s := range view.Servers {
+		ownCondition := s.Own
+		if ownCondition == "" {
+			ownCondition = "nothing fresh"
 		}
-		fmt.Fprintf(w, "server %s: others say %s, %.3f of its weight left; own finding %s\n", s.Server, s.Ill, s.Part, own)
-		for _, r := range s.Reports {
-			fmt.Fprintf(w, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", r.Ill, r.Node, r.Source, r.Zone, r.AgeMs/1000, r.SpanMs/1000)
+		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", s.Server, s.Ill, s.Part, ownCondition)
+		for _, report := range s.Reports {
+			fmt.Fprintf(out, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", report.Ill, report.Node, report.Source, report.Zone, report.AgeMs/1000, report.SpanMs/1000)
 		}
 	}
 }
--- a/cmd/canvasrouter/crowd_test.go
+++ b/cmd/canvasrouter/idle_clients_test.go
@@ -17,35 +17,35 @@
 )
 
 // crowd keeps so many connections open that say nothing, and opens another for each that is closed.
-func crowd(t *testing.T, addr string, size int) (shut *atomic.Int64) {
-	shut = &atomic.Int64{}
+func openIdleConnections(t *testing.T, addr string, size int) (closed *atomic.Int64) {
+	closed = &atomic.Int64{}
 	var all sync.WaitGroup
-	over := make(chan struct{})
+	stop := make(chan struct{})
 	for range size {
 		all.Go(func() {
 			for {
 				c, err := net.DialTimeout("tcp", addr, time.Second)
 				if err == nil {
-					go func() { <-over; c.Close() }()
+					go func() { <-stop; c.Close() }()
 					_, err = c.Read(make([]byte, 1))
-					shut.Add(1)
+					closed.Add(1)
 					c.Close()
 				}
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
 			}
 		})
 	}
-	t.Cleanup(func() { close(over); all.Wait() })
-	return shut
+	t.Cleanup(func() { close(stop); all.Wait() })
+	return closed
 }
 
 // Idle clients fill all the descriptors that a process may have, while the registry is down. At its return the node takes up
 // the list again and hears of a drain in time; ops are answered all the while, and SIGHUP is heard.
-func TestIdleCrowdWhileTheRegistryIsDown(t *testing.T) {
+func TestIdleCrowdWhileRegistryIsDown(t *testing.T) {
 	const sockets = 64
 	var kept, drained atomic.Int64
 	server := func(count *atomic.Int64) string {
@@ -62,13 +62,13 @@
 		return l.Addr().String()
 	}
 	stays, leaves := server(&kept), server(&drained)
-	registry, addr := free(t), free(t)
-	p := start(t, func(p *process) {
-		p.known(t, stays, leaves)
+	registry, addr := freeAddr(t), freeAddr(t)
+	p := startNode(t, func(p *process) {
+		p.setCachedServers(t, stays, leaves)
 		p.Path, p.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, os.Args[0])}
 	}, "127.0.0.1:8081", addr, "127.0.0.1:8500", registry, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
 	awaitReady(t, addr)
-	shut := crowd(t, addr, 4*sockets)
+	shut := openIdleConnections(t, addr, 4*sockets)
 	var answered, lost atomic.Int64
 	ask := func() {
 		c, err := net.DialTimeout("tcp", addr, time.Second)
@@ -77,8 +77,8 @@
 		}
 		r := dialRaw(t, addr)
 		c.Close()
-		r.send(lookup(fmt.Sprint("op-", time.Now().UnixNano())))
-		if got := r.answer(); strings.HasPrefix(got, "200") {
+		r.send(checkoutRequest(fmt.Sprint("op-", time.Now().UnixNano())))
+		if got := r.readAnswer(); strings.HasPrefix(got, "200") {
 			answered.Add(1)
 		} else {
 			lost.Add(1)
@@ -94,7 +94,7 @@
 		t.Errorf("%d descriptors open, %d ops answered: no crowd, or no service", len(files), answered.Load())
 	}
 	p.configure(t, "127.0.0.1:8081", addr, "127.0.0.1:8500", registry, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
-	p.known(t, stays, leaves)
+	p.setCachedServers(t, stays, leaves)
 	p.Process.Signal(syscall.SIGHUP) // a file more is read
 	l, err := net.Listen("tcp", registry)
 	if err != nil {
--- a/cmd/canvasrouter/main.go
+++ b/cmd/canvasrouter/main.go
@@ -11,7 +11,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		command()
+		runCommandLine()
 		return
 	}
 	os.Exit(serve.Main(serve.Options{}))
--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -22,10 +22,10 @@
 )
 
 // asNode makes the test's own program run as a node.
-const asNode = "CANVASROUTER_TEST_AS_NODE"
+const runAsNodeEnv = "CANVASROUTER_TEST_AS_NODE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asNode) != "" {
+	if os.Getenv(runAsNodeEnv) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -34,28 +34,28 @@
 
 type process struct {
 	*exec.Cmd
-	log    bytes.Buffer
-	config string // its file
+	log        bytes.Buffer
+	configPath string // its file
 }
 
 // start runs the example's configuration, changed, as a process of its own.
-func start(t *testing.T, prepare func(*process), changes ...string) *process {
+func startNode(t *testing.T, prepare func(*process), changes ...string) *process {
 	t.Helper()
-	return startFor(t, 20*time.Second, prepare, changes...)
+	return startNodeWithTimeout(t, 20*time.Second, prepare, changes...)
 }
 
 // startFor lets the process live for so long at the most.
-func startFor(t *testing.T, most time.Duration, prepare func(*process), changes ...string) *process {
+func startNodeWithTimeout(t *testing.T, timeout time.Duration, prepare func(*process), changes ...string) *process {
 	t.Helper()
-	p := &process{Cmd: exec.Command(os.Args[0]), config: filepath.Join(t.TempDir(), "config.json")}
+	p := &process{Cmd: exec.Command(os.Args[0]), configPath: filepath.Join(t.TempDir(), "config.json")}
 	p.configure(t, changes...)
-	p.Env = append(os.Environ(), asNode+"=1", "NODE_CONFIG="+p.config)
+	p.Env = append(os.Environ(), runAsNodeEnv+"=1", "NODE_CONFIG="+p.configPath)
 	p.Stderr = &p.log
 	prepare(p)
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	stop := time.AfterFunc(most, func() { p.Process.Kill() })
+	stop := time.AfterFunc(timeout, func() { p.Process.Kill() })
 	t.Cleanup(func() { stop.Stop(); p.Process.Kill() })
 	return p
 }
@@ -65,7 +65,7 @@
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/example.json")
 	if err == nil {
-		err = os.WriteFile(p.config, []byte(strings.NewReplacer(changes...).Replace(string(raw))), 0o600)
+		err = os.WriteFile(p.configPath, []byte(strings.NewReplacer(changes...).Replace(string(raw))), 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 }
 
 // free is an address that nobody listens at.
-func free(t *testing.T) string {
+func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 // ask sends an op on a connection of its own.
-func ask(addr, path string) string {
+func sendBooking(addr, path string) string {
 	request, _ := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("body"))
 	request.Header.Set("X-Txn", "9b1f"+strings.TrimPrefix(path, "/booking/"))
 	request.Header.Set("Idempotency-Key", "k")
@@ -118,7 +118,7 @@
 		{`"hostPort": "127.0.0.1:8181"`, `"hostPort": "nowhere"`, "key known: instance"},
 		{`"listen": "127.0.0.1:8081"`, `"listen": "127.0.0.1:99999"`, "key listen"},
 	} {
-		p := start(t, func(*process) {}, c[0], c[1])
+		p := startNode(t, func(*process) {}, c[0], c[1])
 		err := p.Wait()
 		if err == nil || strings.Count(p.log.String(), "\n") != 1 || !strings.Contains(p.log.String(), c[2]) {
 			t.Errorf("%s: exit %v, log %q", c[1], err, p.log.String())
@@ -140,20 +140,20 @@
 		fmt.Fprintf(w, "%s %s %s", r.Header.Get("X-Txn"), r.RequestURI, body)
 	}))
 	defer stand.Close()
-	addr := free(t)
-	p := start(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", free(t),
+	addr := freeAddr(t)
+	p := startNode(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t),
 		"127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://"))
 	awaitReady(t, addr)
 	var slow sync.WaitGroup
 	slow.Go(func() {
-		if got := ask(addr, "/booking/slow"); got != "200 9b1fslow /booking/slow body" {
+		if got := sendBooking(addr, "/booking/slow"); got != "200 9b1fslow /booking/slow body" {
 			t.Errorf("the op in hand: %s", got)
 		}
 	})
 	<-begun
 	p.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
-	if got := ask(addr, "/booking/a//b?k=%2f"); got != "200 9b1fa//b?k=%2f /booking/a//b?k=%2f body" {
+	if got := sendBooking(addr, "/booking/a//b?k=%2f"); got != "200 9b1fa//b?k=%2f /booking/a//b?k=%2f body" {
 		t.Errorf("an op that came meanwhile: %s", got)
 	}
 	time.Sleep(600 * time.Millisecond)
@@ -176,8 +176,8 @@
 	}))
 	defer stand.Close()
 	defer close(finish)
-	addr := free(t)
-	p := start(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", free(t),
+	addr := freeAddr(t)
+	p := startNode(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t),
 		"127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://"),
 		`"target_latency": 500.0, "ttl": 1200.0`, `"target_latency": 30000.0, "ttl": 60000.0`)
 	awaitReady(t, addr)
@@ -213,16 +213,16 @@
 
 // Danger: a node that is told to end while it starts would die of the signal, and count as crashed. Here it reads its
 // configuration from a pipe, so the signal surely comes before the node has started.
-func TestToldToEndWhileItStarts(t *testing.T) {
+func TestTerminatedDuringStart(t *testing.T) {
 	var raw []byte
-	p := start(t, func(p *process) {
-		raw, _ = os.ReadFile(p.config)
-		os.Remove(p.config)
-		if err := syscall.Mkfifo(p.config, 0o600); err != nil {
+	p := startNode(t, func(p *process) {
+		raw, _ = os.ReadFile(p.configPath)
+		os.Remove(p.configPath)
+		if err := syscall.Mkfifo(p.configPath, 0o600); err != nil {
 			t.Fatal(err)
 		}
-	}, "127.0.0.1:8081", free(t), "127.0.0.1:8500", free(t))
-	config, err := os.OpenFile(p.config, os.O_WRONLY, 0) // until the node reads
+	}, "127.0.0.1:8081", freeAddr(t), "127.0.0.1:8500", freeAddr(t))
+	config, err := os.OpenFile(p.configPath, os.O_WRONLY, 0) // until the node reads
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,17 +254,17 @@
 		t.Cleanup(s.CloseClientConnections)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	addr := free(t)
+	addr := freeAddr(t)
 	changes := []string{"127.0.0.1:8081", addr, "127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://")}
 	at := func(registry string, more ...string) []string {
 		return append(append([]string{"127.0.0.1:8500", registry}, changes...), more...)
 	}
-	p := start(t, func(*process) {}, at(discovery("old"))...)
+	p := startNode(t, func(*process) {}, at(discovery("old"))...)
 	awaitReady(t, addr)
 	got := []string{<-watched}
 	var slow sync.WaitGroup
 	slow.Go(func() {
-		if got := ask(addr, "/booking"); got != "200 " {
+		if got := sendBooking(addr, "/booking"); got != "200 " {
 			t.Errorf("the op in hand: %s", got)
 		}
 	})
@@ -272,7 +272,7 @@
 	p.configure(t, at(discovery("new"), `"sockets": 256`, `"sockets": 255`)...)
 	p.Process.Signal(syscall.SIGHUP)
 	got = append(got, <-watched)
-	if err := os.WriteFile(p.config, []byte(`{"name": "n0", "lis`), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(`{"name": "n0", "lis`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
@@ -300,18 +300,18 @@
 
 // Danger: a log that nobody reads fills its pipe; no op and no exit may wait for it.
 func TestBlockedLog(t *testing.T) {
-	addr := free(t)
+	addr := freeAddr(t)
 	unread, log, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unread.Close()
 	defer log.Close()
-	p := start(t, func(p *process) { p.Stderr = log }, "127.0.0.1:8081", addr, "127.0.0.1:8181", free(t),
-		"127.0.0.1:8500", free(t), `"seed"`, `"log_level": "debug", "seed"`)
+	p := startNode(t, func(p *process) { p.Stderr = log }, "127.0.0.1:8081", addr, "127.0.0.1:8181", freeAddr(t),
+		"127.0.0.1:8500", freeAddr(t), `"seed"`, `"log_level": "debug", "seed"`)
 	awaitReady(t, addr)
 	for range 1000 { // some 300 bytes each; a pipe holds 64 KiB
-		if got := ask(addr, "/booking"); got != "503 " {
+		if got := sendBooking(addr, "/booking"); got != "503 " {
 			t.Fatal(got)
 		}
 	}
@@ -326,7 +326,7 @@
 func TestCommands(t *testing.T) {
 	run := func(args ...string) (string, int) {
 		cmd := exec.Command(os.Args[0], args...)
-		cmd.Env = append(os.Environ(), asNode+"=1", "NODE_CONFIG=")
+		cmd.Env = append(os.Environ(), runAsNodeEnv+"=1", "NODE_CONFIG=")
 		out, _ := cmd.CombinedOutput()
 		return string(out), cmd.ProcessState.ExitCode()
 	}
--- a/cmd/canvasrouter/platform.go
+++ b/cmd/canvasrouter/platform.go
@@ -8,7 +8,7 @@
 )
 
 // command says that this build has none.
-func command() {
+func runCommandLine() {
 	fmt.Fprintln(os.Stderr, "canvasrouter: built for the platform, without commands: the configuration comes from NODE_CONFIG")
 	os.Exit(2)
 }
--- a/cmd/canvasrouter/switch_test.go
+++ b/cmd/canvasrouter/reload_test.go
@@ -19,18 +19,18 @@
 
 // Settings of two deployments: the same at-most-once category stands elsewhere among others, with other zones, another cap on
 // pushes, and nodes that may tell each other.
-const payment = `{"name": "pay", "benefit": 9.0, "effect": "at_most_once", "target_latency": 600.0, "ttl": 3000.0}`
+const paymentCategory = `{"name": "pay", "benefit": 9.0, "effect": "at_most_once", "target_latency": 600.0, "ttl": 3000.0}`
 
 var (
-	stayed = []string{`"ttl": 1200.0}],`, `"ttl": 1200.0}, ` + payment + `],`}
-	moved  = []string{`"az": 0, "failure_domains": ["a"]`, `"az": 1, "failure_domains": ["north", "a"]`,
+	baseSettings    = []string{`"ttl": 1200.0}],`, `"ttl": 1200.0}, ` + paymentCategory + `],`}
+	changedSettings = []string{`"az": 0, "failure_domains": ["a"]`, `"az": 1, "failure_domains": ["north", "a"]`,
 		`{"name": "checkout",`, `{"name": "lookup", "benefit": 1.0, "effect": "idempotent", "target_latency": 500.0, "ttl": 2000.0},
-		` + payment + `, {"name": "checkout",`,
+		` + paymentCategory + `, {"name": "checkout",`,
 		`"max_pushes": 3, "may_duplicate": true`, `"max_pushes": 5, "may_duplicate": false, "peers": true`}
 )
 
 // send sends an op without a body of its own and gives its status, 0 where no answer came.
-func send(client *http.Client, method, url, id string) int {
+func sendOp(client *http.Client, method, url, id string) int {
 	request, _ := http.NewRequest(method, url, nil)
 	request.Header.Set("X-Txn", id)
 	request.Header.Set("X-Remaining-Ms", "2500")
@@ -68,11 +68,11 @@
 		t.Fatal(err)
 	}
 	list.Change(func(c *registry.Catalog) { c.Set(registry.Entry{Server: 2, Weight: 1}) })
-	addr := free(t)
+	addr := freeAddr(t)
 	with := func(more []string) []string {
 		return append([]string{"127.0.0.1:8500", discovery, "127.0.0.1:8081", addr, "127.0.0.1:8181", addrs[1]}, more...)
 	}
-	p := start(t, func(*process) {}, with(stayed)...)
+	p := startNode(t, func(*process) {}, with(baseSettings)...)
 	awaitReady(t, addr)
 	var load sync.WaitGroup
 	var stop atomic.Bool
@@ -83,7 +83,7 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			for i := 0; !stop.Load(); i++ {
 				id := fmt.Sprintf("%d-%d", worker, i)
-				statuses[worker][id] = send(client, "POST", "http://"+addr+"/pay/1", id)
+				statuses[worker][id] = sendOp(client, "POST", "http://"+addr+"/pay/1", id)
 			}
 		})
 	}
@@ -97,22 +97,22 @@
 	var drained time.Time
 	for i := range 12 {
 		if i == 5 {
-			if err := os.WriteFile(p.config, []byte(`{"settings": {"tier": 0, "tick": `), 0o600); err != nil {
+			if err := os.WriteFile(p.configPath, []byte(`{"settings": {"tier": 0, "tick": `), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p.Process.Signal(syscall.SIGHUP)
 			time.Sleep(50 * time.Millisecond)
 		}
-		want, settings := http.StatusOK, moved // of a category that only the moved settings have
+		want, settings := http.StatusOK, changedSettings // of a category that only the moved settings have
 		if i%2 == 1 {
-			want, settings = http.StatusNotFound, stayed
+			want, settings = http.StatusNotFound, baseSettings
 		}
 		p.configure(t, with(settings)...)
 		p.Process.Signal(syscall.SIGHUP)
 		probes := 0
 		await(fmt.Sprintf("switch %d", i), func() bool {
 			probes++
-			return send(http.DefaultClient, "GET", "http://"+addr+"/lookup", fmt.Sprintf("probe-%d-%d", i, probes)) == want
+			return sendOp(http.DefaultClient, "GET", "http://"+addr+"/lookup", fmt.Sprintf("probe-%d-%d", i, probes)) == want
 		})
 		if i == 7 {
 			list.Change(func(c *registry.Catalog) { c.Set(registry.Entry{Server: 1, Weight: 1, State: policy.Draining}) })
@@ -127,7 +127,7 @@
 	for i := range 4 {
 		inHand.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
-			if got := send(client, "POST", "http://"+addr+"/pay/1", fmt.Sprint("last-", i)); got != http.StatusOK {
+			if got := sendOp(client, "POST", "http://"+addr+"/pay/1", fmt.Sprint("last-", i)); got != http.StatusOK {
 				t.Errorf("an op in hand as the node drains: %d", got)
 			}
 		})
@@ -137,7 +137,7 @@
 		defer mu.Unlock()
 		return effects["last-0"]+effects["last-1"]+effects["last-2"]+effects["last-3"] == 4
 	})
-	p.configure(t, with(moved)...)
+	p.configure(t, with(changedSettings)...)
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
 	inHand.Wait()
--- a/cmd/canvasrouter/crossing_test.go
+++ b/cmd/canvasrouter/signals_test.go
@@ -16,7 +16,7 @@
 )
 
 // hold stops the node, and returns once all its threads stand: what happens now it finds all together when it goes on.
-func (p *process) hold(t *testing.T) {
+func (p *process) pause(t *testing.T) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGSTOP)
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -31,12 +31,12 @@
 }
 
 // raw is a client's connection that the test writes by pieces.
-type raw struct {
+type rawConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func dialRaw(t *testing.T, addr string) *raw {
+func dialRaw(t *testing.T, addr string) *rawConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -44,13 +44,13 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	return &raw{c, bufio.NewReader(c)}
+	return &rawConn{c, bufio.NewReader(c)}
 }
 
-func (r *raw) send(bytes string) { io.WriteString(r.Conn, bytes) }
+func (r *rawConn) send(bytes string) { io.WriteString(r.Conn, bytes) }
 
-func (r *raw) answer() string {
-	response, err := http.ReadResponse(r.in, nil)
+func (r *rawConn) readAnswer() string {
+	response, err := http.ReadResponse(r.reader, nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -58,13 +58,13 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body), err)
 }
 
-func booking(id string) string {
+func bookingRequest(id string) string {
 	return fmt.Sprintf("POST /booking/%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining-Ms: 1100\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody", id, id)
 }
 
 // The node is stopped; meanwhile a request comes whole, another one's second half, one on a new connection, an answer, SIGTERM
 // and SIGHUP; then it goes on, and SIGTERM comes once more. Everything taken has its answer, and the node exits 0.
-func TestRestartCrossings(t *testing.T) {
+func TestRestartWithConcurrentRequests(t *testing.T) {
 	pushed, finish := make(chan string, 8), make(chan bool)
 	var once sync.Once
 	done := func() { once.Do(func() { close(finish) }) }
@@ -83,34 +83,34 @@
 	}
 	go stand.Serve(l)
 	defer stand.Close()
-	addr := free(t)
-	p := start(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", free(t), "127.0.0.1:8181", l.Addr().String())
+	addr := freeAddr(t)
+	p := startNode(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t), "127.0.0.1:8181", l.Addr().String())
 	awaitReady(t, addr)
-	conns := map[string]*raw{}
+	conns := map[string]*rawConn{}
 	// Four ops at the most are out together: a fresh node gives its one server no more at once, and nacks the fifth.
 	for _, id := range []string{"kept", "half", "answered"} {
 		c := dialRaw(t, addr)
-		c.send(booking("first-" + id)) // so that the node has the connection, and serves it
-		if got := c.answer(); got != "200 first-"+id+" body<nil>" {
+		c.send(bookingRequest("first-" + id)) // so that the node has the connection, and serves it
+		if got := c.readAnswer(); got != "200 first-"+id+" body<nil>" {
 			t.Fatalf("%s: %s", id, got)
 		}
 		conns[id] = c
 	}
-	half := booking("half")
+	half := bookingRequest("half")
 	conns["half"].send(half[:len(half)-2])
-	conns["answered"].send(booking("answered"))
+	conns["answered"].send(bookingRequest("answered"))
 	<-pushed
-	p.hold(t)
-	conns["kept"].send(booking("kept"))
+	p.pause(t)
+	conns["kept"].send(bookingRequest("kept"))
 	conns["half"].send(half[len(half)-2:])
 	conns["backlog"] = dialRaw(t, addr)
-	conns["backlog"].send(booking("backlog"))
+	conns["backlog"].send(bookingRequest("backlog"))
 	done() // the servers answer
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
 	p.Process.Signal(syscall.SIGCONT)
 	for id, c := range conns {
-		if got := c.answer(); got != "200 "+id+" body<nil>" {
+		if got := c.readAnswer(); got != "200 "+id+" body<nil>" {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
@@ -128,7 +128,7 @@
 
 // SIGHUP removes a category while an op of it is in hand, and moves another one's place while half a request of it is read: both
 // end under the settings that read them, once, and what comes from then on is read by the new ones.
-func TestSwitchCrossings(t *testing.T) {
+func TestReloadWithConcurrentRequests(t *testing.T) {
 	held, finish := make(chan bool, 1), make(chan bool)
 	var mu sync.Mutex
 	seen := map[string]int{}
@@ -153,11 +153,11 @@
 	defer stand.Close()
 	done := sync.OnceFunc(func() { close(finish) })
 	defer done()
-	addr := free(t)
+	addr := freeAddr(t)
 	with := func(more []string) []string {
-		return append([]string{"127.0.0.1:8500", free(t), "127.0.0.1:8081", addr, "127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://")}, more...)
+		return append([]string{"127.0.0.1:8500", freeAddr(t), "127.0.0.1:8081", addr, "127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://")}, more...)
 	}
-	p := start(t, func(*process) {}, with(moved)...)
+	p := startNode(t, func(*process) {}, with(changedSettings)...)
 	awaitReady(t, addr)
 	request := func(line, id, more string) string {
 		return fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining-Ms: 9000\r\n%s\r\n", line, id, more)
@@ -165,19 +165,19 @@
 	inHand, half := dialRaw(t, addr), dialRaw(t, addr)
 	half.send(request("POST /pay/1", "half", "Expect: 100-continue\r\nContent-Length: 4\r\n"))
 	// The node asks for the body once it has read the head, by the settings that stand.
-	if line, err := half.in.ReadString('\n'); !strings.Contains(line, "100") {
+	if line, err := half.reader.ReadString('\n'); !strings.Contains(line, "100") {
 		t.Fatalf("%q, %v", line, err)
 	}
-	half.in.ReadString('\n')
+	half.reader.ReadString('\n')
 	half.send("bo")
 	inHand.send(request("GET /lookup", "held", ""))
 	<-held
-	p.configure(t, with(stayed)...)
+	p.configure(t, with(baseSettings)...)
 	p.Process.Signal(syscall.SIGHUP)
 	for begun := time.Now(); ; {
 		later := dialRaw(t, addr)
 		later.send(request("GET /lookup", fmt.Sprint("later-", time.Since(begun)), ""))
-		if strings.HasPrefix(later.answer(), "404 ") { // the category is gone
+		if strings.HasPrefix(later.readAnswer(), "404 ") { // the category is gone
 			break
 		}
 		if time.Since(begun) > 10*time.Second {
@@ -185,11 +185,11 @@
 		}
 	}
 	half.send("dy")
-	if answer := half.answer(); answer != "502 <nil>" {
+	if answer := half.readAnswer(); answer != "502 <nil>" {
 		t.Errorf("the half request: %s", answer)
 	}
 	done()
-	if answer := inHand.answer(); answer != "200 held<nil>" {
+	if answer := inHand.readAnswer(); answer != "200 held<nil>" {
 		t.Errorf("the op in hand: %s", answer)
 	}
 	mu.Lock()
--- a/cmd/canvasrouter/store.go
+++ b/cmd/canvasrouter/store.go
@@ -40,66 +40,66 @@
 	Bind     string   `json:"bind"`
 }
 
-func readReplica(path string) (o store.ReplicaOptions, listen string, err error) {
+func readReplicaFile(path string) (options store.ReplicaOptions, listen string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return o, "", err
+		return options, "", err
 	}
-	var f replicaFile
+	var file replicaFile
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	switch err := decoder.Decode(&f); {
+	switch err := decoder.Decode(&file); {
 	case err != nil:
-		return o, "", fmt.Errorf("%s: %w", path, err)
-	case len(f.Replicas) < 1 || len(f.Replicas)%2 == 0 || len(f.Replicas) > 7:
-		return o, "", fmt.Errorf("%s: key replicas: %d addresses; an odd number up to 7 is wanted", path, len(f.Replicas))
-	case f.Number == nil || *f.Number < 0 || *f.Number >= len(f.Replicas):
-		return o, "", fmt.Errorf("%s: key number: it is none of the places in replicas", path)
-	case f.Dir == "":
-		return o, "", fmt.Errorf("%s: key dir is missing: what was promised has to outlive the process", path)
+		return options, "", fmt.Errorf("%s: %w", path, err)
+	case len(file.Replicas) < 1 || len(file.Replicas)%2 == 0 || len(file.Replicas) > 7:
+		return options, "", fmt.Errorf("%s: key replicas: %d addresses; an odd number up to 7 is wanted", path, len(file.Replicas))
+	case file.Number == nil || *file.Number < 0 || *file.Number >= len(file.Replicas):
+		return options, "", fmt.Errorf("%s: key number: it is none of the places in replicas", path)
+	case file.Dir == "":
+		return options, "", fmt.Errorf("%s: key dir is missing: what was promised has to outlive the process", path)
 	}
-	for _, addr := range append(slices.Clone(f.Replicas), f.Listen) {
+	for _, addr := range append(slices.Clone(file.Replicas), file.Listen) {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return o, "", fmt.Errorf("%s: key replicas or listen: %w", path, err)
+			return options, "", fmt.Errorf("%s: key replicas or listen: %w", path, err)
 		}
 	}
 	dialer := &net.Dialer{Timeout: time.Second}
-	if f.Bind != "" {
-		ip := net.ParseIP(f.Bind)
+	if file.Bind != "" {
+		ip := net.ParseIP(file.Bind)
 		if ip == nil {
-			return o, "", fmt.Errorf("%s: key bind: %q is no IP address", path, f.Bind)
+			return options, "", fmt.Errorf("%s: key bind: %q is no IP address", path, file.Bind)
 		}
 		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	return store.ReplicaOptions{Number: *f.Number, Peers: f.Replicas, Dir: f.Dir, Check: apply.CheckChange, Dial: dialer.DialContext}, f.Listen, nil
+	return store.ReplicaOptions{Number: *file.Number, Peers: file.Replicas, Dir: file.Dir, Check: apply.CheckChange, Dial: dialer.DialContext}, file.Listen, nil
 }
 
 // Run is a replica until SIGTERM.
 func (c *replicaCommand) Run() error {
-	o, listen, err := readReplica(c.File)
+	options, listen, err := readReplicaFile(c.File)
 	if err != nil {
 		return err
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", o.Number).Logger()
-	r, err := store.NewReplica(o, log)
+	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", options.Number).Logger()
+	replica, err := store.NewReplica(options, log)
 	if err != nil {
 		return err
 	}
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return fmt.Errorf("key listen: %w", err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	server := &http.Server{Handler: r, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
-	go r.Run(ctx)
+	server := &http.Server{Handler: replica, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
+	go replica.Run(ctx)
 	go func() {
 		<-ctx.Done()
 		server.Close() // watches have no end of their own; nodes go to another replica
 	}()
-	log.Info().Str("listen", listen).Strs("replicas", o.Peers).Msg("replica starts")
-	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	log.Info().Str("listen", listen).Strs("replicas", options.Peers).Msg("replica starts")
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	log.Info().Msg("replica ends")
@@ -118,8 +118,8 @@
 	Wait  time.Duration  `help:"Wait so long for it to be in force everywhere." default:"8s"`
 }
 
-func storeOf(file string) (*config.Store, error) {
-	c, err := config.Load(environment(file))
+func loadStoreConfig(file string) (*config.Store, error) {
+	c, err := config.Load(environmentWithConfig(file))
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 
 // Run asks each replica in turn until one answers, and then looks who runs it.
 func (c *changeCommand) Run() error {
-	s, err := storeOf(c.File)
+	storeConfig, err := loadStoreConfig(c.File)
 	if err != nil {
 		return err
 	}
@@ -150,24 +150,24 @@
 	if change.ID == "" {
 		change.ID = fmt.Sprintf("%x", time.Now().UnixNano())
 	}
-	answer, err := askFor(s.Replicas, &change)
+	answer, err := submitChange(storeConfig.Replicas, &change)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s: %s, version %d (id %s)\n", c.Key, answer.Verdict, answer.Version, change.ID)
-	for begun := time.Now(); c.Wait > 0; time.Sleep(200 * time.Millisecond) {
-		g := gatherStates(s.Replicas)
-		runs, of, lag, refused := g.runs(change.Key, answer.Version)
-		if of > 0 && runs == of || time.Since(begun) > c.Wait {
-			fmt.Printf("in force at %d of %d nodes after %.1f s\n", runs, of, time.Since(begun).Seconds())
-			for _, line := range append(refused, lag...) {
+	for started := time.Now(); c.Wait > 0; time.Sleep(200 * time.Millisecond) {
+		states := fetchStates(storeConfig.Replicas)
+		runs, total, lagging, refused := states.countRunning(change.Key, answer.Version)
+		if total > 0 && runs == total || time.Since(started) > c.Wait {
+			fmt.Printf("in force at %d of %d nodes after %.1f s\n", runs, total, time.Since(started).Seconds())
+			for _, line := range append(refused, lagging...) {
 				fmt.Println(" ", line)
 			}
-			if of == 0 {
+			if total == 0 {
 				return errors.New("no node that it is for has reported")
 			}
-			if runs < of {
-				return fmt.Errorf("not in force at %d nodes", of-runs)
+			if runs < total {
+				return fmt.Errorf("not in force at %d nodes", total-runs)
 			}
 			return nil
 		}
@@ -175,97 +175,97 @@
 	return nil
 }
 
-var client = &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+var storeClient = &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
 // askFor asks for a change, one replica after another until one says something. Danger: one that says that there is no majority may be the one
 // that is cut off; the next may not be.
-func askFor(replicas []string, change *store.Change) (*store.Answer, error) {
+func submitChange(replicas []string, change *store.Change) (*store.Answer, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return nil, err
 	}
-	last := errors.New("no replica is named")
+	lastErr := errors.New("no replica is named")
 	for _, addr := range replicas {
-		response, err := client.Post("http://"+addr+"/change", "application/json", bytes.NewReader(raw))
+		response, err := storeClient.Post("http://"+addr+"/change", "application/json", bytes.NewReader(raw))
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 		response.Body.Close()
-		var a store.Answer
-		if err := json.Unmarshal(body, &a); err != nil {
-			last = fmt.Errorf("replica at %s answered %s", addr, response.Status)
+		var answer store.Answer
+		if err := json.Unmarshal(body, &answer); err != nil {
+			lastErr = fmt.Errorf("replica at %s answered %s", addr, response.Status)
 			continue
 		}
 		switch response.StatusCode {
 		case http.StatusOK:
-			return &a, nil
+			return &answer, nil
 		case http.StatusBadRequest:
-			return nil, fmt.Errorf("refused: %s", a.Why)
+			return nil, fmt.Errorf("refused: %s", answer.Why)
 		case http.StatusConflict:
-			return nil, fmt.Errorf("%s: version %d stands", a.Verdict, a.Version)
+			return nil, fmt.Errorf("%s: version %d stands", answer.Verdict, answer.Version)
 		}
-		last = errors.New(a.Why)
+		lastErr = errors.New(answer.Why)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // states are what the replicas know together.
-type states struct {
-	all    []*store.State
-	faults []string
-	nodes  map[string]store.NodeReport // the youngest of each
-	values map[store.Key]*store.Value
+type storeStates struct {
+	replicas []*store.State
+	failures []string
+	nodes    map[string]store.NodeReport // the youngest of each
+	values   map[store.Key]*store.Value
 }
 
-func gatherStates(replicas []string) *states {
-	g := &states{nodes: map[string]store.NodeReport{}, values: map[store.Key]*store.Value{}}
+func fetchStates(replicas []string) *storeStates {
+	states := &storeStates{nodes: map[string]store.NodeReport{}, values: map[store.Key]*store.Value{}}
 	for i, addr := range replicas {
-		response, err := client.Get("http://" + addr + "/state")
+		response, err := storeClient.Get("http://" + addr + "/state")
 		if err != nil {
-			g.faults = append(g.faults, fmt.Sprintf("replica %d at %s does not answer: %v", i, addr, err))
+			states.failures = append(states.failures, fmt.Sprintf("replica %d at %s does not answer: %v", i, addr, err))
 			continue
 		}
-		s := &store.State{}
-		err = json.NewDecoder(io.LimitReader(response.Body, 256<<20)).Decode(s)
+		state := &store.State{}
+		err = json.NewDecoder(io.LimitReader(response.Body, 256<<20)).Decode(state)
 		response.Body.Close()
 		if err != nil {
-			g.faults = append(g.faults, fmt.Sprintf("replica %d at %s: %v", i, addr, err))
+			states.failures = append(states.failures, fmt.Sprintf("replica %d at %s: %v", i, addr, err))
 			continue
 		}
-		g.all = append(g.all, s)
-		for _, n := range s.Nodes {
-			if was, known := g.nodes[n.Node]; !known || n.AgeMs < was.AgeMs {
-				g.nodes[n.Node] = n
+		states.replicas = append(states.replicas, state)
+		for _, report := range state.Nodes {
+			if previous, known := states.nodes[report.Node]; !known || report.AgeMs < previous.AgeMs {
+				states.nodes[report.Node] = report
 			}
 		}
-		for _, v := range s.Values {
-			store.Merge(g.values, v)
+		for _, value := range state.Values {
+			store.Merge(states.values, value)
 		}
 	}
-	return g
+	return states
 }
 
 // runs counts the nodes that a key is for, and names those that lag behind a version or refuse it.
-func (g *states) runs(key store.Key, version store.Version) (runs, of int, lag, refused []string) {
-	for _, name := range slices.Sorted(maps.Keys(g.nodes)) {
-		n := g.nodes[name]
-		if !slices.Contains(n.Keys, key) {
+func (s *storeStates) countRunning(key store.Key, version store.Version) (runs, total int, lagging, refused []string) {
+	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
+		report := s.nodes[name]
+		if !slices.Contains(report.Keys, key) {
 			continue
 		}
-		of++
-		switch no, has := n.Refused[key]; {
-		case n.Runs[key] >= version:
+		total++
+		switch refusal, isRefused := report.Refused[key]; {
+		case report.Runs[key] >= version:
 			runs++
-		case has && no.Version >= version:
-			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, no.Version, no.Why))
+		case isRefused && refusal.Version >= version:
+			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, refusal.Version, refusal.Why))
 		default:
-			lag = append(lag, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, n.Runs[key], n.AgeMs/1000))
+			lagging = append(lagging, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, report.Runs[key], report.AgeMs/1000))
 		}
 	}
-	return runs, of, lag, refused
+	return runs, total, lagging, refused
 }
 
 // changesCommand shows what stands and who runs it.
@@ -275,31 +275,31 @@
 }
 
 func (c *changesCommand) Run() error {
-	s, err := storeOf(c.File)
+	storeConfig, err := loadStoreConfig(c.File)
 	if err != nil {
 		return err
 	}
-	g := gatherStates(s.Replicas)
+	states := fetchStates(storeConfig.Replicas)
 	if c.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", " ")
-		return encoder.Encode(g.all)
+		return encoder.Encode(states.replicas)
 	}
-	for _, fault := range g.faults {
+	for _, fault := range states.failures {
 		fmt.Println(fault)
 	}
-	for _, of := range g.all {
-		fmt.Printf("replica %d: %d keys, %d watch it\n", of.Number, len(of.Values), of.Watchers)
+	for _, replica := range states.replicas {
+		fmt.Printf("replica %d: %d keys, %d watch it\n", replica.Number, len(replica.Values), replica.Watchers)
 	}
-	for _, key := range slices.Sorted(maps.Keys(g.values)) {
-		v := g.values[key]
-		runs, of, lag, refused := g.runs(key, v.Version)
-		fmt.Printf("%s: version %d (id %s), in force at %d of %d nodes\n", key, v.Version, v.ID, runs, of)
-		for _, line := range append(refused, lag...) {
+	for _, key := range slices.Sorted(maps.Keys(states.values)) {
+		value := states.values[key]
+		runs, replica, lagging, refused := states.countRunning(key, value.Version)
+		fmt.Printf("%s: version %d (id %s), in force at %d of %d nodes\n", key, value.Version, value.ID, runs, replica)
+		for _, line := range append(refused, lagging...) {
 			fmt.Println("  " + strings.TrimSpace(line))
 		}
 	}
-	if len(g.all) == 0 {
+	if len(states.replicas) == 0 {
 		return errors.New("no replica answers")
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,8 +23,8 @@
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultLogLevel = "info"
-	fewestSockets   = 40
-	leastMemoryMB   = 16
+	minSockets      = 40
+	minMemoryMB     = 16
 )
 
 // Config is all that a node is told at its start.
@@ -48,15 +48,15 @@
 	Store             *Store        // nil: the file alone says what holds
 	Raw               []byte        // the document that this was read from
 
-	settings, fleet json.RawMessage
+	rawSettings, rawFleet json.RawMessage
 }
 
 // Fixed names the keys that differ in next and can't change while the node runs. Discovery, log_level and settings
 // can; known is only read at the start, since the node itself holds a newer list.
 func (c *Config) RestartRequiredKeys(next *Config) (keys []string) {
-	for _, k := range []struct {
-		key  string
-		same bool
+	for _, field := range []struct {
+		key   string
+		equal bool
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
@@ -64,36 +64,36 @@
 		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
 		{"store", reflect.DeepEqual(c.Store, next.Store)},
 	} {
-		if !k.same {
-			keys = append(keys, k.key)
+		if !field.equal {
+			keys = append(keys, field.key)
 		}
 	}
 	return keys
 }
 
 // Running is c, taken over by a node that runs with old: what can't change while it runs stays.
-func (c *Config) WithFixedKeysOf(old *Config) *Config {
-	now := *c
-	now.Name, now.Listen, now.Seed = old.Name, old.Listen, old.Seed
-	now.Cores, now.MemoryMB, now.Sockets = old.Cores, old.MemoryMB, old.Sockets
-	now.Store = old.Store
-	return &now
+func (c *Config) WithFixedKeysOf(running *Config) *Config {
+	merged := *c
+	merged.Name, merged.Listen, merged.Seed = running.Name, running.Listen, running.Seed
+	merged.Cores, merged.MemoryMB, merged.Sockets = running.Cores, running.MemoryMB, running.Sockets
+	merged.Store = running.Store
+	return &merged
 }
 
 // SameSettings says that the settings have the same values.
-func (c *Config) SameSettings(next *Config) bool { return sameJSON(c.settings, next.settings) }
+func (c *Config) SameSettings(next *Config) bool { return sameJSON(c.rawSettings, next.rawSettings) }
 
 // SameFleet says that the nodes would hear each other as before: the same keys, and the same place among them.
 func (c *Config) SameFleet(next *Config) bool {
-	a, b := &c.Rules.Topology, &next.Rules.Topology
-	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.fleet, next.fleet) &&
-		a.Number == b.Number && a.Zone == b.Zone && a.Nodes == b.Nodes)
+	place, nextPlace := &c.Rules.Topology, &next.Rules.Topology
+	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.rawFleet, next.rawFleet) &&
+		place.Number == nextPlace.Number && place.Zone == nextPlace.Zone && place.Nodes == nextPlace.Nodes)
 }
 
 // sameJSON compares values, whatever their spacing and the order of their keys.
-func sameJSON(a, b json.RawMessage) bool {
-	var one, other any
-	return json.Unmarshal(a, &one) == nil && json.Unmarshal(b, &other) == nil && reflect.DeepEqual(one, other)
+func sameJSON(rawLeft, rawRight json.RawMessage) bool {
+	var left, right any
+	return json.Unmarshal(rawLeft, &left) == nil && json.Unmarshal(rawRight, &right) == nil && reflect.DeepEqual(left, right)
 }
 
 // Names are the words of the settings, by the number that the module knows them by.
@@ -102,7 +102,7 @@
 }
 
 // document is the file's form.
-type document struct {
+type fileDocument struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -143,25 +143,25 @@
 }
 
 func parse(raw []byte, getenv func(string) string) (*Config, error) {
-	var d document
-	if err := json.Unmarshal(raw, &d); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("key %s: a %s can't be used here", kind.Field, kind.Value)
+	var document fileDocument
+	if err := json.Unmarshal(raw, &document); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("key %s: a %s can't be used here", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
 	c := &Config{
-		Name:         cmp.Or(d.Name, getenv("NODE_NAME")),
-		Listen:       cmp.Or(d.Listen, getenv("NODE_LISTEN")),
-		RegistryAddr: cmp.Or(d.Discovery, getenv("NODE_DISCOVERY")),
-		CachedList:   d.Known,
-		settings:     d.Settings,
-		fleet:        d.Fleet,
+		Name:         cmp.Or(document.Name, getenv("NODE_NAME")),
+		Listen:       cmp.Or(document.Listen, getenv("NODE_LISTEN")),
+		RegistryAddr: cmp.Or(document.Discovery, getenv("NODE_DISCOVERY")),
+		CachedList:   document.Known,
+		rawSettings:  document.Settings,
+		rawFleet:     document.Fleet,
 		Raw:          raw,
-		Cores:        orDefault(d.Limits.Cores, defaultCores),
-		MemoryMB:     orDefault(d.Limits.MemoryMB, defaultMemoryMB),
-		Sockets:      orDefault(d.Limits.Sockets, defaultSockets),
+		Cores:        valueOr(document.Limits.Cores, defaultCores),
+		MemoryMB:     valueOr(document.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:      valueOr(document.Limits.Sockets, defaultSockets),
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("key listen: %w", err)
@@ -169,76 +169,76 @@
 	if _, _, err := net.SplitHostPort(c.RegistryAddr); err != nil {
 		return nil, fmt.Errorf("key discovery: %w", err)
 	}
-	if d.Seed != "" {
-		seed, err := strconv.ParseUint(d.Seed, 16, 64)
+	if document.Seed != "" {
+		seed, err := strconv.ParseUint(document.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("key seed: %q is no hexadecimal number of 64 bits", d.Seed)
+			return nil, fmt.Errorf("key seed: %q is no hexadecimal number of 64 bits", document.Seed)
 		}
 		c.Seed = seed
 	}
 	switch {
 	case !(c.Cores > 0):
 		return nil, fmt.Errorf("key limits.cores: %v is not above 0", c.Cores)
-	case c.MemoryMB < leastMemoryMB:
-		return nil, fmt.Errorf("key limits.memory_mb: %d is under %d", c.MemoryMB, leastMemoryMB)
-	case c.Sockets < fewestSockets:
-		return nil, fmt.Errorf("key limits.sockets: %d is under %d", c.Sockets, fewestSockets)
-	case len(d.Settings) == 0:
+	case c.MemoryMB < minMemoryMB:
+		return nil, fmt.Errorf("key limits.memory_mb: %d is under %d", c.MemoryMB, minMemoryMB)
+	case c.Sockets < minSockets:
+		return nil, fmt.Errorf("key limits.sockets: %d is under %d", c.Sockets, minSockets)
+	case len(document.Settings) == 0:
 		return nil, errors.New("key settings is missing")
 	}
-	level, err := zerolog.ParseLevel(cmp.Or(d.LogLevel, getenv("NODE_LOG_LEVEL"), defaultLogLevel))
+	level, err := zerolog.ParseLevel(cmp.Or(document.LogLevel, getenv("NODE_LOG_LEVEL"), defaultLogLevel))
 	if err != nil {
 		return nil, fmt.Errorf("key log_level: %w", err)
 	}
 	c.LogLevel = level
-	s := fromJSON(d.Settings)
-	c.Rules = s.rules()
-	c.ServerIdleTimeout = Duration(MillisToMicros(s.numberOr("limits.idle_close", 0)))
-	c.AnswerSlack = MillisToMicros(s.numberOr("safety.answer_slack", 0))
-	c.MaxPendingOps = int(s.numberOr("limits.max_open", float64(c.Sockets)))
-	c.Names = Names{Categories: s.names("categories"), Tenants: s.names("tenants"),
-		Zones: s.list("failure_domains"), MachineTypes: s.list("kinds")}
-	s.check(c.Rules)
-	if s.flagOr("safety.gone_is_advice", false) {
+	set := settingsFromJSON(document.Settings)
+	c.Rules = set.rules()
+	c.ServerIdleTimeout = Duration(MillisToMicros(set.numberOr("limits.idle_close", 0)))
+	c.AnswerSlack = MillisToMicros(set.numberOr("safety.answer_slack", 0))
+	c.MaxPendingOps = int(set.numberOr("limits.max_open", float64(c.Sockets)))
+	c.Names = Names{Categories: set.objectNames("categories"), Tenants: set.objectNames("tenants"),
+		Zones: set.stringList("failure_domains"), MachineTypes: set.stringList("kinds")}
+	set.checkRules(c.Rules)
+	if set.booleanOr("safety.gone_is_advice", false) {
 		c.IgnoredSettings = append(c.IgnoredSettings, "safety.gone_is_advice")
 	}
-	if _, found := s.pairs["tenants.0.quota_rps"]; found {
+	if _, found := set.values["tenants.0.quota_rps"]; found {
 		c.IgnoredSettings = append(c.IgnoredSettings, "tenants.quota_rps")
 	}
-	if s.err != nil {
-		return c, s.err
+	if set.err != nil {
+		return c, set.err
 	}
-	if c.Fleet, err = parseFleet(d.Fleet); err == nil {
-		c.Store, err = parseStore(d.Store)
+	if c.Fleet, err = parseFleet(document.Fleet); err == nil {
+		c.Store, err = parseStore(document.Store)
 	}
 	return c, err
 }
 
 // check refuses values that no node could run with.
-func (s *settings) check(r *Rules) {
-	for _, rule := range []struct {
-		key string
-		bad bool
+func (s *settings) checkRules(rules *Rules) {
+	for _, check := range []struct {
+		key     string
+		invalid bool
 	}{
-		{"tier", r.Topology.Tier < 0 || r.Topology.Tier >= r.Topology.Tiers},
-		{"fleet_size", r.Topology.Nodes < 1},
-		{"slot_no", r.Topology.Number < 0},
-		{"tick", r.Topology.Tick < 1},
-		{"limits.max_pushes", r.PushLimits.Max < 1},
-		{"limits.dial_timeout", r.PushLimits.Dial < policy.Millisecond},
+		{"tier", rules.Topology.Tier < 0 || rules.Topology.Tier >= rules.Topology.Tiers},
+		{"fleet_size", rules.Topology.Nodes < 1},
+		{"slot_no", rules.Topology.Number < 0},
+		{"tick", rules.Topology.Tick < 1},
+		{"limits.max_pushes", rules.PushLimits.Max < 1},
+		{"limits.dial_timeout", rules.PushLimits.Dial < policy.Millisecond},
 	} {
-		if rule.bad {
-			s.fail("setting %s is out of range: %q", rule.key, s.pairs[rule.key])
+		if check.invalid {
+			s.recordError("setting %s is out of range: %q", check.key, s.values[check.key])
 		}
 	}
-	for i, c := range r.Categories {
-		if c.TTL <= 0 || c.Target <= 0 || c.Target > c.TTL {
-			s.fail("setting categories.%d.target_latency or ttl is out of range", i)
+	for i, category := range rules.Categories {
+		if category.TTL <= 0 || category.Target <= 0 || category.Target > category.TTL {
+			s.recordError("setting categories.%d.target_latency or ttl is out of range", i)
 		}
 	}
 }
 
-func orDefault[T any](value *T, fallback T) T {
+func valueOr[T any](value *T, fallback T) T {
 	if value != nil {
 		return *value
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 }
 
 // Every fault is one line that names the key.
-func TestFaults(t *testing.T) {
+func TestInvalidConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"no JSON":           {`{`, `[`, "not JSON"},
 		"a kind":            {`"sockets": 256`, `"sockets": "many"`, "key limits.sockets: a string can't be used here"},
@@ -60,18 +60,18 @@
 }
 
 // The nested form and the simulator's lines are the same settings.
-func TestNestedIsFlat(t *testing.T) {
-	nested := fromJSON([]byte(`{"tier": 1, "big": 100000000, "tiers": ["front", "a, b"], "tenants": [], "none": null,
+func TestJSONAndTextFormsAgree(t *testing.T) {
+	nested := settingsFromJSON([]byte(`{"tier": 1, "big": 100000000, "tiers": ["front", "a, b"], "tenants": [], "none": null,
 		"limits": {"may_cancel": true, "rate": 0.50}, "categories": [{"name": "x"}, {"name": "y z", "kinds": [1, 2]}]}`))
-	flat := fromText([]byte("tier=1\nbig=100000000\ntiers=front,a__b\ntenants=\nlimits.may_cancel=true\nlimits.rate=0.50\n" +
+	flat := settingsFromText([]byte("tier=1\nbig=100000000\ntiers=front,a__b\ntenants=\nlimits.may_cancel=true\nlimits.rate=0.50\n" +
 		"categories.count=2\ncategories.0.name=x\ncategories.1.name=y_z\ncategories.1.kinds=1,2\n"))
-	if diff := cmp.Diff(flat.pairs, nested.pairs); diff != "" {
+	if diff := cmp.Diff(flat.values, nested.values); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // What nodes may tell each other is off unless the settings say otherwise; settings that earlier versions heeded are named.
-func TestPeersAndUnheeded(t *testing.T) {
+func TestPeersAndIgnoredSettings(t *testing.T) {
 	for with, peers := range map[string]bool{
 		`"max_pushes": 3`:                 false,
 		`"peers": false, "max_pushes": 3`: false,
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -10,87 +10,87 @@
 
 // Explain says in words what a configuration means: a few lines of text.
 func (c *Config) Explain() string {
-	var b strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	r := c.Rules
-	line("Node %q listens on %s and follows the list of servers at %s.", c.Name, c.Listen, c.RegistryAddr)
-	line("It may use %g cores, %d MB and %d sockets, and logs at level %s.", c.Cores, c.MemoryMB, c.Sockets, c.LogLevel)
-	line("It is node %d of %d before tier %d of %d, in zone %s.", r.Topology.Number+1, r.Topology.Nodes, r.Topology.Tier+1,
-		r.Topology.Tiers, name(c.Names.Zones, int(r.Topology.Zone)))
-	line("")
-	for i, k := range r.Categories {
-		line("Category %s: benefit %g within %s, %g of that up to its TTL of %s.", name(c.Names.Categories, i), k.Benefit,
-			Duration(k.Target), k.Late, Duration(k.TTL))
-		line("  %s", repeats(&k))
+	var text strings.Builder
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	rules := c.Rules
+	writeLine("Node %q listens on %s and follows the list of servers at %s.", c.Name, c.Listen, c.RegistryAddr)
+	writeLine("It may use %g cores, %d MB and %d sockets, and logs at level %s.", c.Cores, c.MemoryMB, c.Sockets, c.LogLevel)
+	writeLine("It is node %d of %d before tier %d of %d, in zone %s.", rules.Topology.Number+1, rules.Topology.Nodes, rules.Topology.Tier+1,
+		rules.Topology.Tiers, nameOf(c.Names.Zones, int(rules.Topology.Zone)))
+	writeLine("")
+	for i, category := range rules.Categories {
+		writeLine("Category %s: benefit %g within %s, %g of that up to its TTL of %s.", nameOf(c.Names.Categories, i), category.Benefit,
+			Duration(category.Target), category.Late, Duration(category.TTL))
+		writeLine("  %s", describeRepeat(&category))
 	}
 	for _, key := range c.IgnoredSettings {
-		line("Setting %s is given, and no longer heeded.", key)
+		writeLine("Setting %s is given, and no longer heeded.", key)
 	}
-	line("")
-	line("An op gets at most %d pushes, %s. A connection not open within %s has failed.", r.PushLimits.Max,
-		either(r.PushLimits.Duplicate, "also two at once", "never two at once"), Duration(r.PushLimits.Dial))
-	if r.PushLimits.RetryAfter > 0 {
-		line("A nack says when to come back, %s at most.", Duration(r.PushLimits.RetryAfter))
+	writeLine("")
+	writeLine("An op gets at most %d pushes, %s. A connection not open within %s has failed.", rules.PushLimits.Max,
+		choose(rules.PushLimits.Duplicate, "also two at once", "never two at once"), Duration(rules.PushLimits.Dial))
+	if rules.PushLimits.RetryAfter > 0 {
+		writeLine("A nack says when to come back, %s at most.", Duration(rules.PushLimits.RetryAfter))
 	} else {
-		line("A nack gives no advice.")
+		writeLine("A nack gives no advice.")
 	}
-	line("A server that has just started can do %g%% of its work and is warm after %s; all nodes together must not send it",
-		100*r.ColdStart.From, Duration(r.ColdStart.Warm))
-	line("more than %g times what it can do for %s.", r.ColdStart.Factor, Duration(r.ColdStart.Window))
-	c.explainFleet(line)
-	c.explainStore(line)
-	line("Changes of the list come %s.", either(r.Registry.Ask, "only on asking, and the node asks", "unasked"))
-	return b.String()
+	writeLine("A server that has just started can do %g%% of its work and is warm after %s; all nodes together must not send it",
+		100*rules.ColdStart.From, Duration(rules.ColdStart.Warm))
+	writeLine("more than %g times what it can do for %s.", rules.ColdStart.Factor, Duration(rules.ColdStart.Window))
+	c.explainFleet(writeLine)
+	c.explainStore(writeLine)
+	writeLine("Changes of the list come %s.", choose(rules.Registry.Ask, "only on asking, and the node asks", "unasked"))
+	return text.String()
 }
 
-func (c *Config) explainFleet(line func(format string, args ...any)) {
-	f := c.Fleet
-	if f == nil {
+func (c *Config) explainFleet(writeLine func(format string, args ...any)) {
+	fleet := c.Fleet
+	if fleet == nil {
 		if c.Rules.Topology.Peers {
-			line("Nodes may tell each other what they push, but key fleet is left out: there is no way for it, and each decides alone.")
+			writeLine("Nodes may tell each other what they push, but key fleet is left out: there is no way for it, and each decides alone.")
 		}
 		return
 	}
-	line("The node hears others of fleet %q: it listens on %s (UDP and TCP), they reach it at %s, and it joins by %v.", f.Name,
-		f.Listen, f.Advertise, f.Join)
-	line("It sends them at most %d bytes a second in datagrams; what is more is dropped.", f.MaxBytesPerSecond)
+	writeLine("The node hears others of fleet %q: it listens on %s (UDP and TCP), they reach it at %s, and it joins by %v.", fleet.Name,
+		fleet.Listen, fleet.Advertise, fleet.Join)
+	writeLine("It sends them at most %d bytes a second in datagrams; what is more is dropped.", fleet.MaxBytesPerSecond)
 	switch {
-	case f.PeerMessages && c.Rules.Topology.Peers:
-		line("Modules tell each other what they push and how it ends.")
-	case f.PeerMessages:
-		line("Modules tell each other nothing: setting limits.peers is not true.")
+	case fleet.PeerMessages && c.Rules.Topology.Peers:
+		writeLine("Modules tell each other what they push and how it ends.")
+	case fleet.PeerMessages:
+		writeLine("Modules tell each other nothing: setting limits.peers is not true.")
 	default:
-		line("Modules tell each other nothing: fleet.words is off.")
+		writeLine("Modules tell each other nothing: fleet.words is off.")
 	}
-	line("What others find of servers %s.", either(f.OutlierReports, "weighs, where this node has no better evidence of its own", "is neither told nor heeded"))
-	if f.ControlSocket != "" {
-		line("Its own user sees what it knows by the socket %s (canvasrouter fleet).", f.ControlSocket)
+	writeLine("What others find of servers %s.", choose(fleet.OutlierReports, "weighs, where this node has no better evidence of its own", "is neither told nor heeded"))
+	if fleet.ControlSocket != "" {
+		writeLine("Its own user sees what it knows by the socket %s (canvasrouter fleet).", fleet.ControlSocket)
 	}
 }
 
-func repeats(k *policy.Category) string {
-	switch k.Repeat {
+func describeRepeat(category *policy.Category) string {
+	switch category.Repeat {
 	case policy.Deduplicated:
-		group := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[k.Scope]
-		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", group, Duration(k.Window))
+		scope := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[category.Scope]
+		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", scope, Duration(category.Window))
 	case policy.AtMostOnce:
 		return "At-most-once: pushed again only when no earlier push can have run."
 	}
 	return "Redeliverable: may run again."
 }
 
-func name(names []string, i int) string {
-	if i < len(names) {
-		return names[i]
+func nameOf(names []string, number int) string {
+	if number < len(names) {
+		return names[number]
 	}
-	return fmt.Sprintf("number %d", i)
+	return fmt.Sprintf("number %d", number)
 }
 
-func either(yes bool, one, other string) string {
-	if yes {
-		return one
+func choose(condition bool, ifTrue, ifFalse string) string {
+	if condition {
+		return ifTrue
 	}
-	return other
+	return ifFalse
 }
 
 // Duration is a time of the module's as the libraries take it.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,11 +22,11 @@
 }
 
 const (
-	defaultFleet = "canvasrouter"
-	defaultPace  = 64 << 10
-	leastPace    = 4 << 10
-	mostJoin     = 64
-	mostControl  = 100 // bytes of a Unix socket's path
+	defaultFleetName         = "canvasrouter"
+	defaultMaxBytesPerSecond = 64 << 10
+	minBytesPerSecond        = 4 << 10
+	maxJoinAddrs             = 64
+	maxSocketPathBytes       = 100 // bytes of a Unix socket's path
 )
 
 // parseFleet reads the key fleet; left out, the node hears nobody.
@@ -34,7 +34,7 @@
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
 	}
-	d := struct {
+	document := struct {
 		Name      string   `json:"name"`
 		Listen    string   `json:"listen"`
 		Advertise string   `json:"advertise"`
@@ -46,49 +46,49 @@
 	}{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields() // a switch that is misspelt would stay on
-	if err := decoder.Decode(&d); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("key fleet.%s: a %s can't be used here", kind.Field, kind.Value)
+	if err := decoder.Decode(&document); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("key fleet.%s: a %s can't be used here", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("key fleet: %w", err)
 	}
-	f := &Fleet{Name: d.Name, ControlSocket: d.Control, PeerMessages: orDefault(d.Words, true), OutlierReports: orDefault(d.Judged, true),
-		MaxBytesPerSecond: orDefault(d.Pace, defaultPace)}
-	if f.Name == "" {
-		f.Name = defaultFleet
+	fleet := &Fleet{Name: document.Name, ControlSocket: document.Control, PeerMessages: valueOr(document.Words, true), OutlierReports: valueOr(document.Judged, true),
+		MaxBytesPerSecond: valueOr(document.Pace, defaultMaxBytesPerSecond)}
+	if fleet.Name == "" {
+		fleet.Name = defaultFleetName
 	}
 	var err error
-	address := func(key, text string) (a netip.AddrPort) {
+	parseAddr := func(key, text string) (addr netip.AddrPort) {
 		if err != nil {
-			return a
+			return addr
 		}
-		if a, err = netip.ParseAddrPort(text); err != nil || a.Port() == 0 {
+		if addr, err = netip.ParseAddrPort(text); err != nil || addr.Port() == 0 {
 			err = fmt.Errorf("key fleet.%s: %q is no IP address with a port", key, text)
 		}
-		return a
+		return addr
 	}
-	f.Listen = address("listen", d.Listen)
-	f.Advertise = f.Listen
-	if d.Advertise != "" {
-		f.Advertise = address("advertise", d.Advertise)
+	fleet.Listen = parseAddr("listen", document.Listen)
+	fleet.Advertise = fleet.Listen
+	if document.Advertise != "" {
+		fleet.Advertise = parseAddr("advertise", document.Advertise)
 	}
-	for _, text := range d.Join {
-		f.Join = append(f.Join, address("join", text))
+	for _, text := range document.Join {
+		fleet.Join = append(fleet.Join, parseAddr("join", text))
 	}
 	switch {
 	case err != nil:
 		return nil, err
-	case f.Advertise.Addr().IsUnspecified():
-		return nil, fmt.Errorf("key fleet.advertise: nobody can reach %s; name this machine's own address", f.Advertise)
-	case f.Listen.Addr().Unmap().Is4() != f.Advertise.Addr().Unmap().Is4():
+	case fleet.Advertise.Addr().IsUnspecified():
+		return nil, fmt.Errorf("key fleet.advertise: nobody can reach %s; name this machine's own address", fleet.Advertise)
+	case fleet.Listen.Addr().Unmap().Is4() != fleet.Advertise.Addr().Unmap().Is4():
 		return nil, errors.New("key fleet.advertise: not of the same kind (IPv4, IPv6) as fleet.listen")
-	case len(f.Join) > mostJoin:
-		return nil, fmt.Errorf("key fleet.join: %d addresses are over %d", len(f.Join), mostJoin)
-	case f.ControlSocket != "" && (!filepath.IsAbs(f.ControlSocket) || len(f.ControlSocket) > mostControl):
-		return nil, fmt.Errorf("key fleet.control: %q is no absolute path of at most %d bytes", f.ControlSocket, mostControl)
-	case f.MaxBytesPerSecond < leastPace:
-		return nil, fmt.Errorf("key fleet.bytes_per_second: %d is under %d", f.MaxBytesPerSecond, leastPace)
+	case len(fleet.Join) > maxJoinAddrs:
+		return nil, fmt.Errorf("key fleet.join: %d addresses are over %d", len(fleet.Join), maxJoinAddrs)
+	case fleet.ControlSocket != "" && (!filepath.IsAbs(fleet.ControlSocket) || len(fleet.ControlSocket) > maxSocketPathBytes):
+		return nil, fmt.Errorf("key fleet.control: %q is no absolute path of at most %d bytes", fleet.ControlSocket, maxSocketPathBytes)
+	case fleet.MaxBytesPerSecond < minBytesPerSecond:
+		return nil, fmt.Errorf("key fleet.bytes_per_second: %d is under %d", fleet.MaxBytesPerSecond, minBytesPerSecond)
 	}
-	return f, nil
+	return fleet, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,13 +13,13 @@
 
 // settings are path=value pairs. The first bad or missing one is kept in err.
 type settings struct {
-	pairs map[string]string
-	err   error
+	values map[string]string
+	err    error
 }
 
 // fromText reads one path=value pair a line, as the simulator's first message holds them.
-func fromText(text []byte) *settings {
-	s := &settings{pairs: make(map[string]string)}
+func settingsFromText(text []byte) *settings {
+	s := &settings{values: make(map[string]string)}
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimRight(line, "\r")
 		if line == "" {
@@ -27,22 +27,22 @@
 		}
 		key, value, found := strings.Cut(line, "=")
 		if !found {
-			s.fail("line %d of the settings has no '=': %q", i+1, line)
+			s.recordError("line %d of the settings has no '=': %q", i+1, line)
 			continue
 		}
-		s.pairs[key] = value
+		s.values[key] = value
 	}
 	return s
 }
 
 // fromJSON flattens nested JSON to the paths that the text form has.
-func fromJSON(raw []byte) *settings {
-	s := &settings{pairs: make(map[string]string)}
+func settingsFromJSON(raw []byte) *settings {
+	s := &settings{values: make(map[string]string)}
 	var tree map[string]any
-	numbers := json.NewDecoder(bytes.NewReader(raw))
-	numbers.UseNumber()
-	if err := numbers.Decode(&tree); err != nil {
-		s.fail("settings: %w", err)
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
+	if err := decoder.Decode(&tree); err != nil {
+		s.recordError("settings: %w", err)
 	}
 	s.flatten("", tree)
 	return s
@@ -55,39 +55,39 @@
 			s.flatten(strings.TrimPrefix(path+"."+key, "."), inner)
 		}
 	case []any:
-		plain := make([]string, 0, len(v))
+		plainValues := make([]string, 0, len(v))
 		for i, inner := range v {
-			if _, object := inner.(map[string]any); object {
+			if _, isObject := inner.(map[string]any); isObject {
 				s.flatten(path+"."+strconv.Itoa(i), inner)
-				s.pairs[path+".count"] = strconv.Itoa(len(v))
+				s.values[path+".count"] = strconv.Itoa(len(v))
 			} else {
-				plain = append(plain, word(inner))
+				plainValues = append(plainValues, plainText(inner))
 			}
 		}
-		if len(plain) > 0 || len(v) == 0 {
-			s.pairs[path] = strings.Join(plain, ",")
+		if len(plainValues) > 0 || len(v) == 0 {
+			s.values[path] = strings.Join(plainValues, ",")
 		}
 	case nil:
 	default:
-		s.pairs[path] = word(v)
+		s.values[path] = plainText(v)
 	}
 }
 
 // word is a plain value as the text form writes it: spaces and commas become _.
-func word(value any) string {
+func plainText(value any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(value))
 }
 
-func (s *settings) fail(format string, args ...any) {
+func (s *settings) recordError(format string, args ...any) {
 	if s.err == nil {
 		s.err = fmt.Errorf(format, args...)
 	}
 }
 
 func (s *settings) text(key string) string {
-	value, found := s.pairs[key]
+	value, found := s.values[key]
 	if !found {
-		s.fail("setting %s is missing", key)
+		s.recordError("setting %s is missing", key)
 	}
 	return value
 }
@@ -99,93 +99,93 @@
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || x != x {
-		s.fail("setting %s is no number: %q", key, value)
+		s.recordError("setting %s is no number: %q", key, value)
 	}
 	return x
 }
 
 func (s *settings) numberOr(key string, fallback float64) float64 {
-	if _, found := s.pairs[key]; !found {
+	if _, found := s.values[key]; !found {
 		return fallback
 	}
 	return s.number(key)
 }
 
-func (s *settings) whole(key string) int { return int(s.number(key)) }
+func (s *settings) integer(key string) int { return int(s.number(key)) }
 
-func (s *settings) span(key string) policy.Micros { return MillisToMicros(s.number(key)) }
+func (s *settings) duration(key string) policy.Micros { return MillisToMicros(s.number(key)) }
 
-func (s *settings) flag(key string) bool {
+func (s *settings) boolean(key string) bool {
 	switch value := s.text(key); value {
 	case "true":
 		return true
 	case "false", "":
 	default:
-		s.fail("setting %s is neither true nor false: %q", key, value)
+		s.recordError("setting %s is neither true nor false: %q", key, value)
 	}
 	return false
 }
 
-func (s *settings) flagOr(key string, fallback bool) bool {
-	if _, found := s.pairs[key]; !found {
+func (s *settings) booleanOr(key string, fallback bool) bool {
+	if _, found := s.values[key]; !found {
 		return fallback
 	}
-	return s.flag(key)
+	return s.boolean(key)
 }
 
-func choice[T any](s *settings, key string, of map[string]T) T {
+func enumValue[T any](s *settings, key string, values map[string]T) T {
 	value := s.text(key)
-	out, found := of[value]
+	result, found := values[value]
 	if !found {
-		s.fail("setting %s has the unknown value %q", key, value)
+		s.recordError("setting %s has the unknown value %q", key, value)
 	}
-	return out
+	return result
 }
 
 // count gives the length of a list of objects: 0 where the list is empty or absent.
-func (s *settings) count(key string) int {
+func (s *settings) listLength(key string) int {
 	return int(s.numberOr(key+".count", 0))
 }
 
 func (s *settings) categories() []policy.Category {
-	out := make([]policy.Category, s.count("categories"))
-	if len(out) == 0 {
-		s.fail("setting categories.count is missing or 0")
-	}
-	for i := range out {
-		at := fmt.Sprintf("categories.%d.", i)
-		out[i] = policy.Category{
-			Benefit: s.number(at + "benefit"),
-			Late:    s.numberOr(at+"tardy_benefit", 0),
-			Target:  s.span(at + "target_latency"),
-			TTL:     s.span(at + "ttl"),
-			Repeat: choice(s, at+"effect", map[string]policy.Repeat{"idempotent": policy.Redeliverable,
+	categories := make([]policy.Category, s.listLength("categories"))
+	if len(categories) == 0 {
+		s.recordError("setting categories.count is missing or 0")
+	}
+	for i := range categories {
+		prefix := fmt.Sprintf("categories.%d.", i)
+		categories[i] = policy.Category{
+			Benefit: s.number(prefix + "benefit"),
+			Late:    s.numberOr(prefix+"tardy_benefit", 0),
+			Target:  s.duration(prefix + "target_latency"),
+			TTL:     s.duration(prefix + "ttl"),
+			Repeat: enumValue(s, prefix+"effect", map[string]policy.Repeat{"idempotent": policy.Redeliverable,
 				"deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}),
-			Window: MillisToMicros(s.numberOr(at+"repeat_window", 0)),
+			Window: MillisToMicros(s.numberOr(prefix+"repeat_window", 0)),
 		}
-		if out[i].Repeat == policy.Deduplicated {
-			out[i].Scope = choice(s, at+"key_scope", map[string]policy.Scope{"all": policy.ScopeAll,
+		if categories[i].Repeat == policy.Deduplicated {
+			categories[i].Scope = enumValue(s, prefix+"key_scope", map[string]policy.Scope{"all": policy.ScopeAll,
 				"zone": policy.ScopeZone, "cell": policy.ScopeCell})
 		}
 	}
-	return out
+	return categories
 }
 
 // list gives a list of plain values.
-func (s *settings) list(key string) []string {
-	if value := s.pairs[key]; value != "" {
+func (s *settings) stringList(key string) []string {
+	if value := s.values[key]; value != "" {
 		return strings.Split(value, ",")
 	}
 	return nil
 }
 
 // names gives the names of a list of objects.
-func (s *settings) names(key string) []string {
-	out := make([]string, s.count(key))
-	for i := range out {
-		out[i] = s.text(fmt.Sprintf("%s.%d.name", key, i))
+func (s *settings) objectNames(key string) []string {
+	names := make([]string, s.listLength(key))
+	for i := range names {
+		names[i] = s.text(fmt.Sprintf("%s.%d.name", key, i))
 	}
-	return out
+	return names
 }
 
 // Micros turns the settings' milliseconds into the module's whole microseconds.
@@ -208,29 +208,29 @@
 
 // ParseRules reads the rules from path=value lines.
 func ParseRules(text []byte) (*Rules, error) {
-	s := fromText(text)
+	s := settingsFromText(text)
 	rules := s.rules()
 	return rules, s.err
 }
 
 func (s *settings) rules() *Rules {
-	r := &Rules{
-		Topology: policy.Place{Tier: s.whole("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
-			Nodes: s.whole("fleet_size"), Number: s.whole("slot_no"),
-			Zone: policy.ZoneID(s.whole("az")), Cross: s.numberOr("prices.cross_zone", 0),
-			Peers: s.flagOr("limits.peers", false), Tick: s.span("tick")},
-		PushLimits: policy.PushRule{Max: s.whole("limits.max_pushes"), Duplicate: s.flag("limits.may_duplicate"),
-			Cancel: s.flag("limits.may_cancel"), Dial: s.span("limits.dial_timeout")},
-		ColdStart: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.span("safety.cold"),
-			Factor: s.number("safety.overload_factor"), Window: s.span("safety.tip_after")},
+	rules := &Rules{
+		Topology: policy.Place{Tier: s.integer("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
+			Nodes: s.integer("fleet_size"), Number: s.integer("slot_no"),
+			Zone: policy.ZoneID(s.integer("az")), Cross: s.numberOr("prices.cross_zone", 0),
+			Peers: s.booleanOr("limits.peers", false), Tick: s.duration("tick")},
+		PushLimits: policy.PushRule{Max: s.integer("limits.max_pushes"), Duplicate: s.boolean("limits.may_duplicate"),
+			Cancel: s.boolean("limits.may_cancel"), Dial: s.duration("limits.dial_timeout")},
+		ColdStart: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.duration("safety.cold"),
+			Factor: s.number("safety.overload_factor"), Window: s.duration("safety.tip_after")},
 		Registry: policy.RegistryRule{
-			Ask:    choice(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
+			Ask:    enumValue(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
 			Within: MillisToMicros(s.numberOr("safety.must_ask_in", 0))},
 		DrainGrace: MillisToMicros(s.numberOr("safety.drain_grace", 0)),
 		Categories: s.categories(),
 	}
-	if s.flag("limits.retry_after") {
-		r.PushLimits.RetryAfter = s.span("limits.max_retry_after")
+	if s.boolean("limits.retry_after") {
+		rules.PushLimits.RetryAfter = s.duration("limits.max_retry_after")
 	}
-	return r
+	return rules
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -19,92 +19,92 @@
 	LocalIP  netip.Addr // that calls come from; invalid: any
 }
 
-const mostReplicas = 7
+const maxReplicas = 7
 
 // parseStore reads the key store; left out, the configuration is the file alone.
 func parseStore(raw json.RawMessage) (*Store, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
 	}
-	d := struct {
+	document := struct {
 		Replicas []string `json:"replicas"`
 		Service  string   `json:"service"`
 		Bind     string   `json:"bind"`
 	}{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&d); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("key store.%s: a %s can't be used here", kind.Field, kind.Value)
+	if err := decoder.Decode(&document); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("key store.%s: a %s can't be used here", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("key store: %w", err)
 	}
-	s := &Store{Service: d.Service}
-	if len(d.Replicas) == 0 || len(d.Replicas) > mostReplicas {
-		return nil, fmt.Errorf("key store.replicas: %d addresses are not from 1 to %d", len(d.Replicas), mostReplicas)
+	store := &Store{Service: document.Service}
+	if len(document.Replicas) == 0 || len(document.Replicas) > maxReplicas {
+		return nil, fmt.Errorf("key store.replicas: %d addresses are not from 1 to %d", len(document.Replicas), maxReplicas)
 	}
-	for _, text := range d.Replicas {
-		a, err := netip.ParseAddrPort(text)
-		if err != nil || a.Port() == 0 {
+	for _, text := range document.Replicas {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil || addr.Port() == 0 {
 			return nil, fmt.Errorf("key store.replicas: %q is no IP address with a port", text)
 		}
-		s.Replicas = append(s.Replicas, a.String())
+		store.Replicas = append(store.Replicas, addr.String())
 	}
-	if strings.ContainsAny(s.Service, "/:, ") {
-		return nil, fmt.Errorf("key store.service: %q is no name", s.Service)
+	if strings.ContainsAny(store.Service, "/:, ") {
+		return nil, fmt.Errorf("key store.service: %q is no name", store.Service)
 	}
-	if d.Bind != "" {
+	if document.Bind != "" {
 		var err error
-		if s.LocalIP, err = netip.ParseAddr(d.Bind); err != nil {
-			return nil, fmt.Errorf("key store.bind: %q is no IP address", d.Bind)
+		if store.LocalIP, err = netip.ParseAddr(document.Bind); err != nil {
+			return nil, fmt.Errorf("key store.bind: %q is no IP address", document.Bind)
 		}
 	}
-	return s, nil
+	return store, nil
 }
 
 // explainStore says in words what the key comes to.
-func (c *Config) explainStore(line func(format string, args ...any)) {
-	s := c.Store
-	if s == nil {
+func (c *Config) explainStore(writeLine func(format string, args ...any)) {
+	store := c.Store
+	if store == nil {
 		return
 	}
 	service := "no service's"
-	if s.Service != "" {
-		service = fmt.Sprintf("service %q's", s.Service)
+	if store.Service != "" {
+		service = fmt.Sprintf("service %q's", store.Service)
 	}
-	line("Changes of configuration come from the store at %v: those for all nodes, %s, and the node's own, laid over this file in that order.",
-		s.Replicas, service)
-	line("Where none of them can be reached the node runs what it runs; at its start that is the file.")
+	writeLine("Changes of configuration come from the store at %v: those for all nodes, %s, and the node's own, laid over this file in that order.",
+		store.Replicas, service)
+	writeLine("Where none of them can be reached the node runs what it runs; at its start that is the file.")
 }
 
 // Changeable are the keys that a change may hold, and those of settings that only a change for one node may.
 var (
-	changeable = []string{"settings", "log_level", "discovery"}
-	ownAlone   = []string{"slot_no", "az", "fleet_size"}
+	changeableKeys   = []string{"settings", "log_level", "discovery"}
+	nodeOnlySettings = []string{"slot_no", "az", "fleet_size"}
 )
 
 // CheckPatch says what a change may not hold, by its key. One is whether it is for a single node.
-func CheckPatch(patch json.RawMessage, one bool) error {
-	var top map[string]json.RawMessage
-	if err := json.Unmarshal(patch, &top); err != nil {
+func CheckPatch(patch json.RawMessage, singleNode bool) error {
+	var patched map[string]json.RawMessage
+	if err := json.Unmarshal(patch, &patched); err != nil {
 		return fmt.Errorf("the patch is no object: %w", err)
 	}
-	if len(top) == 0 {
+	if len(patched) == 0 {
 		return errors.New("the patch is empty")
 	}
-	for key := range top {
-		if !contains(changeable, key) {
-			return fmt.Errorf("key %s can't be changed by a change: %s can", key, strings.Join(changeable, ", "))
+	for key := range patched {
+		if !contains(changeableKeys, key) {
+			return fmt.Errorf("key %s can't be changed by a change: %s can", key, strings.Join(changeableKeys, ", "))
 		}
 	}
-	if raw, has := top["settings"]; has {
+	if raw, found := patched["settings"]; found {
 		var settings map[string]json.RawMessage
 		if err := json.Unmarshal(raw, &settings); err != nil {
 			return errors.New("key settings: no object")
 		}
-		for _, key := range ownAlone {
-			if _, has := settings[key]; has && !one {
+		for _, key := range nodeOnlySettings {
+			if _, found := settings[key]; found && !singleNode {
 				return fmt.Errorf("key settings.%s is a node's own: a change for one node may hold it", key)
 			}
 		}
@@ -112,9 +112,9 @@
 	return nil
 }
 
-func contains(all []string, one string) bool {
-	for _, s := range all {
-		if s == one {
+func contains(values []string, wanted string) bool {
+	for _, value := range values {
+		if value == wanted {
 			return true
 		}
 	}
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -41,8 +41,8 @@
 		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
 		"the kernel is not asked for the client":   {"../node/op.go", "if o.Client.Left() {", "if false {", "internal/node", "TestKeptBack"},
 		"a client counts as there for long":        {"../node/op.go", "askAfter = 10", "askAfter = 110", "internal/node", "TestKeptBack"},
-		"a hung call is waited for alone":          {"../registry/registry.go", "if out < 2 {", "if out < 1 {", "internal/registry", "TestToldOnceBack$"},
-		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(wait):\n\t\tr.Watch()", "case <-time.After(wait):\n\t\tif r.unasked.Load() {\n\t\t\tr.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
+		"a hung call is waited for alone":          {"../registry/registry.go", "if pending < 2 {", "if pending < 1 {", "internal/registry", "TestToldOnceBack$"},
+		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(delay):\n\t\tc.Watch()", "case <-time.After(delay):\n\t\tif c.autoWatch.Load() {\n\t\t\tc.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
 		"clients can take every descriptor":        {"../sockets/sockets.go", "reserve = 24", "reserve = -60", "cmd/canvasrouter", "TestIdleCrowd"},
 		"a minority decides":                       {"../store/round.go", "r.replicas/2 + 1", "r.replicas / 2", "internal/store", "TestRegisterProperties"},
 		"an earlier value is taken for the latest": {"../store/round.go", "best.Value == nil || p.Accepted.Compare(best.Accepted) > 0", "best.Value == nil", "internal/store", "TestRegisterProperties"},
@@ -60,9 +60,9 @@
 		"the backlog is reset at the end":          {"../clients/listener.go", "by.Before(end);", "by.Before(end) && false;", "internal/clients", "TestBacklogAtTheEnd"},
 		"its id is not given back":                 {"../clients/clients.go", "s.ids.give(id)\n\t\t\tbody", "body", "internal/clients", "TestLeftInBacklog"},
 		"unread bytes are closed away":             {"../clients/listener.go", " && !unread(c.tcp)", "", "internal/clients", "TestHalfUnread"},
-		"a silent watch waits":                     {"../registry/registry.go", "least := 1; errors.Is", "least := 1; false && errors.Is", "internal/registry", "TestWatch"},
-		"an older whole list is taken":             {"../registry/registry.go", "if generation < r.generation {", "if false {", "internal/registry", "TestWatch"},
-		"a watch comes back ever later":            {"../registry/registry.go", "most = min(most, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
+		"a silent watch waits":                     {"../registry/registry.go", "minLines := 1; errors.Is", "minLines := 1; false && errors.Is", "internal/registry", "TestWatch"},
+		"an older whole list is taken":             {"../registry/registry.go", "if generation < c.generation {", "if false {", "internal/registry", "TestWatch"},
+		"a watch comes back ever later":            {"../registry/registry.go", "limit = min(limit, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
 		"an op without benefit is nacked":          {"../../policy/policy.go", "cmp.Or(n.levels[len(n.levels)-1], 1)", "n.levels[len(n.levels)-1]", "policy", "TestNoBenefit"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -14,113 +14,113 @@
 )
 
 // document is the registry's form of a list.
-type document struct {
-	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"`
-	Instances  []instance `json:"instances"`
+type listDocument struct {
+	Generation uint64             `json:"generation"`
+	Reset      bool               `json:"reset"`
+	Instances  []instanceDocument `json:"instances"`
 }
 
-type instance struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      uint16  `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   float64 `json:"startedAtMs"`
+type instanceDocument struct {
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        uint16  `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.ServerState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+var lifecycleStates = map[string]policy.ServerState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
 // names gives words their numbers: a server keeps its number while it is on the list, and since that is a hash of its
 // id, it has the same one when it comes back. Zones and kinds keep theirs for the life of the process.
-type names struct {
-	servers      map[string]policy.ServerID
-	taken        map[policy.ServerID]bool
-	zones, kinds []string
-	lock         sync.Mutex // of zones: new settings look one up
+type idAllocator struct {
+	serverIDs           map[string]policy.ServerID
+	usedIDs             map[policy.ServerID]bool
+	zones, machineTypes []string
+	zonesMu             sync.Mutex // of zones: new settings look one up
 }
 
-func newNames(zones, kinds []string) *names {
-	return &names{servers: make(map[string]policy.ServerID), taken: make(map[policy.ServerID]bool),
-		zones: slices.Clone(zones), kinds: slices.Clone(kinds)}
+func newIDAllocator(zones, machineTypes []string) *idAllocator {
+	return &idAllocator{serverIDs: make(map[string]policy.ServerID), usedIDs: make(map[policy.ServerID]bool),
+		zones: slices.Clone(zones), machineTypes: slices.Clone(machineTypes)}
 }
 
 // server hashes a text id. The module puts servers in order of their ids and spreads nodes evenly over that
 // order, so it must be the same at every node; numbers given in order of arrival would not be.
-func (n *names) server(id string) policy.ServerID {
-	if known, found := n.servers[id]; found {
+func (a *idAllocator) serverID(instanceID string) policy.ServerID {
+	if known, found := a.serverIDs[instanceID]; found {
 		return known
 	}
 	hash := fnv.New64a()
-	hash.Write([]byte(id))
-	number := policy.ServerID(hash.Sum64() >> 16) // 48 bits, as the simulator's addresses
-	for n.taken[number] {
-		number++
+	hash.Write([]byte(instanceID))
+	serverID := policy.ServerID(hash.Sum64() >> 16) // 48 bits, as the simulator's addresses
+	for a.usedIDs[serverID] {
+		serverID++
 	}
-	n.taken[number], n.servers[id] = true, number
-	return number
+	a.usedIDs[serverID], a.serverIDs[instanceID] = true, serverID
+	return serverID
 }
 
 // forget gives a number back. Danger: ids are ever new on long days, and a number kept for each would fill the memory.
-func (n *names) forget(id string) {
-	delete(n.taken, n.servers[id])
-	delete(n.servers, id)
+func (a *idAllocator) releaseServer(instanceID string) {
+	delete(a.usedIDs, a.serverIDs[instanceID])
+	delete(a.serverIDs, instanceID)
 }
 
 // index numbers a word; those past the last number share it.
-func index(list *[]string, word string) uint8 {
-	at := slices.Index(*list, word)
-	if at < 0 && len(*list) <= math.MaxUint8 {
-		at = len(*list)
-		*list = append(*list, word)
+func nameIndex(names *[]string, name string) uint8 {
+	position := slices.Index(*names, name)
+	if position < 0 && len(*names) <= math.MaxUint8 {
+		position = len(*names)
+		*names = append(*names, name)
 	}
-	if at < 0 {
+	if position < 0 {
 		return math.MaxUint8
 	}
-	return uint8(at)
+	return uint8(position)
 }
 
-func (n *names) zone(word string) uint8 {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	return index(&n.zones, word)
+func (a *idAllocator) zoneIndex(name string) uint8 {
+	a.zonesMu.Lock()
+	defer a.zonesMu.Unlock()
+	return nameIndex(&a.zones, name)
 }
 
 // parse reads one line of the list.
-func (n *names) parse(raw []byte) (*node.List, uint64, error) {
-	var d document
-	if err := json.Unmarshal(raw, &d); err != nil {
+func (a *idAllocator) parseList(raw []byte) (*node.List, uint64, error) {
+	var document listDocument
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, 0, err
 	}
 	list := &node.List{Form: policy.ListChanges}
-	if d.Reset {
+	if document.Reset {
 		list.Form = policy.ListWhole
 	}
-	listed := make(map[string]bool, len(d.Instances))
-	for _, i := range d.Instances {
-		state, known := lifecycles[i.Lifecycle]
+	onListByID := make(map[string]bool, len(document.Instances))
+	for _, instance := range document.Instances {
+		state, known := lifecycleStates[instance.Lifecycle]
 		if !known {
-			return nil, 0, fmt.Errorf("instance %q: unknown lifecycle %q", i.ID, i.Lifecycle)
+			return nil, 0, fmt.Errorf("instance %q: unknown lifecycle %q", instance.ID, instance.Lifecycle)
 		}
-		if _, _, err := net.SplitHostPort(i.Addr); state != policy.Gone && (err != nil || i.ID == "") {
-			return nil, 0, fmt.Errorf("instance %q: hostPort %q", i.ID, i.Addr)
+		if _, _, err := net.SplitHostPort(instance.Addr); state != policy.Gone && (err != nil || instance.ID == "") {
+			return nil, 0, fmt.Errorf("instance %q: hostPort %q", instance.ID, instance.Addr)
 		}
-		if !(i.Weight > 0) {
-			i.Weight = 1
+		if !(instance.Weight > 0) {
+			instance.Weight = 1
 		}
-		list.Entries = append(list.Entries, policy.Entry{Server: n.server(i.ID),
-			Started: policy.Micros(i.Started) * policy.Millisecond, Weight: i.Weight,
-			Cell: policy.CellID(i.Cell), Kind: policy.KindID(index(&n.kinds, i.Kind)),
-			Zone: policy.ZoneID(n.zone(i.Zone)), State: state})
-		list.Addrs = append(list.Addrs, i.Addr)
-		listed[i.ID] = state != policy.Gone
+		list.Entries = append(list.Entries, policy.Entry{Server: a.serverID(instance.ID),
+			Started: policy.Micros(instance.StartedAtMs) * policy.Millisecond, Weight: instance.Weight,
+			Cell: policy.CellID(instance.Cell), Kind: policy.KindID(nameIndex(&a.machineTypes, instance.MachineType)),
+			Zone: policy.ZoneID(a.zoneIndex(instance.Zone)), State: state})
+		list.Addrs = append(list.Addrs, instance.Addr)
+		onListByID[instance.ID] = state != policy.Gone
 	}
-	for id := range n.servers {
-		if still, told := listed[id]; told && !still || !told && d.Reset {
-			n.forget(id)
+	for id := range a.serverIDs {
+		if onList, included := onListByID[id]; included && !onList || !included && document.Reset {
+			a.releaseServer(id)
 		}
 	}
-	return list, d.Generation, nil
+	return list, document.Generation, nil
 }
--- a/internal/registry/told_test.go
+++ b/internal/registry/recovery_test.go
@@ -32,11 +32,11 @@
 	"503":                  func(*http.Request) (*http.Response, error) { return reply(http.StatusServiceUnavailable, ""), nil },
 	"reset after the head": func(*http.Request) (*http.Response, error) { return reply(http.StatusOK, ""), nil },
 	"half an answer, then its end": func(*http.Request) (*http.Response, error) {
-		return reply(http.StatusOK, line(42, true)[:20]), nil
+		return reply(http.StatusOK, listLine(42, true)[:20]), nil
 	},
 	"never up": func(r *http.Request) (*http.Response, error) {
 		select {
-		case <-time.After(dialWait):
+		case <-time.After(dialTimeout):
 			return nil, errors.New("dial timed out")
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
@@ -47,7 +47,7 @@
 		return nil, r.Context().Err()
 	},
 	"half an answer, then silence": func(r *http.Request) (*http.Response, error) {
-		return hanging(r, line(42, true)[:20]), nil
+		return hanging(r, listLine(42, true)[:20]), nil
 	},
 	"503 after some seconds": func(r *http.Request) (*http.Response, error) {
 		select {
@@ -138,7 +138,7 @@
 		begun := time.Now()
 		r := New(Options{AutoWatch: unasked, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
 		var mu sync.Mutex
-		r.client.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
+		r.httpClient.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
 			mu.Lock()
 			is := time.Since(begun) < down
 			if is {
@@ -148,7 +148,7 @@
 			if is {
 				return way(q)
 			}
-			return hanging(q, line(50, true, entry("s-1", "leaving", "127.0.0.1:1", 0))+"\n"), nil
+			return hanging(q, listLine(50, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0))+"\n"), nil
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -252,7 +252,7 @@
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
-	text := line(50, true, entry("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
+	text := listLine(50, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 	switch {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -23,25 +23,25 @@
 )
 
 const (
-	path = "/api/targets"
+	targetsPath = "/api/targets"
 	// mostSilence ends a watch: while nothing changes an empty line comes every 2 s. Danger: a node that is cut
 	// off from the registry counts as told of a change 6 s after it; one that waits out three lines could not
 	// ask again in time.
-	mostSilence = 2*2*time.Second + 200*time.Millisecond
+	maxSilence = 2*2*time.Second + 200*time.Millisecond
 	// hurry is how long a call may bring nothing before another is made beside it. Danger: a change counts as told 6 s after
 	// the registry had it and could be reached, and a call that went out before that may never be answered. But the registry
 	// works through calls in turn, for some seconds, and one that is given up has to queue anew; so it stays.
-	hurry = 3 * time.Second
+	hedgeDelay = 3 * time.Second
 	// wholeWait ends the call for a whole list, beside a watch that can't be read.
-	wholeWait = 4 * time.Second
+	fullListTimeout = 4 * time.Second
 	// mostWait is the longest from a call that fails to the next, both from their beginnings, whoever asks: half of those 6 s.
-	mostWait  = 3 * time.Second
-	dialWait  = time.Second
-	longest   = 8 << 20 // of a line
-	mostAgain = 8       // times Again
+	maxRetryDelay    = 3 * time.Second
+	dialTimeout      = time.Second
+	maxLineBytes     = 8 << 20 // of a line
+	maxBackoffFactor = 8       // times Again
 	// soon is the most that the first try waits after a watch that stood, in parts of Again. Danger: the whole fleet's
 	// watches may end together, and without any wait all come back in one moment.
-	soon = 4
+	firstRetryDivisor = 4
 )
 
 var errSilent = errors.New("silent")
@@ -58,33 +58,33 @@
 
 // Registry is the actor. Known comes before Run.
 type Client struct {
-	options    Options
-	log        zerolog.Logger
-	names      *names
-	generation uint64
-	held       bool // a list is held: a watch asks only for what came after it
-	silence    time.Duration
-	hurry      time.Duration
-	client     *http.Client
-	unasked    atomic.Bool   // as the options say, or Unasked
-	asked      chan struct{} // holds one: asking twice is asking once
-	calling    atomic.Bool   // a call is out that has brought nothing yet
-	called     time.Time     // the last call
-	moved      chan string   // holds one: where the registry is now
-	tell       func(*node.List)
-	again      time.Duration // present wait where changes come unasked
-	grace      atomic.Int64  // as the options say, or Unasked
-	lines      int           // that the present watch has brought
-	rng        *rand.Rand
+	options       Options
+	log           zerolog.Logger
+	ids           *idAllocator
+	generation    uint64
+	hasList       bool // a list is held: a watch asks only for what came after it
+	maxSilence    time.Duration
+	hedgeDelay    time.Duration
+	httpClient    *http.Client
+	autoWatch     atomic.Bool   // as the options say, or Unasked
+	watchRequests chan struct{} // holds one: asking twice is asking once
+	callPending   atomic.Bool   // a call is out that has brought nothing yet
+	lastCall      time.Time     // the last call
+	newAddrs      chan string   // holds one: where the registry is now
+	notify        func(*node.List)
+	retryDelay    time.Duration // present wait where changes come unasked
+	drainGrace    atomic.Int64  // as the options say, or Unasked
+	lineCount     int           // that the present watch has brought
+	rng           *rand.Rand
 }
 
 // New makes the actor.
 func New(options Options, part *sockets.Part, log zerolog.Logger) *Client {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialWait}, Part: part}
-	r := &Client{options: options, log: log, names: newNames(options.Zones, options.MachineTypes),
-		asked: make(chan struct{}, 1), moved: make(chan string, 1), silence: mostSilence, hurry: hurry,
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Part: part}
+	c := &Client{options: options, log: log, ids: newIDAllocator(options.Zones, options.MachineTypes),
+		watchRequests: make(chan struct{}, 1), newAddrs: make(chan string, 1), maxSilence: maxSilence, hedgeDelay: hedgeDelay,
 		rng: rand.New(rand.NewSource(int64(options.Seed))),
-		client: &http.Client{
+		httpClient: &http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 					return dialer.Dial(ctx, network, addr)
@@ -95,82 +95,82 @@
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}}
-	r.unasked.Store(options.AutoWatch)
-	r.grace.Store(int64(options.DrainGrace))
-	r.again = r.first()
-	return r
+	c.autoWatch.Store(options.AutoWatch)
+	c.drainGrace.Store(int64(options.DrainGrace))
+	c.retryDelay = c.firstRetryDelay()
+	return c
 }
 
 // Known reads the list that the node last had; it may be empty.
-func (r *Client) LoadCached(raw []byte) (*node.List, error) {
+func (c *Client) LoadCached(raw []byte) (*node.List, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return &node.List{Form: policy.ListCached}, nil
 	}
-	list, generation, err := r.names.parse(raw)
+	list, generation, err := c.ids.parseList(raw)
 	if err != nil {
 		return nil, fmt.Errorf("config: key known: %w", err)
 	}
-	r.generation, r.held = generation, true
+	c.generation, c.hasList = generation, true
 	list.Form = policy.ListCached
 	return list, nil
 }
 
 // first is the wait before the first try after a watch that stood.
-func (r *Client) first() time.Duration { return r.options.BaseRetryDelay / soon }
+func (c *Client) firstRetryDelay() time.Duration { return c.options.BaseRetryDelay / firstRetryDivisor }
 
 // most is the longest wait between two tries. Danger: a registry that is back is to be heard in time; where changes come
 // unasked they count as told whether or not the node listens, and one that comes back late would push to servers past the
 // grace of their drain.
-func (r *Client) most() time.Duration {
-	most := min(mostAgain*r.options.BaseRetryDelay, mostWait)
-	if grace := time.Duration(r.grace.Load()); grace > 0 && r.unasked.Load() {
-		most = min(most, grace/2)
+func (c *Client) retryDelayLimit() time.Duration {
+	limit := min(maxBackoffFactor*c.options.BaseRetryDelay, maxRetryDelay)
+	if grace := time.Duration(c.drainGrace.Load()); grace > 0 && c.autoWatch.Load() {
+		limit = min(limit, grace/2)
 	}
-	return max(most, r.first())
+	return max(limit, c.firstRetryDelay())
 }
 
 // Unasked says whether changes come without the module asking from now on, and the grace of drains.
-func (r *Client) SetAutoWatch(is bool, grace time.Duration) {
-	r.grace.Store(int64(grace))
-	if r.unasked.Swap(is) != is && is {
-		r.Watch()
+func (c *Client) SetAutoWatch(enabled bool, drainGrace time.Duration) {
+	c.drainGrace.Store(int64(drainGrace))
+	if c.autoWatch.Swap(enabled) != enabled && enabled {
+		c.Watch()
 	}
 }
 
 // Zone is a zone's number, as lists have it.
-func (r *Client) ZoneID(word string) policy.ZoneID { return policy.ZoneID(r.names.zone(word)) }
+func (c *Client) ZoneID(name string) policy.ZoneID { return policy.ZoneID(c.ids.zoneIndex(name)) }
 
 // Watch asks for changes from now on. It does not wait. Danger: a call that has not been answered yet has its turn at the
 // registry; asking again must not make it lose that, and its answer or its failure is told in any case.
-func (r *Client) Watch() {
-	if r.calling.Load() {
+func (c *Client) Watch() {
+	if c.callPending.Load() {
 		return
 	}
 	select {
-	case r.asked <- struct{}{}:
+	case c.watchRequests <- struct{}{}:
 	default:
 	}
 }
 
 // Move says that the registry is at another address from now on. It does not wait; only one goroutine calls it.
-func (r *Client) SetAddr(addr string) {
+func (c *Client) SetAddr(addr string) {
 	select {
-	case <-r.moved: // an older one that nobody has taken yet
+	case <-c.newAddrs: // an older one that nobody has taken yet
 	default:
 	}
-	r.moved <- addr
+	c.newAddrs <- addr
 }
 
 // Run follows the list until ctx is done, and tells what the registry says. Asking while a watch stands ends that
 // one and begins another, and so does a move: the new address is asked at once, from the generation held, and the
 // end of the watch at the old one is no failure.
-func (r *Client) Run(ctx context.Context, tell func(*node.List)) {
-	r.tell = tell
+func (c *Client) Run(ctx context.Context, notify func(*node.List)) {
+	c.notify = notify
 	ended := make(chan struct{})
 	close(ended)
 	cancel := context.CancelFunc(func() {})
-	if r.unasked.Load() {
-		r.Watch()
+	if c.autoWatch.Load() {
+		c.Watch()
 	}
 	for {
 		select {
@@ -178,123 +178,123 @@
 			cancel()
 			<-ended
 			return
-		case <-r.asked:
+		case <-c.watchRequests:
 			cancel()
 			<-ended
-		case addr := <-r.moved:
+		case addr := <-c.newAddrs:
 			cancel()
 			<-ended
-			r.options.Addr, r.again = addr, r.first()
-			r.log.Info().Str("addr", addr).Msg("registry moved")
+			c.options.Addr, c.retryDelay = addr, c.firstRetryDelay()
+			c.log.Info().Str("addr", addr).Msg("registry moved")
 		}
-		var watching context.Context
-		watching, cancel = context.WithCancel(ctx)
+		var watchCtx context.Context
+		watchCtx, cancel = context.WithCancel(ctx)
 		ended = make(chan struct{})
 		go func(done chan struct{}) {
 			defer close(done)
-			r.follow(watching)
+			c.runWatch(watchCtx)
 		}(ended)
 	}
 }
 
 // follow holds one watch. Unless it was replaced, its end is told.
-func (r *Client) follow(ctx context.Context) {
-	err := r.watch(ctx)
+func (c *Client) runWatch(ctx context.Context) {
+	err := c.watch(ctx)
 	// Danger: what a silent watch misses counts as told soon after; the wait that spares a registry that is down would
 	// use that time up. So a watch that stood and fell silent is opened anew by itself: the first time, and again if it has
 	// brought more than its first line since.
-	for least := 1; errors.Is(err, errSilent) && r.lines >= least && ctx.Err() == nil; least = 2 {
-		r.log.Warn().Uint64("generation", r.generation).Msg("watch of the list is silent, opened anew")
+	for minLines := 1; errors.Is(err, errSilent) && c.lineCount >= minLines && ctx.Err() == nil; minLines = 2 {
+		c.log.Warn().Uint64("generation", c.generation).Msg("watch of the list is silent, opened anew")
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(r.rng.Int63n(int64(r.first()) + 1))):
-			err = r.watch(ctx)
+		case <-time.After(time.Duration(c.rng.Int63n(int64(c.firstRetryDelay()) + 1))):
+			err = c.watch(ctx)
 		}
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	r.log.Warn().Err(err).Uint64("generation", r.generation).Msg("watch of the list ended")
-	r.tell(&node.List{Form: policy.ListFailed})
+	c.log.Warn().Err(err).Uint64("generation", c.generation).Msg("watch of the list ended")
+	c.notify(&node.List{Form: policy.ListFailed})
 	// Danger: the whole fleet may lose a small registry together; it comes back at random, and ever later. Where the module
 	// asks, it has a plan of its own, which may be later than a change counts as told: the actor steps in before that.
-	r.again = min(r.again, r.most()) // the settings may have changed
-	most := r.again
-	if !r.unasked.Load() {
-		most = r.most()
+	c.retryDelay = min(c.retryDelay, c.retryDelayLimit()) // the settings may have changed
+	limit := c.retryDelay
+	if !c.autoWatch.Load() {
+		limit = c.retryDelayLimit()
 	}
 	// A call that took its time to fail has waited already.
-	wait := max(r.draw(most)-time.Since(r.called), r.draw(r.first()))
-	r.again = min(2*r.again, r.most())
+	delay := max(c.randomDelay(limit)-time.Since(c.lastCall), c.randomDelay(c.firstRetryDelay()))
+	c.retryDelay = min(2*c.retryDelay, c.retryDelayLimit())
 	select {
 	case <-ctx.Done():
-	case <-time.After(wait):
-		r.Watch()
+	case <-time.After(delay):
+		c.Watch()
 	}
 }
 
 // draw is a time of at least half of most, at random.
-func (r *Client) draw(most time.Duration) time.Duration {
-	return most/2 + time.Duration(r.rng.Int63n(int64(most)/2+1))
+func (c *Client) randomDelay(limit time.Duration) time.Duration {
+	return limit/2 + time.Duration(c.rng.Int63n(int64(limit)/2+1))
 }
 
 // stream is a watch that has brought its first line.
-type stream struct {
-	body  io.Closer
-	lines *bufio.Reader
-	first []byte
-	end   context.CancelFunc
+type watchStream struct {
+	body      io.Closer
+	reader    *bufio.Reader
+	firstLine []byte
+	cancel    context.CancelFunc
 }
 
 // open makes a call, and another beside it for as long as nothing comes, two at the most; the first that brings a line is the
 // watch. Silence of all is told as a failure, and the calls go on.
-func (r *Client) open(ctx context.Context, query string) (*stream, error) {
-	r.calling.Store(true)
-	defer r.calling.Store(false)
-	type result struct {
-		*stream
+func (c *Client) openWatch(ctx context.Context, query string) (*watchStream, error) {
+	c.callPending.Store(true)
+	defer c.callPending.Store(false)
+	type callResult struct {
+		*watchStream
 		err error
 	}
-	over, done := context.WithCancel(ctx)
-	results := make(chan result)
-	out := 0
+	waitCtx, endWait := context.WithCancel(ctx)
+	results := make(chan callResult)
+	pending := 0
 	defer func() {
-		done()
-		for ; out > 0; out-- { // each ends with its context
-			if late := <-results; late.stream != nil {
+		endWait()
+		for ; pending > 0; pending-- { // each ends with its context
+			if late := <-results; late.watchStream != nil {
 				late.close()
 			}
 		}
 	}()
-	call := func() {
-		out++
-		r.called = time.Now()
+	startCall := func() {
+		pending++
+		c.lastCall = time.Now()
 		go func() {
-			s, err := r.firstLine(ctx, over, query)
-			results <- result{s, err}
+			stream, err := c.openStream(ctx, waitCtx, query)
+			results <- callResult{stream, err}
 		}()
 	}
-	call()
-	again := time.NewTicker(r.hurry)
-	defer again.Stop()
+	startCall()
+	hedgeTicker := time.NewTicker(c.hedgeDelay)
+	defer hedgeTicker.Stop()
 	for {
 		select {
-		case got := <-results:
-			out--
+		case result := <-results:
+			pending--
 			switch {
-			case got.err == nil:
-				return got.stream, nil
-			case errors.Is(got.err, errSilent) && ctx.Err() == nil:
-				r.log.Warn().Err(got.err).Uint64("generation", r.generation).Msg("call for the list brings nothing")
-				r.tell(&node.List{Form: policy.ListFailed})
-				call()
-				again.Reset(r.hurry)
-			case out == 0:
-				return nil, got.err
+			case result.err == nil:
+				return result.watchStream, nil
+			case errors.Is(result.err, errSilent) && ctx.Err() == nil:
+				c.log.Warn().Err(result.err).Uint64("generation", c.generation).Msg("call for the list brings nothing")
+				c.notify(&node.List{Form: policy.ListFailed})
+				startCall()
+				hedgeTicker.Reset(c.hedgeDelay)
+			case pending == 0:
+				return nil, result.err
 			}
-		case <-again.C:
-			if out < 2 {
-				call()
+		case <-hedgeTicker.C:
+			if pending < 2 {
+				startCall()
 			}
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -303,115 +303,115 @@
 }
 
 // firstLine makes one call and waits for its first line. Over ends the wait, and no watch that stands.
-func (r *Client) firstLine(ctx, over context.Context, query string) (*stream, error) {
+func (c *Client) openStream(ctx, waitCtx context.Context, query string) (*watchStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	end := func() { cancel(nil) }
-	stop := context.AfterFunc(over, end)
+	cancelCall := func() { cancel(nil) }
+	stopWaitHook := context.AfterFunc(waitCtx, cancelCall)
 	// Danger: a registry that is cut off says nothing, for ever.
-	quiet := time.AfterFunc(2*r.hurry, func() { cancel(errSilent) })
-	response, err := r.call(ctx, query)
+	silenceTimer := time.AfterFunc(2*c.hedgeDelay, func() { cancel(errSilent) })
+	response, err := c.get(ctx, query)
 	if err == nil {
-		s := &stream{body: response.Body, lines: bufio.NewReader(response.Body), end: end}
-		if s.first, err = readLine(s.lines); err == nil {
-			if stop() && quiet.Stop() {
-				return s, nil
+		stream := &watchStream{body: response.Body, reader: bufio.NewReader(response.Body), cancel: cancelCall}
+		if stream.firstLine, err = readLine(stream.reader); err == nil {
+			if stopWaitHook() && silenceTimer.Stop() {
+				return stream, nil
 			}
 			err = errSilent // the wait ended just then
 		}
 		response.Body.Close()
 	}
 	err = errors.Join(err, context.Cause(ctx))
-	stop()
-	quiet.Stop()
-	end()
+	stopWaitHook()
+	silenceTimer.Stop()
+	cancelCall()
 	return nil, err
 }
 
-func (s *stream) close() {
-	s.end()
+func (s *watchStream) close() {
+	s.cancel()
 	s.body.Close()
 }
 
-func (r *Client) watch(ctx context.Context) error {
+func (c *Client) watch(ctx context.Context) error {
 	query := "?watch=1"
-	if r.held {
-		query = fmt.Sprintf("?watch=1&from=%d", r.generation)
+	if c.hasList {
+		query = fmt.Sprintf("?watch=1&from=%d", c.generation)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r.lines = 0
-	s, err := r.open(ctx, query)
+	c.lineCount = 0
+	stream, err := c.openWatch(ctx, query)
 	if err != nil {
 		return err
 	}
-	defer s.close()
-	quiet := time.AfterFunc(r.silence, func() { cancel(errSilent) })
-	defer quiet.Stop()
-	part, line := object{}, s.first
-	var covered *uint64 // changes up to here are in a whole list that was asked for on the way
-	for told := false; ; told = true {
-		if told {
-			if line, err = readLine(s.lines); err != nil {
+	defer stream.close()
+	silenceTimer := time.AfterFunc(c.maxSilence, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
+	assembler, line := objectAssembler{}, stream.firstLine
+	var fullListGeneration *uint64 // changes up to here are in a whole list that was asked for on the way
+	for firstLineDone := false; ; firstLineDone = true {
+		if firstLineDone {
+			if line, err = readLine(stream.reader); err != nil {
 				return errors.Join(err, context.Cause(ctx)) // half a line is no line
 			}
 		}
-		r.lines, r.again = r.lines+1, r.first()
-		line, ends := part.add(line)
-		if !ends {
+		c.lineCount, c.retryDelay = c.lineCount+1, c.firstRetryDelay()
+		line, complete := assembler.addLine(line)
+		if !complete {
 			continue // Danger: an object that comes ever further and never ends tells nothing
 		}
-		quiet.Reset(r.silence)
+		silenceTimer.Reset(c.maxSilence)
 		if len(line) == 0 {
-			if !told {
+			if !firstLineDone {
 				// Danger: the module asks again until it hears that it is subscribed, and each call is work for
 				// a small service.
-				r.tell(&node.List{Form: policy.ListChanges})
+				c.notify(&node.List{Form: policy.ListChanges})
 			}
 			continue
 		}
-		list, generation, err := r.names.parse(line)
+		list, generation, err := c.ids.parseList(line)
 		if err != nil {
-			r.log.Error().Err(err).Msg("broken line of the list; asking for the whole list")
-			if list, generation, err = r.whole(ctx); err != nil {
+			c.log.Error().Err(err).Msg("broken line of the list; asking for the whole list")
+			if list, generation, err = c.fetchFullList(ctx); err != nil {
 				return err
 			}
-			if generation < r.generation {
+			if generation < c.generation {
 				// Danger: the registry's answers may lag behind its watches. A list older than a change that was told would
 				// bring a draining server back, and the change is never told again; the watch goes on from what is held.
 				return fmt.Errorf("whole list of generation %d is older than what is held", generation)
 			}
-			quiet.Reset(r.silence)
-			covered = &generation
+			silenceTimer.Reset(c.maxSilence)
+			fullListGeneration = &generation
 		}
-		if list.Form == policy.ListChanges && covered != nil && generation <= *covered {
+		if list.Form == policy.ListChanges && fullListGeneration != nil && generation <= *fullListGeneration {
 			continue // older than the whole list
 		}
-		r.take(list, generation)
+		c.acceptList(list, generation)
 	}
 }
 
-func (r *Client) take(list *node.List, generation uint64) {
-	r.generation, r.held = generation, true
-	r.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
+func (c *Client) acceptList(list *node.List, generation uint64) {
+	c.generation, c.hasList = generation, true
+	c.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
 		Bool("whole", list.Form == policy.ListWhole).Msg("list")
-	r.tell(list)
+	c.notify(list)
 }
 
 // whole asks for the whole list once.
-func (r *Client) whole(ctx context.Context) (*node.List, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, wholeWait)
+func (c *Client) fetchFullList(ctx context.Context) (*node.List, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, fullListTimeout)
 	defer cancel()
-	r.called = time.Now()
-	response, err := r.call(ctx, "")
+	c.lastCall = time.Now()
+	response, err := c.get(ctx, "")
 	if err != nil {
 		return nil, 0, err
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, longest))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
 		return nil, 0, err
 	}
-	list, generation, err := r.names.parse(raw)
+	list, generation, err := c.ids.parseList(raw)
 	if err != nil {
 		return nil, 0, fmt.Errorf("whole list: %w", err)
 	}
@@ -419,13 +419,13 @@
 	return list, generation, nil
 }
 
-func (r *Client) call(ctx context.Context, query string) (*http.Response, error) {
-	r.log.Debug().Str("query", query).Msg("call")
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.options.Addr+path+query, nil)
+func (c *Client) get(ctx context.Context, query string) (*http.Response, error) {
+	c.log.Debug().Str("query", query).Msg("call")
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.options.Addr+targetsPath+query, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := r.client.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -438,40 +438,40 @@
 
 // object is one that may come indented, over several lines. Danger: each of them taken for a broken line would be a call for
 // the whole list, at every node.
-type object struct{ soFar []byte }
+type objectAssembler struct{ buffer []byte }
 
 // add takes a line and gives what ends with it: an object, what can't become one, or an empty line alone. An object ends with a
 // brace; trying it at every line would be work by the square of a list.
-func (o *object) add(line []byte) (whole []byte, ends bool) {
-	first := len(o.soFar) == 0
-	o.soFar = append(o.soFar, line...)
-	if len(line) > 0 && len(o.soFar) <= longest {
-		if !first && line[len(line)-1] != '}' || unfinished(o.soFar) {
+func (a *objectAssembler) addLine(line []byte) (object []byte, complete bool) {
+	isFirstLine := len(a.buffer) == 0
+	a.buffer = append(a.buffer, line...)
+	if len(line) > 0 && len(a.buffer) <= maxLineBytes {
+		if !isFirstLine && line[len(line)-1] != '}' || isIncompleteObject(a.buffer) {
 			return nil, false
 		}
 	}
-	whole, o.soFar = o.soFar, nil
-	return whole, true
+	object, a.buffer = a.buffer, nil
+	return object, true
 }
 
 // unfinished says that raw may be the beginning of an object.
-func unfinished(raw []byte) bool {
-	var any json.RawMessage
-	return errors.Is(json.NewDecoder(bytes.NewReader(raw)).Decode(&any), io.ErrUnexpectedEOF)
+func isIncompleteObject(raw []byte) bool {
+	var value json.RawMessage
+	return errors.Is(json.NewDecoder(bytes.NewReader(raw)).Decode(&value), io.ErrUnexpectedEOF)
 }
 
 // readLine reads up to the line's end and refuses one that has none in reach.
-func readLine(r *bufio.Reader) ([]byte, error) {
+func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
-		part, err := r.ReadSlice('\n')
+		part, err := reader.ReadSlice('\n')
 		line = append(line, part...)
 		switch {
 		case err == nil:
 			return bytes.TrimSpace(line), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
-		case len(line) > longest:
+		case len(line) > maxLineBytes:
 			return nil, errors.New("line is too long")
 		}
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,25 +25,25 @@
 	"canvasrouter/policy"
 )
 
-func line(generation int, reset bool, entries ...string) string {
+func listLine(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(entries, ","))
 }
 
-func entry(id, lifecycle, addr string, started int) string {
+func instanceJSON(id, lifecycle, addr string, startedAtMs int) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"b","machineType":"m2","cell":3,"lifecycle":%q,`+
-		`"weight":1.5,"startedAtMs":%d}`, id, addr, lifecycle, started)
+		`"weight":1.5,"startedAtMs":%d}`, id, addr, lifecycle, startedAtMs)
 }
 
 // follow runs a registry's actor against a stand-in that answers a watch with a script and the whole list with
 // another, until the watch has ended.
-func follow(t *testing.T, script []string, whole string, hold bool) []string {
+func runScript(t *testing.T, script []string, fullList string, keepOpen bool) []string {
 	t.Helper()
-	release := make(chan struct{})
+	releaseWatch := make(chan struct{})
 	var calls []string
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		calls = append(calls, "asked "+r.URL.RequestURI())
-		if r.URL.Query().Get("watch") == "" {
-			fmt.Fprintln(w, whole)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, client *http.Request) {
+		calls = append(calls, "asked "+client.URL.RequestURI())
+		if client.URL.Query().Get("watch") == "" {
+			fmt.Fprintln(w, fullList)
 			return
 		}
 		if len(script) == 1 && script[0] == "down" {
@@ -54,31 +54,31 @@
 			fmt.Fprint(w, s)
 			w.(http.Flusher).Flush()
 		}
-		if hold {
-			<-release
+		if keepOpen {
+			<-releaseWatch
 		}
 	}))
-	defer stand.Close()
-	defer close(release)
+	defer server.Close()
+	defer close(releaseWatch)
 	part := sockets.NewPart(4)
-	r := New(Options{Addr: strings.TrimPrefix(stand.URL, "http://"), Zones: []string{"a", "b"}}, part, zerolog.Nop())
-	if hold {
-		r.silence = 100 * time.Millisecond
+	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, part, zerolog.Nop())
+	if keepOpen {
+		client.maxSilence = 100 * time.Millisecond
 	}
-	known, err := r.LoadCached([]byte(line(41, true, entry("s-1", "active", "127.0.0.1:1", 0))))
+	cached, err := client.LoadCached([]byte(listLine(41, true, instanceJSON("s-1", "active", "127.0.0.1:1", 0))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan *node.List, 16)
+	lists := make(chan *node.List, 16)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
-	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
-	r.Watch()
-	trace := []string{describe(known)}
+	go func() { client.Run(ctx, func(l *node.List) { lists <- l }); close(ended) }()
+	client.Watch()
+	trace := []string{describe(cached)}
 	for trace[len(trace)-1] != "failed" {
 		select {
-		case l := <-told:
+		case l := <-lists:
 			trace = append(trace, describe(l))
 		case <-ctx.Done():
 			t.Fatal("the end of the watch was not told; so far: ", trace)
@@ -114,48 +114,48 @@
 		whole  string
 		want   []string
 	}{
-		"changes": {script: []string{line(42, false, entry("s-1", "leaving", "127.0.0.1:1", 0)) + "\n",
-			line(43, false, entry("s-1", "left", "", 0)) + "\n"},
+		"changes": {script: []string{listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n",
+			listLine(43, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
 			want: []string{cached, "changes draining 127.0.0.1:1 zone 1 started 0", "changes gone  zone 1 started 0",
 				"failed", asked}},
 		"back with another address and start": {script: []string{
-			line(42, false, entry("s-1", "active", "127.0.0.1:2", 77)) + "\n"},
+			listLine(42, false, instanceJSON("s-1", "active", "127.0.0.1:2", 77)) + "\n"},
 			want: []string{cached, "changes ready 127.0.0.1:2 zone 1 started 77", "failed", asked}},
-		"the whole list first": {script: []string{line(3, true) + "\n"}, want: []string{cached, "whole", "failed", asked}},
+		"the whole list first": {script: []string{listLine(3, true) + "\n"}, want: []string{cached, "whole", "failed", asked}},
 		// Danger: unless it hears that it is subscribed, the module asks again and again.
-		"nothing changed":   {script: []string{line(41, false) + "\n"}, want: []string{cached, "changes", "failed", asked}},
+		"nothing changed":   {script: []string{listLine(41, false) + "\n"}, want: []string{cached, "changes", "failed", asked}},
 		"empty lines":       {script: []string{"\n", "\n", "\n"}, want: []string{cached, "changes", "failed", asked}},
-		"half a line":       {script: []string{line(42, true)[:30]}, want: []string{cached, "failed", asked}},
+		"half a line":       {script: []string{listLine(42, true)[:30]}, want: []string{cached, "failed", asked}},
 		"the registry down": {script: []string{"down"}, want: []string{cached, "failed", asked}},
 		// Danger: a registry that is cut off says nothing, and its connection stays open.
 		// Danger: waiting before it is opened anew uses up the time after which what it missed counts as told.
-		"a silent watch": {script: []string{line(42, false) + "\n"}, hold: true,
+		"a silent watch": {script: []string{listLine(42, false) + "\n"}, hold: true,
 			want: []string{cached, "changes", "changes", "failed", asked, "asked /api/targets?watch=1&from=42"}},
-		"indented": {script: []string{indented(line(42, false, entry("s-1", "leaving", "127.0.0.1:1", 0))) + "\n\n",
-			line(43, false, entry("s-1", "left", "", 0)) + "\n"},
+		"indented": {script: []string{indented(listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0))) + "\n\n",
+			listLine(43, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
 			want: []string{cached, "changes draining 127.0.0.1:1 zone 1 started 0", "changes gone  zone 1 started 0",
 				"failed", asked}},
 		"an end in the middle of an indented object": {script: []string{
-			indented(line(42, false, entry("s-1", "leaving", "127.0.0.1:1", 0)))[:38] + "\n"},
+			indented(listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)))[:38] + "\n"},
 			want: []string{cached, "failed", asked}},
 		"an indented object that stops": {script: []string{"{\n  \"generation\": 42,\n\n"},
-			whole: line(44, true, entry("s-2", "active", "127.0.0.1:3", 0)),
+			whole: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
 			want:  []string{cached, "whole ready 127.0.0.1:3 zone 1 started 0", "failed", asked, "asked /api/targets"}},
-		"a broken line": {script: []string{"{nonsense\n", line(44, false, entry("s-1", "left", "", 0)) + "\n",
-			line(45, false, entry("s-1", "left", "", 0)) + "\n"},
-			whole: line(44, true, entry("s-2", "active", "127.0.0.1:3", 0)),
+		"a broken line": {script: []string{"{nonsense\n", listLine(44, false, instanceJSON("s-1", "left", "", 0)) + "\n",
+			listLine(45, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
+			whole: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
 			want: []string{cached, "whole ready 127.0.0.1:3 zone 1 started 0", "changes gone  zone 1 started 0", "failed",
 				asked, "asked /api/targets"}},
 		"a broken line, and a whole list older than a change": {script: []string{
-			line(43, false, entry("s-1", "leaving", "127.0.0.1:1", 0)) + "\n", "{nonsense\n"},
-			whole: line(42, true, entry("s-1", "active", "127.0.0.1:1", 0)),
+			listLine(43, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n", "{nonsense\n"},
+			whole: listLine(42, true, instanceJSON("s-1", "active", "127.0.0.1:1", 0)),
 			want: []string{cached, "changes draining 127.0.0.1:1 zone 1 started 0", "failed", asked,
 				"asked /api/targets"}},
-		"an unknown lifecycle": {script: []string{line(42, false, entry("s-1", "sleeping", "127.0.0.1:1", 0)) + "\n"},
+		"an unknown lifecycle": {script: []string{listLine(42, false, instanceJSON("s-1", "sleeping", "127.0.0.1:1", 0)) + "\n"},
 			whole: "no list either", want: []string{cached, "failed", asked, "asked /api/targets"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, follow(t, c.script, c.whole, c.hold)); diff != "" {
+			if diff := cmp.Diff(c.want, runScript(t, c.script, c.whole, c.hold)); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -176,7 +176,7 @@
 			<-r.Context().Done()
 		}))
 	}
-	first, second := stand("first", line(42, true)), stand("second", line(43, false))
+	first, second := stand("first", listLine(42, true)), stand("second", listLine(43, false))
 	defer first.Close()
 	defer second.Close()
 	down := httptest.NewServer(nil)
@@ -209,7 +209,7 @@
 	watches := make(chan string, 8)
 	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		watches <- r.URL.RequestURI()
-		fmt.Fprintln(w, line(7, true))
+		fmt.Fprintln(w, listLine(7, true))
 	}))
 	defer stand.Close()
 	part := sockets.NewPart(4)
@@ -232,7 +232,7 @@
 // Danger: what has changed meanwhile counts as told once the registry is back, heard or not; a node that waits for long
 // would push to servers past the grace of their drain.
 func TestUnaskedSpread(t *testing.T) {
-	testUnaskedSpread(t, 0, mostWait)
+	testUnaskedSpread(t, 0, maxRetryDelay)
 	testUnaskedSpread(t, 1500*time.Millisecond, 750*time.Millisecond)
 }
 
@@ -243,7 +243,7 @@
 		for seed := range uint64(2) {
 			begun, watched := time.Now(), 0
 			r := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
-			r.client.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
+			r.httpClient.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
 				starts[seed] = append(starts[seed], time.Since(begun))
 				if watched++; watched == answered {
 					return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("\n"))}, nil
@@ -253,18 +253,18 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 			r.Run(ctx, func(*node.List) {})
 			cancel()
-			most := time.Second / soon
+			most := time.Second / firstRetryDivisor
 			for k := 1; k < watched; k++ {
 				if k == answered { // a line, though it told nothing, sets the wait back
-					most = time.Second / soon
+					most = time.Second / firstRetryDivisor
 				}
 				if wait := starts[seed][k] - starts[seed][k-1]; wait < most/2 || wait > most {
 					t.Errorf("grace %v: wait %d is %v, not within half of %v", grace, k, wait, most)
 				}
 				most = min(2*most, longest)
 			}
-			if watched < 6 || r.again != longest {
-				t.Errorf("grace %v: %d watches in 40 s, the wait stands at %v", grace, watched, r.again)
+			if watched < 6 || r.retryDelay != longest {
+				t.Errorf("grace %v: %d watches in 40 s, the wait stands at %v", grace, watched, r.retryDelay)
 			}
 		}
 		if starts[0][1] == starts[1][1] {
@@ -307,7 +307,7 @@
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		t.Fatal(err)
 	}
-	body := line(43, true, entry("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
+	body := listLine(43, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
 	for heard := ""; !strings.Contains(heard, "draining"); {
 		select {
@@ -331,18 +331,18 @@
 
 // Every node puts the same servers in the same order, whatever it heard of first, and an id keeps its number.
 func TestServerIDs(t *testing.T) {
-	one, other := newNames(nil, nil), newNames(nil, nil)
+	one, other := newIDAllocator(nil, nil), newIDAllocator(nil, nil)
 	ids := []string{"s-5be2a07c", "s-1", "s-2", ""}
 	for i := range ids {
-		one.server(ids[i])
-		other.server(ids[len(ids)-1-i])
+		one.serverID(ids[i])
+		other.serverID(ids[len(ids)-1-i])
 	}
-	if diff := cmp.Diff(one.servers, other.servers); diff != "" {
+	if diff := cmp.Diff(one.serverIDs, other.serverIDs); diff != "" {
 		t.Error(diff)
 	}
-	clash := newNames(nil, nil)
-	clash.taken[one.servers["s-1"]] = true
-	if got := clash.server("s-1"); got == one.servers["s-1"] || got != clash.server("s-1") {
+	clash := newIDAllocator(nil, nil)
+	clash.usedIDs[one.serverIDs["s-1"]] = true
+	if got := clash.serverID("s-1"); got == one.serverIDs["s-1"] || got != clash.serverID("s-1") {
 		t.Errorf("a number in use was given again, or not kept: %x", got)
 	}
 }
@@ -350,38 +350,38 @@
 // Danger: on long days ids are ever new. What has left gives its number back, whether told as left or missing from a
 // whole list, and has the same one should it return; words in excess don't take another's number.
 func TestReplacements(t *testing.T) {
-	n := newNames(nil, nil)
+	n := newIDAllocator(nil, nil)
 	id := func(i int) string { return fmt.Sprintf("s-%d", i) }
 	parse := func(reset bool, entries ...string) *node.List {
-		l, _, err := n.parse([]byte(line(1, reset, entries...)))
+		l, _, err := n.parseList([]byte(listLine(1, reset, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	first := parse(true, entry(id(0), "active", "127.0.0.1:1", 0)).Entries[0].Server
+	first := parse(true, instanceJSON(id(0), "active", "127.0.0.1:1", 0)).Entries[0].Server
 	for i := range 5000 {
-		parse(false, entry(id(i+1), "active", "127.0.0.1:1", i), entry(id(i), "left", "", 0))
+		parse(false, instanceJSON(id(i+1), "active", "127.0.0.1:1", i), instanceJSON(id(i), "left", "", 0))
 	}
 	for i := range 5000 {
-		parse(true, entry(id(i), "active", "127.0.0.1:1", i))
+		parse(true, instanceJSON(id(i), "active", "127.0.0.1:1", i))
 	}
-	if len(n.servers) != 1 || len(n.taken) != 1 {
-		t.Errorf("%d ids and %d numbers are kept for one server", len(n.servers), len(n.taken))
+	if len(n.serverIDs) != 1 || len(n.usedIDs) != 1 {
+		t.Errorf("%d ids and %d numbers are kept for one server", len(n.serverIDs), len(n.usedIDs))
 	}
-	if again := parse(false, entry(id(0), "active", "127.0.0.1:1", 9)).Entries[0].Server; again != first {
+	if again := parse(false, instanceJSON(id(0), "active", "127.0.0.1:1", 9)).Entries[0].Server; again != first {
 		t.Errorf("back as %x, was %x", again, first)
 	}
 	var words []string
 	for i := range 1000 {
-		if at := index(&words, id(i)); int(at) != min(i, 255) {
+		if at := nameIndex(&words, id(i)); int(at) != min(i, 255) {
 			t.Fatalf("word %d is number %d", i, at)
 		}
 	}
 }
 
 func TestLineWithoutEnd(t *testing.T) {
-	endless := bufio.NewReader(strings.NewReader(strings.Repeat("x", longest+8192)))
+	endless := bufio.NewReader(strings.NewReader(strings.Repeat("x", maxLineBytes+8192)))
 	if _, err := readLine(endless); err == nil || !strings.Contains(err.Error(), "too long") {
 		t.Errorf("got %v", err)
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -28,10 +28,10 @@
 )
 
 // logLines is how many lines may wait to be written; past that the oldest are lost, and no op waits for one.
-const logLines = 4096
+const logBufferLines = 4096
 
 // lastLines is how long the exit waits for the log's last lines to be written.
-const lastLines = 200 * time.Millisecond
+const logFlushTimeout = 200 * time.Millisecond
 
 // Options are what a program other than the node itself may set. The zero value is the node.
 type Options struct {
@@ -57,11 +57,11 @@
 		fmt.Fprintln(os.Stderr, "canvasrouter:", err)
 		return 2
 	}
-	lines := diode.NewWriter(os.Stderr, logLines, 0, func(lost int) {
+	logWriter := diode.NewWriter(os.Stderr, logBufferLines, 0, func(lost int) {
 		fmt.Fprintln(os.Stderr, "canvasrouter: log lines lost:", lost)
 	})
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log := zerolog.New(lines).With().Timestamp().Str("node", c.Name).Logger()
+	log := zerolog.New(logWriter).With().Timestamp().Str("node", c.Name).Logger()
 	zerolog.SetGlobalLevel(c.LogLevel)
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log.With().Str("from", "library").Logger())
@@ -69,11 +69,11 @@
 	if err != nil {
 		log.Error().Err(err).Msg("node ends")
 	}
-	written := make(chan struct{})
-	go func() { lines.Close(); close(written) }()
+	flushed := make(chan struct{})
+	go func() { logWriter.Close(); close(flushed) }()
 	select {
-	case <-written:
-	case <-time.After(lastLines): // Danger: nobody may read the log any more, and the exit would wait for ever
+	case <-flushed:
+	case <-time.After(logFlushTimeout): // Danger: nobody may read the log any more, and the exit would wait for ever
 	}
 	if err != nil {
 		return 1
@@ -85,110 +85,110 @@
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4) // the rest is stacks and what the kernel counts
 
-	forClients, forServers, forRegistry, most := sockets.Split(c.Sockets)
+	clientSockets, serverSockets, registrySockets, maxPendingOps := sockets.Split(c.Sockets)
 	clock := node.NewClock()
-	r := &running{Options: o, config: c, clock: clock, mostOpen: most, mostOut: forClients.Size(), log: log}
-	first, err := r.generation(c)
+	p := &process{Options: o, config: c, clock: clock, maxPendingOps: maxPendingOps, maxOpsWithPushes: clientSockets.Size(), log: log}
+	firstGeneration, err := p.newGeneration(c)
 	if err != nil {
 		return err
 	}
-	actor := node.New(first.Options, first.Module, clock, log.With().Str("part", "node").Logger())
-	list := registry.New(registry.Options{Addr: c.RegistryAddr, Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes,
-		AutoWatch: !c.Rules.Registry.Ask, BaseRetryDelay: time.Second, DrainGrace: config.Duration(c.Rules.DrainGrace), Seed: c.Seed}, forRegistry,
+	actor := node.New(firstGeneration.Options, firstGeneration.Module, clock, log.With().Str("part", "node").Logger())
+	registryClient := registry.New(registry.Options{Addr: c.RegistryAddr, Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes,
+		AutoWatch: !c.Rules.Registry.Ask, BaseRetryDelay: time.Second, DrainGrace: config.Duration(c.Rules.DrainGrace), Seed: c.Seed}, registrySockets,
 		log.With().Str("part", "registry").Logger())
-	known, err := list.LoadCached(c.CachedList)
+	cachedList, err := registryClient.LoadCached(c.CachedList)
 	if err != nil {
 		return err
 	}
-	pool := servers.New(r.toServers(c), forServers, log.With().Str("part", "servers").Logger(), actor.Ended)
-	front, err := clients.Listen(c.Listen, toClients(c, 0), forClients, actor, clock,
+	serverPool := servers.New(p.serverOptions(c), serverSockets, log.With().Str("part", "servers").Logger(), actor.Ended)
+	clientServer, err := clients.Listen(c.Listen, clientOptions(c, 0), clientSockets, actor, clock,
 		log.With().Str("part", "clients").Logger())
 	if err != nil {
 		return fmt.Errorf("config: key listen: %w", err)
 	}
-	r.actor, r.list, r.pool, r.front = actor, list, pool, front
+	p.actor, p.registry, p.serverPool, p.clientServer = actor, registryClient, serverPool, clientServer
 
-	working, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	actor.Start(pool, list, known)
-	worked := make(chan error, 1)
-	go func() { worked <- actor.Run(working) }()
-	go list.Run(working, actor.Listed)
-	if err := r.hearOthers(c); err != nil {
+	actor.Start(serverPool, registryClient, cachedList)
+	actorEnded := make(chan error, 1)
+	go func() { actorEnded <- actor.Run(runCtx) }()
+	go registryClient.Run(runCtx, actor.Listed)
+	if err := p.startFleet(c); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	defer r.others.close(true)
-	defer r.followStore(c)()
+	defer p.peers.close(true)
+	defer p.followStore(c)()
 	go func() { // until the process ends, also while it drains
 		for {
 			<-reload
-			r.reconfigure()
+			p.reconfigure()
 		}
 	}()
-	served := make(chan error, 1)
-	go func() { served <- front.Serve() }()
-	log.Info().Str("listen", c.Listen).Int("tier", c.Rules.Topology.Tier).Int("servers", len(known.Entries)).
+	serveEnded := make(chan error, 1)
+	go func() { serveEnded <- clientServer.Serve() }()
+	log.Info().Str("listen", c.Listen).Int("tier", c.Rules.Topology.Tier).Int("servers", len(cachedList.Entries)).
 		Int("sockets", c.Sockets).Msg("node starts")
 
 	select {
 	case <-terminate.Done():
 		log.Info().Msg("planned restart: draining")
-		go r.others.leave()
-		front.Drain(served, true)
+		go p.peers.leave()
+		clientServer.Drain(serveEnded, true)
 		log.Info().Msg("drained")
 		return nil
-	case err := <-served:
+	case err := <-serveEnded:
 		return fmt.Errorf("clients: %w", err)
-	case err := <-worked:
-		front.Drain(served, false) // the answers of what was in hand go out
+	case err := <-actorEnded:
+		clientServer.Drain(serveEnded, false) // the answers of what was in hand go out
 		return err
 	}
 }
 
 // running is a node's parts, and the configuration in force.
-type running struct {
+type process struct {
 	*Options
-	config            *config.Config
-	mostOpen, mostOut int // ops in hand that sockets allow, and ops that can have pushes out
-	log               zerolog.Logger
-	actor             *node.Node
-	list              *registry.Client
-	pool              *servers.Pool
-	front             *clients.Server
-	clock             *node.Clock
-	others            others
+	config                          *config.Config
+	maxPendingOps, maxOpsWithPushes int // ops in hand that sockets allow, and ops that can have pushes out
+	log                             zerolog.Logger
+	actor                           *node.Node
+	registry                        *registry.Client
+	serverPool                      *servers.Pool
+	clientServer                    *clients.Server
+	clock                           *node.Clock
+	peers                           peerNetwork
 
 	mu    sync.Mutex // guards config, and that one change at a time is taken over
-	store changes
+	store storeFollower
 }
 
 // generation is the module, unless something else stands in its place, as these settings make it.
-func (r *running) generation(c *config.Config) (*node.Generation, error) {
+func (p *process) newGeneration(c *config.Config) (*node.Generation, error) {
 	for _, key := range c.IgnoredSettings {
-		r.log.Warn().Str("key", key).Msg("setting is no longer heeded")
+		p.log.Warn().Str("key", key).Msg("setting is no longer heeded")
 	}
-	if c.Rules.Topology.Peers && !canHear(c) {
-		r.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
+	if c.Rules.Topology.Peers && !canReachPeers(c) {
+		p.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
 		c.Rules.Topology.Peers = false
 	}
-	g := &node.Generation{Options: node.Options{MostOpen: min(r.mostOpen, c.MaxPendingOps), Slack: c.AnswerSlack}}
-	if r.AdjustAnswerSlack != nil {
-		g.Options.Slack = r.AdjustAnswerSlack(g.Options.Slack)
+	g := &node.Generation{Options: node.Options{MostOpen: min(p.maxPendingOps, c.MaxPendingOps), Slack: c.AnswerSlack}}
+	if p.AdjustAnswerSlack != nil {
+		g.Options.Slack = p.AdjustAnswerSlack(g.Options.Slack)
 	}
-	if r.NewDecider == nil {
+	if p.NewDecider == nil {
 		g.Module = c.Rules.NewNode(c.Seed)
 		return g, nil
 	}
 	var err error
-	g.Module, err = r.NewDecider(c)
+	g.Module, err = p.NewDecider(c)
 	return g, err
 }
 
-func (r *running) toServers(c *config.Config) servers.Options {
-	return servers.Options{Dial: config.Duration(c.Rules.PushLimits.Dial), IdleClose: c.ServerIdleTimeout, MostOut: r.mostOut * c.Rules.PushLimits.Max}
+func (p *process) serverOptions(c *config.Config) servers.Options {
+	return servers.Options{Dial: config.Duration(c.Rules.PushLimits.Dial), IdleClose: c.ServerIdleTimeout, MostOut: p.maxOpsWithPushes * c.Rules.PushLimits.Max}
 }
 
-func toClients(c *config.Config, generation int) clients.Options {
+func clientOptions(c *config.Config, generation int) clients.Options {
 	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
 	for _, category := range c.Rules.Categories {
 		o.Repeats = append(o.Repeats, category.Repeat)
@@ -199,82 +199,82 @@
 
 // reconfigure reads the configuration anew, as at the start, and takes over what can change while the node runs: the
 // settings, where the registry is, and the log level. Ops in hand and connections to clients live through it.
-func (r *running) reconfigure() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	file, err := config.Load(r.Getenv)
+func (p *process) reconfigure() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	file, err := config.Load(p.Getenv)
 	if err == nil {
-		file, err = r.store.over(file)
+		file, err = p.store.overlay(file)
 	}
 	if err == nil {
-		err = r.install(file)
+		err = p.install(file)
 	}
 	if err != nil {
 		// Danger: the file may be half written; what runs is better than nothing.
-		r.log.Error().Err(err).Msg("configuration not taken over, the running one stays")
+		p.log.Error().Err(err).Msg("configuration not taken over, the running one stays")
 		return
 	}
-	r.store.reread(file)
+	p.store.fileReread(file)
 }
 
 // install lets the node go by what was read, whole, or leaves it as it is. The lock is held.
-func (r *running) install(file *config.Config) error {
-	c := r.config
-	next := file.WithFixedKeysOf(c)
-	if err := r.takeOver(c, next); err != nil {
+func (p *process) install(file *config.Config) error {
+	current := p.config
+	next := file.WithFixedKeysOf(current)
+	if err := p.applyChanges(current, next); err != nil {
 		return err
 	}
-	if keys := c.RestartRequiredKeys(file); len(keys) > 0 {
-		r.log.Warn().Strs("keys", keys).Msg("configuration: these keys change with a restart only")
+	if keys := current.RestartRequiredKeys(file); len(keys) > 0 {
+		p.log.Warn().Strs("keys", keys).Msg("configuration: these keys change with a restart only")
 	}
 	zerolog.SetGlobalLevel(next.LogLevel)
-	if next.RegistryAddr != c.RegistryAddr {
-		r.list.SetAddr(next.RegistryAddr)
+	if next.RegistryAddr != current.RegistryAddr {
+		p.registry.SetAddr(next.RegistryAddr)
 	}
-	r.log.Info().Str("discovery", next.RegistryAddr).Msg("configuration taken over")
-	r.config = next
+	p.log.Info().Str("discovery", next.RegistryAddr).Msg("configuration taken over")
+	p.config = next
 	return nil
 }
 
 // takeOver lets the node go by what differs in next.
-func (r *running) takeOver(c, next *config.Config) error {
-	if !c.SameFleet(next) {
-		r.others.close(false)
-		if err := r.hearOthers(next); err != nil {
-			return errors.Join(err, r.hearOthers(c)) // what ran before runs again
+func (p *process) applyChanges(current, next *config.Config) error {
+	if !current.SameFleet(next) {
+		p.peers.close(false)
+		if err := p.startFleet(next); err != nil {
+			return errors.Join(err, p.startFleet(current)) // what ran before runs again
 		}
-		if c.SameSettings(next) && !next.Rules.Topology.Peers {
+		if current.SameSettings(next) && !next.Rules.Topology.Peers {
 			return nil
 		}
-	} else if c.SameSettings(next) {
+	} else if current.SameSettings(next) {
 		return nil
 	}
-	return r.change(next)
+	return p.switchGeneration(next)
 }
 
 // change lets ops that come from now on go by the next settings. Danger: requests must not be read by categories that
 // no module has yet, so the front comes last.
-func (r *running) change(next *config.Config) error {
-	if az := int(next.Rules.Topology.Zone); az < len(next.Names.Zones) {
-		next.Rules.Topology.Zone = r.list.ZoneID(next.Names.Zones[az]) // lists keep the numbers they have
+func (p *process) switchGeneration(next *config.Config) error {
+	if zone := int(next.Rules.Topology.Zone); zone < len(next.Names.Zones) {
+		next.Rules.Topology.Zone = p.registry.ZoneID(next.Names.Zones[zone]) // lists keep the numbers they have
 	}
-	g, err := r.generation(next)
+	g, err := p.newGeneration(next)
 	if err != nil {
 		return err
 	}
-	g.Apply = func() { r.pool.Use(r.toServers(next)) }
-	number, err := r.actor.Switch(g)
+	g.Apply = func() { p.serverPool.Use(p.serverOptions(next)) }
+	number, err := p.actor.Switch(g)
 	if err != nil {
 		return err
 	}
-	r.list.SetAutoWatch(!next.Rules.Registry.Ask, config.Duration(next.Rules.DrainGrace))
-	r.front.Use(toClients(next, number))
+	p.registry.SetAutoWatch(!next.Rules.Registry.Ask, config.Duration(next.Rules.DrainGrace))
+	p.clientServer.Use(clientOptions(next, number))
 	return nil
 }
 
 // Check says what is wrong with a configuration beyond what reading it shows: the list that it starts with.
 func CheckConfig(c *config.Config) error {
-	list := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewPart(1), zerolog.Nop())
-	_, err := list.LoadCached(c.CachedList)
+	client := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewPart(1), zerolog.Nop())
+	_, err := client.LoadCached(c.CachedList)
 	return err
 }
--- a/internal/serve/changes.go
+++ b/internal/serve/store.go
@@ -15,48 +15,48 @@
 )
 
 // changes are those of the store; nil: the file alone says what holds.
-type changes struct{ *apply.Applier }
+type storeFollower struct{ *apply.Applier }
 
 // followStore begins to follow, if the configuration says so.
-func (r *running) followStore(c *config.Config) (stop func()) {
+func (p *process) followStore(c *config.Config) (stop func()) {
 	if c.Store == nil {
 		return func() {}
 	}
-	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Check: CheckConfig, Lock: &r.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
-		Seed: rand.Uint64(), Log: r.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
-			err := r.install(c)
+	p.store.Applier = apply.New(apply.Options{Config: c, Getenv: p.Getenv, Check: CheckConfig, Lock: &p.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
+		Seed: rand.Uint64(), Log: p.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
+			err := p.install(c)
 			if errors.Is(err, node.ErrTooManySwitches) {
 				err = errors.Join(apply.ErrBusy, err)
 			}
 			return err
 		}})
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		defer close(over)
-		r.store.Run(ctx)
+		defer close(ended)
+		p.store.Run(ctx)
 	}()
-	return func() { cancel(); <-over }
+	return func() { cancel(); <-ended }
 }
 
 // over lays what runs of the store over a file that was read anew.
-func (s *changes) over(file *config.Config) (*config.Config, error) {
-	if s.Applier == nil {
+func (f *storeFollower) overlay(file *config.Config) (*config.Config, error) {
+	if f.Applier == nil {
 		return file, nil
 	}
-	return s.Over(file)
+	return f.Over(file)
 }
 
-func (s *changes) reread(file *config.Config) {
-	if s.Applier != nil {
-		s.Reread(file.Raw)
+func (f *storeFollower) fileReread(file *config.Config) {
+	if f.Applier != nil {
+		f.Reread(file.Raw)
 	}
 }
 
 // look is what is known of the store.
-func (s *changes) look() *store.Look {
-	if s.Applier == nil {
+func (f *storeFollower) status() *store.Look {
+	if f.Applier == nil {
 		return nil
 	}
-	return s.Look()
+	return f.Look()
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -16,65 +16,65 @@
 
 // Codes of events and of actions; each direction numbers its own.
 const (
-	evCreate = iota + 1
-	evEndpoints
-	evNewRequest
-	evEstablished
-	evFinished
-	evAbandoned
-	evDue
-	evChecked
-	evInbox
-	evKill
-	evSnapshotRows
+	eventCreate = iota + 1
+	eventEndpoints
+	eventNewRequest
+	eventEstablished
+	eventFinished
+	eventAbandoned
+	eventDue
+	eventChecked
+	eventInbox
+	eventKill
+	eventSnapshotRows
 )
 
 const (
-	actTransmit = 1
-	actRefuse   = 2
-	actAbort    = 3
-	actCancel   = 4
-	actSetAlarm = 5
-	actClose    = 7
-	actNotify   = 8
-	actTrace    = 9
-	actGiveIn   = 10
-	actListen   = 11
+	actionTransmit = 1
+	actionRefuse   = 2
+	actionAbort    = 3
+	actionCancel   = 4
+	actionSetAlarm = 5
+	actionClose    = 7
+	actionNotify   = 8
+	actionTrace    = 9
+	actionGiveIn   = 10
+	actionListen   = 11
 )
 
 const (
-	headerLen  = 16
-	entryLen   = 23
-	lists      = 16   // SNAPSHOT_ROWS numbers
-	maxText    = 4096 // of a TRACE or GIVE_IN
-	flagRepeat = 2    // NEW_REQUEST marks: a repetition by the client
-	formFailed = 3
+	batchHeaderBytes  = 16
+	listEntryBytes    = 23
+	maxLists          = 16   // SNAPSHOT_ROWS numbers
+	maxTextBytes      = 4096 // of a TRACE or GIVE_IN
+	requestFlagRepeat = 2    // NEW_REQUEST marks: a repetition by the client
+	listFormFailed    = 3
 )
 
-var outcomes = map[byte]policy.Outcome{0: policy.Acked, 5: policy.Errored, 11: policy.Full,
+var outcomeByCode = map[byte]policy.Outcome{0: policy.Acked, 5: policy.Errored, 11: policy.Full,
 	110: policy.TimedOut, 111: policy.ConnectFailed, 104: policy.Reset, 125: policy.Cancelled, 114: policy.Moot}
 
-var forms = [...]policy.ListForm{policy.ListChanges, policy.ListWhole, policy.ListCached, policy.ListFailed}
+var listFormByCode = [...]policy.ListForm{policy.ListChanges, policy.ListWhole, policy.ListCached, policy.ListFailed}
 
-var states = map[byte]policy.ServerState{1: policy.Ready, 3: policy.Draining, 2: policy.Gone}
+var serverStateByCode = map[byte]policy.ServerState{1: policy.Ready, 3: policy.Draining, 2: policy.Gone}
 
-func millis(t policy.Micros) float64 { return float64(t) / 1000 }
+func toMillis(t policy.Micros) float64 { return float64(t) / 1000 }
 
 // host holds the nodes of one process and the lists that belong to the process as a whole.
 type host struct {
-	nodes   map[uint32]policy.Decider
-	lists   [lists][]policy.Entry
-	known   [lists]bool
-	input   policy.Input
-	reply   []byte
-	actions uint32
+	nodes       map[uint32]policy.Decider
+	lists       [maxLists][]policy.Entry
+	listKnown   [maxLists]bool
+	input       policy.Input
+	reply       []byte
+	actionCount uint32
 }
 
 // Serve answers batches from r on w until r ends.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, 1<<20), bufio.NewWriterSize(w, 1<<20)
 	h := &host{nodes: make(map[uint32]policy.Decider)}
-	var header [headerLen]byte
+	var header [batchHeaderBytes]byte
 	var body []byte
 	for batch := 1; ; batch++ {
 		if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -92,12 +92,12 @@
 		if n, err := io.ReadFull(in, body); err != nil {
 			return fmt.Errorf("batch %d: %d bytes announced, %d came: %w", batch, length, n, err)
 		}
-		if err := h.batch(config.MillisToMicros(clock), count, body); err != nil {
+		if err := h.decodeBatch(config.MillisToMicros(clock), count, body); err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 		var reply [8]byte
 		binary.BigEndian.PutUint32(reply[:], uint32(len(h.reply)))
-		binary.BigEndian.PutUint32(reply[4:], h.actions)
+		binary.BigEndian.PutUint32(reply[4:], h.actionCount)
 		out.Write(reply[:])
 		out.Write(h.reply)
 		if err := out.Flush(); err != nil {
@@ -106,247 +106,249 @@
 	}
 }
 
-func (h *host) batch(now policy.Micros, count uint32, body []byte) error {
-	h.reply, h.actions = h.reply[:0], 0
-	c := &cursor{rest: body}
+func (h *host) decodeBatch(now policy.Micros, count uint32, body []byte) error {
+	h.reply, h.actionCount = h.reply[:0], 0
+	fields := &fieldReader{remaining: body}
 	for i := uint32(0); i < count; i++ {
-		at := len(body) - len(c.rest)
-		if err := h.record(now, c); err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i+1, at, err)
+		offset := len(body) - len(fields.remaining)
+		if err := h.decodeRecord(now, fields); err != nil {
+			return fmt.Errorf("record %d at byte %d: %w", i+1, offset, err)
 		}
 	}
-	if len(c.rest) > 0 {
-		return fmt.Errorf("%d bytes left over after %d records", len(c.rest), count)
+	if len(fields.remaining) > 0 {
+		return fmt.Errorf("%d bytes left over after %d records", len(fields.remaining), count)
 	}
 	return nil
 }
 
 // cursor reads fields in order; the first field that does not fit is kept as short.
-type cursor struct {
-	rest  []byte
-	short bool
+type fieldReader struct {
+	remaining []byte
+	truncated bool
 }
 
-func (c *cursor) take(n int) []byte {
-	if n < 0 || n > len(c.rest) {
-		c.short = true
-		c.rest = nil
+func (c *fieldReader) take(n int) []byte {
+	if n < 0 || n > len(c.remaining) {
+		c.truncated = true
+		c.remaining = nil
 		return make([]byte, 8)
 	}
-	field := c.rest[:n]
-	c.rest = c.rest[n:]
+	field := c.remaining[:n]
+	c.remaining = c.remaining[n:]
 	return field
 }
 
-func (c *cursor) u8() byte            { return c.take(1)[0] }
-func (c *cursor) u16() uint16         { return binary.BigEndian.Uint16(c.take(2)) }
-func (c *cursor) u32() uint32         { return binary.BigEndian.Uint32(c.take(4)) }
-func (c *cursor) u64() uint64         { return binary.BigEndian.Uint64(c.take(8)) }
-func (c *cursor) f32() float64        { return float64(math.Float32frombits(c.u32())) }
-func (c *cursor) time() policy.Micros { return config.MillisToMicros(math.Float64frombits(c.u64())) }
-func (c *cursor) server() policy.ServerID {
+func (c *fieldReader) u8() byte     { return c.take(1)[0] }
+func (c *fieldReader) u16() uint16  { return binary.BigEndian.Uint16(c.take(2)) }
+func (c *fieldReader) u32() uint32  { return binary.BigEndian.Uint32(c.take(4)) }
+func (c *fieldReader) u64() uint64  { return binary.BigEndian.Uint64(c.take(8)) }
+func (c *fieldReader) f32() float64 { return float64(math.Float32frombits(c.u32())) }
+func (c *fieldReader) time() policy.Micros {
+	return config.MillisToMicros(math.Float64frombits(c.u64()))
+}
+func (c *fieldReader) server() policy.ServerID {
 	return policy.ServerID(c.u32())<<16 | policy.ServerID(c.u16())
 }
 
 // report passes over a load report: no decision reads one.
-func (c *cursor) report() { c.take(4 * int(c.u8())) }
+func (c *fieldReader) skipLoadReport() { c.take(4 * int(c.u8())) }
 
-func setOutcome(in *policy.Input, how byte) error {
-	outcome, found := outcomes[how]
+func setOutcome(input *policy.Input, code byte) error {
+	outcome, found := outcomeByCode[code]
 	if !found {
-		return fmt.Errorf("unknown outcome %d", how)
+		return fmt.Errorf("unknown outcome %d", code)
 	}
-	in.Outcome = outcome
+	input.Outcome = outcome
 	return nil
 }
 
-var errShort = errors.New("record cut short")
+var errTruncated = errors.New("record cut short")
 
 // record reads one event and hands it to the node that it names.
-func (h *host) record(now policy.Micros, c *cursor) error {
-	code := c.u8()
-	if code == evSnapshotRows {
-		return h.snapshot(c)
+func (h *host) decodeRecord(now policy.Micros, fields *fieldReader) error {
+	code := fields.u8()
+	if code == eventSnapshotRows {
+		return h.decodeSnapshot(fields)
 	}
-	who := c.u32()
-	in := &h.input
-	*in = policy.Input{}
+	instance := fields.u32()
+	input := &h.input
+	*input = policy.Input{}
 	switch code {
-	case evCreate:
-		seed := c.u64()
-		text := c.take(int(c.u32()))
-		if c.short {
-			return errShort
+	case eventCreate:
+		seed := fields.u64()
+		text := fields.take(int(fields.u32()))
+		if fields.truncated {
+			return errTruncated
 		}
 		rules, err := config.ParseRules(text)
 		if err != nil {
-			return fmt.Errorf("CREATE of instance %d: %w", who, err)
+			return fmt.Errorf("CREATE of instance %d: %w", instance, err)
 		}
-		h.nodes[who] = rules.NewNode(seed)
+		h.nodes[instance] = rules.NewNode(seed)
 		return nil
-	case evKill:
-		if c.short {
-			return errShort
+	case eventKill:
+		if fields.truncated {
+			return errTruncated
 		}
-		delete(h.nodes, who)
+		delete(h.nodes, instance)
 		return nil
-	case evEndpoints:
-		in.Kind = policy.ListCame
-		form, list := c.u8(), c.u32()
-		c.u64()
-		if int(form) >= len(forms) {
+	case eventEndpoints:
+		input.Kind = policy.ListCame
+		form, list := fields.u8(), fields.u32()
+		fields.u64()
+		if int(form) >= len(listFormByCode) {
 			return fmt.Errorf("ENDPOINTS: unknown form %d", form)
 		}
-		in.Form = forms[form]
-		if form != formFailed {
-			if list >= lists || !h.known[list] {
+		input.Form = listFormByCode[form]
+		if form != listFormFailed {
+			if list >= maxLists || !h.listKnown[list] {
 				return fmt.Errorf("ENDPOINTS: no list %d has come", list)
 			}
-			in.List = h.lists[list]
+			input.List = h.lists[list]
 		}
-	case evNewRequest:
-		in.Kind = policy.OpArrived
-		in.Op, in.Category = policy.OpID(c.u32()), policy.CategoryID(c.u8())
-		c.time()
-		in.NotAfter, in.Tenant = c.time(), policy.TenantID(c.u16())
-		in.Repeated = c.u8()&flagRepeat != 0
-		c.u64()
-	case evEstablished:
-		in.Kind = policy.StreamBegan
-		in.Op = policy.OpID(c.u32())
-		in.Took, in.Push, in.Server = c.time(), policy.PushNo(c.u8()), c.server()
-	case evFinished:
-		in.Kind = policy.PushEnded
-		in.Op = policy.OpID(c.u32())
-		how := c.u8()
-		in.Took, in.Server, in.Push, in.Settled = c.time(), c.server(), policy.PushNo(c.u8()), c.u8() != 0
-		c.report()
-		if err := setOutcome(in, how); err != nil {
+	case eventNewRequest:
+		input.Kind = policy.OpArrived
+		input.Op, input.Category = policy.OpID(fields.u32()), policy.CategoryID(fields.u8())
+		fields.time()
+		input.NotAfter, input.Tenant = fields.time(), policy.TenantID(fields.u16())
+		input.Repeated = fields.u8()&requestFlagRepeat != 0
+		fields.u64()
+	case eventEstablished:
+		input.Kind = policy.StreamBegan
+		input.Op = policy.OpID(fields.u32())
+		input.Took, input.Push, input.Server = fields.time(), policy.PushNo(fields.u8()), fields.server()
+	case eventFinished:
+		input.Kind = policy.PushEnded
+		input.Op = policy.OpID(fields.u32())
+		outcomeCode := fields.u8()
+		input.Took, input.Server, input.Push, input.Settled = fields.time(), fields.server(), policy.PushNo(fields.u8()), fields.u8() != 0
+		fields.skipLoadReport()
+		if err := setOutcome(input, outcomeCode); err != nil {
 			return err
 		}
-	case evAbandoned:
-		in.Kind = policy.OpAbandoned
-		in.Op = policy.OpID(c.u32())
-	case evDue:
-		in.Kind = policy.Woken
-		in.Token = policy.Token(c.u32())
-	case evChecked:
-		in.Kind = policy.ProbeEnded
-		in.Server = c.server()
-		how := c.u8()
-		in.Took = c.time()
-		c.report()
-		if err := setOutcome(in, how); err != nil {
+	case eventAbandoned:
+		input.Kind = policy.OpAbandoned
+		input.Op = policy.OpID(fields.u32())
+	case eventDue:
+		input.Kind = policy.Woken
+		input.Token = policy.Token(fields.u32())
+	case eventChecked:
+		input.Kind = policy.ProbeEnded
+		input.Server = fields.server()
+		outcomeCode := fields.u8()
+		input.Took = fields.time()
+		fields.skipLoadReport()
+		if err := setOutcome(input, outcomeCode); err != nil {
 			return err
 		}
-	case evInbox:
-		c.u32() // who says it counts for nothing
-		in.Kind, in.Said = policy.PeerSaid, c.take(int(c.u16()))
+	case eventInbox:
+		fields.u32() // who says it counts for nothing
+		input.Kind, input.Said = policy.PeerSaid, fields.take(int(fields.u16()))
 	default:
 		return fmt.Errorf("unknown code %d", code)
 	}
-	if c.short {
-		return errShort
+	if fields.truncated {
+		return errTruncated
 	}
-	node, found := h.nodes[who]
+	node, found := h.nodes[instance]
 	if !found {
-		return fmt.Errorf("event %d for instance %d, which is not running", code, who)
+		return fmt.Errorf("event %d for instance %d, which is not running", code, instance)
 	}
-	h.step(now, who, node, in)
+	h.step(now, instance, node, input)
 	return nil
 }
 
-func (h *host) snapshot(c *cursor) error {
-	list, n := c.u32(), int(c.u32())
-	if list >= lists {
+func (h *host) decodeSnapshot(fields *fieldReader) error {
+	list, count := fields.u32(), int(fields.u32())
+	if list >= maxLists {
 		return fmt.Errorf("SNAPSHOT_ROWS: list number %d", list)
 	}
-	if n < 0 || n*entryLen > len(c.rest) {
-		return errShort
+	if count < 0 || count*listEntryBytes > len(fields.remaining) {
+		return errTruncated
 	}
 	entries := h.lists[list][:0]
-	for range n {
-		e := policy.Entry{Started: c.time(), Server: c.server(), Weight: c.f32(), Cell: policy.CellID(c.u16())}
-		state := c.u8()
-		e.Kind, e.Zone = policy.KindID(c.u8()), policy.ZoneID(c.u8())
+	for range count {
+		entry := policy.Entry{Started: fields.time(), Server: fields.server(), Weight: fields.f32(), Cell: policy.CellID(fields.u16())}
+		state := fields.u8()
+		entry.Kind, entry.Zone = policy.KindID(fields.u8()), policy.ZoneID(fields.u8())
 		var found bool
-		if e.State, found = states[state]; !found {
+		if entry.State, found = serverStateByCode[state]; !found {
 			return fmt.Errorf("SNAPSHOT_ROWS: unknown availability %d", state)
 		}
-		if e.Weight <= 0 {
-			e.Weight = 1
+		if entry.Weight <= 0 {
+			entry.Weight = 1
 		}
-		entries = append(entries, e)
+		entries = append(entries, entry)
 	}
-	h.lists[list], h.known[list] = entries, true
+	h.lists[list], h.listKnown[list] = entries, true
 	return nil
 }
 
 // step lets a node decide. A panic there ends the day with its text.
-func (h *host) step(now policy.Micros, who uint32, node policy.Decider, in *policy.Input) {
+func (h *host) step(now policy.Micros, instance uint32, node policy.Decider, input *policy.Input) {
 	defer func() {
-		if r := recover(); r != nil {
-			h.text(actGiveIn, who, fmt.Sprint("panic: ", r))
+		if recovered := recover(); recovered != nil {
+			h.appendText(actionGiveIn, instance, fmt.Sprint("panic: ", recovered))
 		}
 	}()
-	for _, e := range node.Step(now, in) {
-		h.effect(who, &e)
+	for _, effect := range node.Step(now, input) {
+		h.appendEffect(instance, &effect)
 	}
 }
 
-func (h *host) begin(code byte, who uint32) {
-	h.actions++
+func (h *host) beginAction(code byte, instance uint32) {
+	h.actionCount++
 	h.reply = append(h.reply, code)
-	h.reply = binary.BigEndian.AppendUint32(h.reply, who)
+	h.reply = binary.BigEndian.AppendUint32(h.reply, instance)
 }
 
-func (h *host) time(t policy.Micros) {
-	h.reply = binary.BigEndian.AppendUint64(h.reply, math.Float64bits(millis(t)))
+func (h *host) appendTime(t policy.Micros) {
+	h.reply = binary.BigEndian.AppendUint64(h.reply, math.Float64bits(toMillis(t)))
 }
 
-func (h *host) text(code byte, who uint32, text string) {
-	text = text[:min(len(text), maxText)]
-	h.begin(code, who)
+func (h *host) appendText(code byte, instance uint32, text string) {
+	text = text[:min(len(text), maxTextBytes)]
+	h.beginAction(code, instance)
 	h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(text)))
 	h.reply = append(h.reply, text...)
 }
 
-func (h *host) effect(who uint32, e *policy.Effect) {
-	op := func(code byte) {
-		h.begin(code, who)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Op))
+func (h *host) appendEffect(instance uint32, effect *policy.Effect) {
+	beginOpAction := func(code byte) {
+		h.beginAction(code, instance)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Op))
 	}
-	switch e.Kind {
+	switch effect.Kind {
 	case policy.Push:
-		op(actTransmit)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Server>>16))
-		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(e.Server))
-		h.time(e.For)
+		beginOpAction(actionTransmit)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Server>>16))
+		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(effect.Server))
+		h.appendTime(effect.For)
 	case policy.Nack:
-		op(actRefuse)
-		h.time(e.For)
+		beginOpAction(actionRefuse)
+		h.appendTime(effect.For)
 	case policy.DeadLetter:
-		op(actAbort)
+		beginOpAction(actionAbort)
 	case policy.Cancel:
-		op(actCancel)
-		h.reply = append(h.reply, byte(e.Push))
+		beginOpAction(actionCancel)
+		h.reply = append(h.reply, byte(effect.Push))
 	case policy.Wake:
-		h.begin(actSetAlarm, who)
-		h.time(e.At)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Token))
+		h.beginAction(actionSetAlarm, instance)
+		h.appendTime(effect.At)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Token))
 	case policy.Watch:
-		h.begin(actListen, who)
+		h.beginAction(actionListen, instance)
 		h.reply = append(h.reply, 1)
 	case policy.Close:
-		h.begin(actClose, who)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Server>>16))
-		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(e.Server))
+		h.beginAction(actionClose, instance)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Server>>16))
+		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(effect.Server))
 	case policy.Tell:
-		h.begin(actNotify, who)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Peer))
-		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(e.Said)))
-		h.reply = append(h.reply, e.Said[:]...)
+		h.beginAction(actionNotify, instance)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Peer))
+		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(effect.Said)))
+		h.reply = append(h.reply, effect.Said[:]...)
 	case policy.Log:
-		h.text(actTrace, who, e.Text)
+		h.appendText(actionTrace, instance, effect.Text)
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const options = `tier=0
+const testSettings = `tier=0
 tiers=one
 fleet_size=1
 slot_no=0
@@ -35,7 +35,7 @@
 unheard_of=yes`
 
 // frame is a batch of records at 12 s.
-func frame(records ...[]byte) []byte {
+func batch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(records)))
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
@@ -43,32 +43,32 @@
 	return append(out, body...)
 }
 
-func create(who byte, text string) []byte {
-	out := append([]byte{evCreate, 0, 0, 0, who}, make([]byte, 8)...)
+func createRecord(instance byte, text string) []byte {
+	out := append([]byte{eventCreate, 0, 0, 0, instance}, make([]byte, 8)...)
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
 // rows is list 0 with one ready server.
-func rows(port byte) []byte {
-	entry := make([]byte, entryLen)
+func snapshotRecord(port byte) []byte {
+	entry := make([]byte, listEntryBytes)
 	entry[13], entry[20] = port, 1
-	return append([]byte{evSnapshotRows, 0, 0, 0, 0, 0, 0, 0, 1}, entry...)
+	return append([]byte{eventSnapshotRows, 0, 0, 0, 0, 0, 0, 0, 1}, entry...)
 }
 
-func endpoints(who byte) []byte {
-	return append([]byte{evEndpoints, 0, 0, 0, who, 2}, make([]byte, 12)...)
+func endpointsRecord(instance byte) []byte {
+	return append([]byte{eventEndpoints, 0, 0, 0, instance, 2}, make([]byte, 12)...)
 }
 
-func request(who byte) []byte {
-	out := append([]byte{evNewRequest, 0, 0, 0, who, 0, 0, 0, 7, 0}, make([]byte, 8)...)
+func requestRecord(instance byte) []byte {
+	out := append([]byte{eventNewRequest, 0, 0, 0, instance, 0, 0, 0, 7, 0}, make([]byte, 8)...)
 	out = binary.BigEndian.AppendUint64(out, math.Float64bits(14000))
 	return append(out, make([]byte, 11)...)
 }
 
 // inbox is a message from instance 1.
-func inbox(who byte, text ...byte) []byte {
-	out := []byte{evInbox, 0, 0, 0, who, 0, 0, 0, 1, 0, byte(len(text))}
-	return append(out, text...)
+func inboxRecord(instance byte, message ...byte) []byte {
+	out := []byte{eventInbox, 0, 0, 0, instance, 0, 0, 0, 1, 0, byte(len(message))}
+	return append(out, message...)
 }
 
 func serve(in []byte) ([]byte, error) {
@@ -78,27 +78,27 @@
 }
 
 // actions are those of a reply to one batch.
-func actions(reply []byte) (out [][]byte) {
-	for rest := reply[8:]; len(rest) > 0; {
-		size := map[byte]int{actTransmit: 23, actSetAlarm: 17}[rest[0]]
-		if rest[0] == actNotify {
-			size = 11 + int(binary.BigEndian.Uint16(rest[9:]))
+func splitActions(reply []byte) (result [][]byte) {
+	for remaining := reply[8:]; len(remaining) > 0; {
+		size := map[byte]int{actionTransmit: 23, actionSetAlarm: 17}[remaining[0]]
+		if remaining[0] == actionNotify {
+			size = 11 + int(binary.BigEndian.Uint16(remaining[9:]))
 		}
-		out, rest = append(out, rest[:size]), rest[size:]
+		result, remaining = append(result, remaining[:size]), remaining[size:]
 	}
-	return out
+	return result
 }
 
 // A list's number is reused within a batch; each instance keeps what its own event meant.
-func TestListsByEventOrder(t *testing.T) {
-	got, err := serve(frame(rows(1), create(0, options), endpoints(0), rows(2), create(1, options),
-		endpoints(1), request(0), request(1)))
+func TestReusedListNumber(t *testing.T) {
+	got, err := serve(batch(snapshotRecord(1), createRecord(0, testSettings), endpointsRecord(0), snapshotRecord(2), createRecord(1, testSettings),
+		endpointsRecord(1), requestRecord(0), requestRecord(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var ports []string
-	for _, action := range actions(got) {
-		if action[0] == actTransmit {
+	for _, action := range splitActions(got) {
+		if action[0] == actionTransmit {
 			ports = append(ports, fmt.Sprintf("instance %d sends to port %d", action[4], action[14]))
 		}
 	}
@@ -109,17 +109,17 @@
 
 // Of a push the other instance that uses the server is told in three bytes, where settings allow it; what another says that
 // makes no sense is passed over.
-func TestMessages(t *testing.T) {
-	two := strings.Replace(options, "fleet_size=1", "fleet_size=2", 1)
+func TestPeerMessages(t *testing.T) {
+	two := strings.Replace(testSettings, "fleet_size=1", "fleet_size=2", 1)
 	for peers, want := range map[string][]string{"true": {"to 1, 3 bytes"}, "false": nil} {
-		got, err := serve(frame(rows(1), create(0, two+"\nlimits.peers="+peers), endpoints(0),
-			inbox(0), inbox(0, 255), inbox(0, 1, 2, 3), request(0)))
+		got, err := serve(batch(snapshotRecord(1), createRecord(0, two+"\nlimits.peers="+peers), endpointsRecord(0),
+			inboxRecord(0), inboxRecord(0, 255), inboxRecord(0, 1, 2, 3), requestRecord(0)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var told []string
-		for _, action := range actions(got) {
-			if action[0] == actNotify {
+		for _, action := range splitActions(got) {
+			if action[0] == actionNotify {
 				told = append(told, fmt.Sprintf("to %d, %d bytes", action[8], len(action)-11))
 			}
 		}
@@ -130,34 +130,34 @@
 }
 
 // Malformed input is named and never guessed at; the end of input is a clean exit.
-func TestMalformed(t *testing.T) {
-	whole := frame(rows(1), create(0, options), endpoints(0), request(0))
-	for what, c := range map[string]struct {
+func TestMalformedInput(t *testing.T) {
+	valid := batch(snapshotRecord(1), createRecord(0, testSettings), endpointsRecord(0), requestRecord(0))
+	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"end of input":     {whole, ""},
-		"header":           {append(bytes.Clone(whole), 1), "batch 2: header cut short"},
-		"body":             {whole[:len(whole)-3], "came: unexpected EOF"},
-		"record":           {frame(request(0)[:20]), "record 1 at byte 0: record cut short"},
-		"unknown code":     {frame([]byte{99, 0, 0, 0, 0}), "unknown code 99"},
-		"unknown instance": {frame(request(3)), "instance 3, which is not running"},
-		"unknown list":     {frame(create(0, options), endpoints(0)), "no list 0 has come"},
-		"missing setting": {frame(create(0, strings.Replace(options, "tick", "tock", 1))),
+		"end of input":     {valid, ""},
+		"header":           {append(bytes.Clone(valid), 1), "batch 2: header cut short"},
+		"body":             {valid[:len(valid)-3], "came: unexpected EOF"},
+		"record":           {batch(requestRecord(0)[:20]), "record 1 at byte 0: record cut short"},
+		"unknown code":     {batch([]byte{99, 0, 0, 0, 0}), "unknown code 99"},
+		"unknown instance": {batch(requestRecord(3)), "instance 3, which is not running"},
+		"unknown list":     {batch(createRecord(0, testSettings), endpointsRecord(0)), "no list 0 has come"},
+		"missing setting": {batch(createRecord(0, strings.Replace(testSettings, "tick", "tock", 1))),
 			"setting tick is missing"},
-		"bad setting": {frame(create(0, strings.Replace(options, "7800.0", "soon", 1))),
+		"bad setting": {batch(createRecord(0, strings.Replace(testSettings, "7800.0", "soon", 1))),
 			`safety.cold is no number: "soon"`},
-		"message cut short": {frame(create(0, options), inbox(0, 1, 2, 3)[:12]), "record 2 at byte"},
-		"bad peers": {frame(create(0, options+"\nlimits.peers=perhaps")),
+		"message cut short": {batch(createRecord(0, testSettings), inboxRecord(0, 1, 2, 3)[:12]), "record 2 at byte"},
+		"bad peers": {batch(createRecord(0, testSettings+"\nlimits.peers=perhaps")),
 			`limits.peers is neither true nor false: "perhaps"`},
-		"killed": {frame(create(0, options), []byte{evKill, 0, 0, 0, 0}, request(0)), "not running"},
+		"killed": {batch(createRecord(0, testSettings), []byte{eventKill, 0, 0, 0, 0}, requestRecord(0)), "not running"},
 	} {
 		_, err := serve(c.in)
 		switch {
 		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: got %v, want %q", what, err, c.want)
+			t.Errorf("%s: got %v, want %q", name, err, c.want)
 		}
 	}
 }
