--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -41,8 +41,8 @@
 		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
 		"the kernel is not asked for the client":   {"../node/op.go", "if o.Client.Left() {", "if false {", "internal/node", "TestKeptBack"},
 		"a client counts as there for long":        {"../node/op.go", "askAfter = 10", "askAfter = 110", "internal/node", "TestKeptBack"},
-		"a hung call is waited for alone":          {"../registry/registry.go", "if pending < 2 {", "if pending < 1 {", "internal/registry", "TestToldOnceBack$"},
-		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(delay):\n\t\tc.Watch()", "case <-time.After(delay):\n\t\tif c.autoWatch.Load() {\n\t\t\tc.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
+		"a hung call is waited for alone":          {"../registry/registry.go", "if pending < 2 {", "if pending < 1 {", "internal/registry", "TestReportsAfterOutage$"},
+		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(delay):\n\t\tc.Watch()", "case <-time.After(delay):\n\t\tif c.autoWatch.Load() {\n\t\t\tc.Watch()\n\t\t}", "internal/registry", "TestReportsAfterOutageOnSockets"},
 		"clients can take every descriptor":        {"../sockets/sockets.go", "reserve = 24", "reserve = -60", "cmd/canvasrouter", "TestIdleCrowd"},
 		"a minority decides":                       {"../store/round.go", "r.replicas/2 + 1", "r.replicas / 2", "internal/store", "TestRegisterProperties"},
 		"an earlier value is taken for the latest": {"../store/round.go", "best.Value == nil || p.Accepted.Compare(best.Accepted) > 0", "best.Value == nil", "internal/store", "TestRegisterProperties"},
@@ -62,7 +62,7 @@
 		"unread bytes are closed away":             {"../clients/listener.go", " && !unread(c.tcp)", "", "internal/clients", "TestHalfUnread"},
 		"a silent watch waits":                     {"../registry/registry.go", "minLines := 1; errors.Is", "minLines := 1; false && errors.Is", "internal/registry", "TestWatch"},
 		"an older whole list is taken":             {"../registry/registry.go", "if generation < c.generation {", "if false {", "internal/registry", "TestWatch"},
-		"a watch comes back ever later":            {"../registry/registry.go", "limit = min(limit, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
+		"a watch comes back ever later":            {"../registry/registry.go", "limit = min(limit, grace/2)", "_ = grace", "internal/registry", "TestAutoWatchBackoff"},
 		"an op without benefit is nacked":          {"../../policy/policy.go", "cmp.Or(n.levels[len(n.levels)-1], 1)", "n.levels[len(n.levels)-1]", "policy", "TestNoBenefit"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/registry/recovery_test.go
+++ b/internal/registry/recovery_test.go
@@ -23,18 +23,20 @@
 	"canvasrouter/policy"
 )
 
-// toldBy is the aim: a change counts as told 6 s after the registry had it and could be reached.
-const toldBy = 4500 * time.Millisecond
+// maxReportDelay bounds the time from the return of the registry to the report of a change. A change counts as delivered
+// 6 s after the registry had it and could be reached.
+const maxReportDelay = 4500 * time.Millisecond
 
-// ways are how a call to the registry can fail, in simulated time; each gives what a call brings until the registry is back.
-var ways = map[string]func(*http.Request) (*http.Response, error){
-	"refused":              func(*http.Request) (*http.Response, error) { return nil, errors.New("refused") },
-	"503":                  func(*http.Request) (*http.Response, error) { return reply(http.StatusServiceUnavailable, ""), nil },
-	"reset after the head": func(*http.Request) (*http.Response, error) { return reply(http.StatusOK, ""), nil },
-	"half an answer, then its end": func(*http.Request) (*http.Response, error) {
+// failureModes are the ways in which a call to the registry can fail, in simulated time. Each function answers the calls
+// that are made until the registry is back.
+var failureModes = map[string]func(*http.Request) (*http.Response, error){
+	"refused":                func(*http.Request) (*http.Response, error) { return nil, errors.New("refused") },
+	"503":                    func(*http.Request) (*http.Response, error) { return reply(http.StatusServiceUnavailable, ""), nil },
+	"reset after the header": func(*http.Request) (*http.Response, error) { return reply(http.StatusOK, ""), nil },
+	"half a response, then its end": func(*http.Request) (*http.Response, error) {
 		return reply(http.StatusOK, listLine(42, true)[:20]), nil
 	},
-	"never up": func(r *http.Request) (*http.Response, error) {
+	"connection not established": func(r *http.Request) (*http.Response, error) {
 		select {
 		case <-time.After(dialTimeout):
 			return nil, errors.New("dial timed out")
@@ -46,7 +48,7 @@
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	},
-	"half an answer, then silence": func(r *http.Request) (*http.Response, error) {
+	"half a response, then silence": func(r *http.Request) (*http.Response, error) {
 		return hanging(r, listLine(42, true)[:20]), nil
 	},
 	"503 after some seconds": func(r *http.Request) (*http.Response, error) {
@@ -57,17 +59,18 @@
 			return nil, r.Context().Err()
 		}
 	},
-	"a line, then silence":         func(r *http.Request) (*http.Response, error) { return hanging(r, "\n"), nil },
-	"an object that never ends":    func(r *http.Request) (*http.Response, error) { return trickling(r), nil },
-	"broken, and no whole list":    func(r *http.Request) (*http.Response, error) { return broken(r), nil },
-	"a line, then the watch's end": func(*http.Request) (*http.Response, error) { return reply(http.StatusOK, "\n"), nil },
+	"a line, then silence":          func(r *http.Request) (*http.Response, error) { return hanging(r, "\n"), nil },
+	"an object that never ends":     func(r *http.Request) (*http.Response, error) { return trickling(r), nil },
+	"broken line, and no full list": func(r *http.Request) (*http.Response, error) { return brokenWatch(r), nil },
+	"a line, then the watch's end":  func(*http.Request) (*http.Response, error) { return reply(http.StatusOK, "\n"), nil },
 }
 
+// reply is a complete response.
 func reply(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// hanging is an answer that brings something and then nothing, until its call is given up.
+// hanging is a response that brings body and then nothing, until its call is cancelled.
 func hanging(r *http.Request, body string) *http.Response {
 	in, out := io.Pipe()
 	go func() {
@@ -78,7 +81,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: in}
 }
 
-// trickling is an object that comes indented, a line a second, and never ends.
+// trickling is a response with an indented object of one line a second that never ends.
 func trickling(r *http.Request) *http.Response {
 	in, out := io.Pipe()
 	go func() {
@@ -95,176 +98,178 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: in}
 }
 
-// broken is a watch with a line that can't be read; the whole list that is asked for then says nothing.
-func broken(r *http.Request) *http.Response {
+// brokenWatch is a watch with a line that cannot be decoded. The call for the full list that follows hangs.
+func brokenWatch(r *http.Request) *http.Response {
 	if r.URL.Query().Get("watch") == "1" {
 		return hanging(r, "{nonsense\n")
 	}
 	return hanging(r, "")
 }
 
-// Whatever way calls fail, a registry that is back is heard in time, whether changes come unasked or the module asks; here the
-// module itself never asks again. And a registry that is down is not asked without end.
-func TestToldOnceBack(t *testing.T) {
-	for name, way := range ways {
-		for _, unasked := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, unasked %v", name, unasked), func(t *testing.T) {
-				worst, most := time.Duration(0), 0.0
+// TestReportsAfterOutage checks for every failure mode, with and without AutoWatch, that the client reports a change in time once
+// the registry is back, although the policy never asks again. It also bounds the calls that a registry gets while it is
+// down.
+func TestReportsAfterOutage(t *testing.T) {
+	for name, fail := range failureModes {
+		for _, autoWatch := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, AutoWatch %v", name, autoWatch), func(t *testing.T) {
+				worstDelay, maxRate := time.Duration(0), 0.0
 				for seed := range uint64(60) {
 					down := 8*time.Second + time.Duration(seed)*97*time.Millisecond
-					took, calls := returns(t, way, unasked, down, seed)
-					worst, most = max(worst, took), max(most, float64(calls)/down.Seconds())
+					took, calls := outage(t, fail, autoWatch, down, seed)
+					worstDelay = max(worstDelay, took)
+					maxRate = max(maxRate, float64(calls)/down.Seconds())
 				}
-				t.Logf("told after %v at the worst, %.1f calls a second while it is down", worst, most)
-				if worst > toldBy {
-					t.Errorf("told %v after its return", worst)
+				t.Logf("worst report delay %v, %.1f calls a second while the registry is down", worstDelay, maxRate)
+				if worstDelay > maxReportDelay {
+					t.Errorf("the change was reported %v after the registry's return", worstDelay)
 				}
-				bears := 1.0
+				allowedRate := 1.0
 				if name == "a line, then the watch's end" {
-					bears = 6 // it answers, and is asked again as soon as after any watch that stood
+					allowedRate = 6 // the watch was established each time, so the backoff is reset
 				}
-				if most > bears {
-					t.Errorf("%.1f calls a second while it is down", most)
+				if maxRate > allowedRate {
+					t.Errorf("%.1f calls a second while the registry is down", maxRate)
 				}
 			})
 		}
 	}
 }
 
-// returns plays a registry that fails in one way for a while, and answers from then on: how long it takes until the change is
-// told, and the calls made while it was down.
-func returns(t *testing.T, way func(*http.Request) (*http.Response, error), unasked bool, down time.Duration, seed uint64) (took time.Duration, calls int) {
+// outage runs a client against a registry that fails for a while and then answers. It returns the time from the return of
+// the registry to the report of the change, and the number of calls made while it was down.
+func outage(t *testing.T, fail func(*http.Request) (*http.Response, error), autoWatch bool, down time.Duration, seed uint64) (took time.Duration, calls int) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
-		r := New(Options{AutoWatch: unasked, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+		started := time.Now()
+		client := New(Options{AutoWatch: autoWatch, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
 		var mu sync.Mutex
-		r.httpClient.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
+		client.httpClient.Transport = roundTrip(func(request *http.Request) (*http.Response, error) {
 			mu.Lock()
-			is := time.Since(begun) < down
-			if is {
+			isDown := time.Since(started) < down
+			if isDown {
 				calls++
 			}
 			mu.Unlock()
-			if is {
-				return way(q)
+			if isDown {
+				return fail(request)
 			}
-			return hanging(q, listLine(50, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0))+"\n"), nil
+			return hanging(request, listLine(50, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0))+"\n"), nil
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		told := make(chan time.Duration, 1)
+		reported := make(chan time.Duration, 1)
 		go func() {
 			defer close(ended)
-			r.Run(ctx, func(l *node.List) {
+			client.Run(ctx, func(l *node.List) {
 				if len(l.Entries) > 0 {
 					select {
-					case told <- time.Since(begun) - down:
+					case reported <- time.Since(started) - down:
 					default:
 					}
 				}
 			})
 		}()
-		r.Watch()
-		took = <-told
+		client.Watch()
+		took = <-reported
 		cancel()
 		<-ended
 	})
 	return took, calls
 }
 
-// On sockets, a few hundred nodes at once, with a module that asks as the real one does. The registry accepts and says nothing,
-// or refuses, or ends what it accepts, or is silent on a watch that stands; then it is back with a drain, and each node hears
-// of it in time, counted from when its machine could be reached.
-func TestToldOnceBackOnSockets(t *testing.T) {
+// TestReportsAfterOutageOnSockets runs 250 clients at once over real sockets, half of them with AutoWatch. The registry accepts
+// and sends nothing, or answers 503, or resets connections, or stops in the middle of a response, or falls silent on an
+// established watch. Then it is back with a draining server, and each client must report that in time.
+func TestReportsAfterOutageOnSockets(t *testing.T) {
 	const nodes, down = 50, 4 * time.Second
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	lag := together.NewLag()
 	var mu sync.Mutex
-	worst := map[string]time.Duration{}
-	for _, name := range []string{"silent", "503", "reset", "half an answer", "silent watch"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	worstDelay := map[string]time.Duration{}
+	for _, name := range []string{"silent", "503", "reset", "half a response", "silent watch"} {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer listener.Close()
 		var back atomic.Bool
-		hung := make(chan struct{})
+		release := make(chan struct{})
 		go func() {
 			for {
-				c, err := l.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				go behave(c, name, back.Load(), hung)
+				go answer(conn, name, back.Load(), release)
 			}
 		}()
-		begun := time.Now()
+		started := time.Now()
 		time.AfterFunc(down, func() { back.Store(true) })
 		for i := range nodes {
-			all.Go(func() {
-				r := New(Options{Addr: l.Addr().String(), AutoWatch: i%2 == 0, BaseRetryDelay: time.Second, Seed: uint64(i)}, sockets.NewPart(4), zerolog.Nop())
+			clients.Go(func() {
+				client := New(Options{Addr: listener.Addr().String(), AutoWatch: i%2 == 0, BaseRetryDelay: time.Second, Seed: uint64(i)}, sockets.NewPart(4), zerolog.Nop())
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
-				ended, told := make(chan struct{}), make(chan bool, 1)
+				ended, reported := make(chan struct{}), make(chan bool, 1)
 				go func() {
 					defer close(ended)
-					r.Run(ctx, func(l *node.List) {
-						if len(l.Entries) > 0 && l.Entries[0].State == policy.Draining {
-							told <- true
+					client.Run(ctx, func(list *node.List) {
+						if len(list.Entries) > 0 && list.Entries[0].State == policy.Draining {
+							reported <- true
 							cancel()
 						}
 					})
 				}()
-				r.Watch()
+				client.Watch()
 				<-ended
-				took := time.Since(begun) - down
+				took := time.Since(started) - down
 				mu.Lock()
 				defer mu.Unlock()
-				worst[name] = max(worst[name], took)
-				if len(told) == 0 {
-					t.Errorf("%s: node %d heard nothing", name, i)
+				worstDelay[name] = max(worstDelay[name], took)
+				if len(reported) == 0 {
+					t.Errorf("%s: client %d reported nothing", name, i)
 				}
 			})
 		}
-		defer close(hung)
+		defer close(release)
 	}
-	all.Wait()
+	clients.Wait()
 	late, _ := lag.End()
-	for name, took := range worst {
-		most := toldBy
-		if name == "silent watch" { // from when it fell silent, at the beginning
-			most = 6*time.Second - down
+	for name, took := range worstDelay {
+		limit := maxReportDelay
+		if name == "silent watch" { // it fell silent at the start: the 6 s count from there
+			limit = 6*time.Second - down
 		}
-		t.Logf("%s: told %v after its return at the worst", name, took)
-		if took > most+late {
-			t.Errorf("%s: told %v after its return", name, took)
+		t.Logf("%s: worst report delay %v after the registry's return", name, took)
+		if took > limit+late {
+			t.Errorf("%s: the change was reported %v after the registry's return", name, took)
 		}
 	}
 }
 
-// behave is the registry's side of a connection.
-func behave(c net.Conn, name string, back bool, hung <-chan struct{}) {
-	defer c.Close()
-	if name == "reset" && !back {
-		c.(*net.TCPConn).SetLinger(0)
+// answer is the registry's side of a connection. Responses that hang do so until release is closed.
+func answer(conn net.Conn, mode string, back bool, release <-chan struct{}) {
+	defer conn.Close()
+	if mode == "reset" && !back {
+		conn.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
 	text := listLine(50, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
-	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const header = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 	switch {
 	case back:
-		io.WriteString(c, head+chunk(text))
-	case name == "503":
-		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+		io.WriteString(conn, header+chunk(text))
+	case mode == "503":
+		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
-	case name == "half an answer":
-		io.WriteString(c, head+chunk(text[:30]))
-	case name == "silent watch":
-		io.WriteString(c, head+chunk("\n"))
+	case mode == "half a response":
+		io.WriteString(conn, header+chunk(text[:30]))
+	case mode == "silent watch":
+		io.WriteString(conn, header+chunk("\n"))
 	}
-	<-hung
+	<-release
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,4 +1,5 @@
-// Package registry follows the list of servers: an actor that watches when the module asks.
+// Package registry is the client of the service registry. It watches the list of servers, reconnects after failures
+// and passes every list and every change on to the node.
 package registry
 
 import (
@@ -24,84 +25,113 @@
 
 const (
 	targetsPath = "/api/targets"
-	// mostSilence ends a watch: while nothing changes an empty line comes every 2 s. Danger: a node that is cut
-	// off from the registry counts as told of a change 6 s after it; one that waits out three lines could not
-	// ask again in time.
+
+	// maxSilence ends a watch that brings no line. While nothing changes the registry sends an empty line every 2 s, so
+	// this is two missed lines. A node that is cut off from the registry counts as notified of a change 6 s after the
+	// change; after a third missed line it could not reconnect within that time.
 	maxSilence = 2*2*time.Second + 200*time.Millisecond
-	// hurry is how long a call may bring nothing before another is made beside it. Danger: a change counts as told 6 s after
-	// the registry had it and could be reached, and a call that went out before that may never be answered. But the registry
-	// works through calls in turn, for some seconds, and one that is given up has to queue anew; so it stays.
+
+	// hedgeDelay is how long a call may bring nothing before a second call is made beside it. A change counts as
+	// delivered 6 s after the registry had it and could be reached, and a call that was sent before that may never be
+	// answered. The first call is kept because the registry queues calls for some seconds, and a call that is abandoned
+	// has to queue again.
 	hedgeDelay = 3 * time.Second
-	// wholeWait ends the call for a whole list, beside a watch that can't be read.
+
+	// fullListTimeout bounds the call for a full list after a line of the watch that cannot be decoded.
 	fullListTimeout = 4 * time.Second
-	// mostWait is the longest from a call that fails to the next, both from their beginnings, whoever asks: half of those 6 s.
-	maxRetryDelay    = 3 * time.Second
+
+	// maxRetryDelay is the longest time from the start of a failed call to the start of the next one, whether the
+	// client or the policy retries. It is half of the 6 s after which a change counts as delivered.
+	maxRetryDelay = 3 * time.Second
+
 	dialTimeout      = time.Second
-	maxLineBytes     = 8 << 20 // of a line
-	maxBackoffFactor = 8       // times Again
-	// soon is the most that the first try waits after a watch that stood, in parts of Again. Danger: the whole fleet's
-	// watches may end together, and without any wait all come back in one moment.
+	maxLineBytes     = 8 << 20
+	maxBackoffFactor = 8 // longest retry delay, in multiples of Options.BaseRetryDelay
+
+	// firstRetryDivisor divides Options.BaseRetryDelay to give the longest delay before the first retry after a watch
+	// that was established. The watches of the whole fleet may end at once; without a random delay all nodes would
+	// reconnect in the same moment.
 	firstRetryDivisor = 4
 )
 
+// errSilent reports that the registry sent nothing for too long.
 var errSilent = errors.New("silent")
 
-// Options say where the registry is and what its words mean.
+// Options configure a Client.
 type Options struct {
-	Addr                string
-	Zones, MachineTypes []string
-	AutoWatch           bool          // changes come without the module asking, so the actor keeps the watch up by itself
-	BaseRetryDelay      time.Duration // between two such watches, up to eight times as long while they fail
-	DrainGrace          time.Duration // of drains, if told: half of it is the longest wait between two such watches
-	Seed                uint64
+	Addr         string   // host:port of the registry
+	Zones        []string // zone names in the order of their numbers
+	MachineTypes []string // machine type names in the order of their numbers
+
+	// AutoWatch is set where the registry sends changes without being asked by the policy. The client then keeps a watch
+	// open by itself.
+	AutoWatch bool
+
+	// BaseRetryDelay is the base of the delay between two such watches. The delay grows to eight times this value while
+	// they fail.
+	BaseRetryDelay time.Duration
+
+	// DrainGrace is the grace period of draining servers; 0 if the settings do not give one. With AutoWatch, half of it
+	// bounds the delay between two watches.
+	DrainGrace time.Duration
+
+	Seed uint64 // of the random delays
 }
 
-// Registry is the actor. Known comes before Run.
+// Client follows the list of servers. LoadCached, where it is used, comes before Run.
 type Client struct {
 	options       Options
 	log           zerolog.Logger
 	ids           *idAllocator
-	generation    uint64
-	hasList       bool // a list is held: a watch asks only for what came after it
+	generation    uint64 // of the newest list or change
+	hasList       bool   // a watch asks only for the changes after generation
 	maxSilence    time.Duration
 	hedgeDelay    time.Duration
 	httpClient    *http.Client
-	autoWatch     atomic.Bool   // as the options say, or Unasked
-	watchRequests chan struct{} // holds one: asking twice is asking once
-	callPending   atomic.Bool   // a call is out that has brought nothing yet
-	lastCall      time.Time     // the last call
-	newAddrs      chan string   // holds one: where the registry is now
+	autoWatch     atomic.Bool   // Options.AutoWatch until SetAutoWatch changes it
+	watchRequests chan struct{} // capacity 1: requests that are not yet served are merged
+	callPending   atomic.Bool   // a call has been sent and has brought no line yet
+	lastCall      time.Time     // start of the last call
+	newAddrs      chan string   // capacity 1: the latest address from SetAddr
 	notify        func(*node.List)
-	retryDelay    time.Duration // present wait where changes come unasked
-	drainGrace    atomic.Int64  // as the options say, or Unasked
-	lineCount     int           // that the present watch has brought
+	retryDelay    time.Duration // current backoff
+	drainGrace    atomic.Int64  // Options.DrainGrace until SetAutoWatch changes it
+	lineCount     int           // lines that the current watch has brought
 	rng           *rand.Rand
 }
 
-// New makes the actor.
+// New returns a client whose connections are taken from the given socket budget.
 func New(options Options, part *sockets.Part, log zerolog.Logger) *Client {
 	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Part: part}
-	c := &Client{options: options, log: log, ids: newIDAllocator(options.Zones, options.MachineTypes),
-		watchRequests: make(chan struct{}, 1), newAddrs: make(chan string, 1), maxSilence: maxSilence, hedgeDelay: hedgeDelay,
-		rng: rand.New(rand.NewSource(int64(options.Seed))),
+	c := &Client{
+		options:       options,
+		log:           log,
+		ids:           newIDAllocator(options.Zones, options.MachineTypes),
+		watchRequests: make(chan struct{}, 1),
+		newAddrs:      make(chan string, 1),
+		maxSilence:    maxSilence,
+		hedgeDelay:    hedgeDelay,
+		rng:           rand.New(rand.NewSource(int64(options.Seed))),
 		httpClient: &http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 					return dialer.Dial(ctx, network, addr)
 				},
-				// Danger: on a kept connection the library may send the call again by itself.
+				// On a kept connection net/http may repeat a request by itself.
 				DisableKeepAlives:  true,
 				DisableCompression: true,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		}}
+		},
+	}
 	c.autoWatch.Store(options.AutoWatch)
 	c.drainGrace.Store(int64(options.DrainGrace))
 	c.retryDelay = c.firstRetryDelay()
 	return c
 }
 
-// Known reads the list that the node last had; it may be empty.
+// LoadCached decodes the list that the node had when it last ran. An empty input is an empty list. The next watch asks
+// only for changes after the generation of this list.
 func (c *Client) LoadCached(raw []byte) (*node.List, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return &node.List{Form: policy.ListCached}, nil
@@ -110,17 +140,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: key known: %w", err)
 	}
-	c.generation, c.hasList = generation, true
+	c.generation = generation
+	c.hasList = true
 	list.Form = policy.ListCached
 	return list, nil
 }
 
-// first is the wait before the first try after a watch that stood.
+// firstRetryDelay returns the longest delay before the first retry after a watch that was established.
 func (c *Client) firstRetryDelay() time.Duration { return c.options.BaseRetryDelay / firstRetryDivisor }
 
-// most is the longest wait between two tries. Danger: a registry that is back is to be heard in time; where changes come
-// unasked they count as told whether or not the node listens, and one that comes back late would push to servers past the
-// grace of their drain.
+// retryDelayLimit returns the longest delay between two watches. It bounds how late the node notices that the registry is
+// back. With AutoWatch a change counts as delivered whether or not the node has a watch open, so a node that reconnects
+// late would push to draining servers after their drain grace.
 func (c *Client) retryDelayLimit() time.Duration {
 	limit := min(maxBackoffFactor*c.options.BaseRetryDelay, maxRetryDelay)
 	if grace := time.Duration(c.drainGrace.Load()); grace > 0 && c.autoWatch.Load() {
@@ -129,7 +160,8 @@
 	return max(limit, c.firstRetryDelay())
 }
 
-// Unasked says whether changes come without the module asking from now on, and the grace of drains.
+// SetAutoWatch changes Options.AutoWatch and Options.DrainGrace while the client runs. Turning AutoWatch on opens a watch
+// at once.
 func (c *Client) SetAutoWatch(enabled bool, drainGrace time.Duration) {
 	c.drainGrace.Store(int64(drainGrace))
 	if c.autoWatch.Swap(enabled) != enabled && enabled {
@@ -137,11 +169,12 @@
 	}
 }
 
-// Zone is a zone's number, as lists have it.
+// ZoneID returns the number that lists use for a zone. It is safe for concurrent use.
 func (c *Client) ZoneID(name string) policy.ZoneID { return policy.ZoneID(c.ids.zoneIndex(name)) }
 
-// Watch asks for changes from now on. It does not wait. Danger: a call that has not been answered yet has its turn at the
-// registry; asking again must not make it lose that, and its answer or its failure is told in any case.
+// Watch opens a new watch, in place of the current one. It does not block. While a call is unanswered Watch does nothing:
+// a new call would lose the first one's place in the registry's queue, and the answer or the failure of the first one is
+// reported in any case.
 func (c *Client) Watch() {
 	if c.callPending.Load() {
 		return
@@ -152,18 +185,18 @@
 	}
 }
 
-// Move says that the registry is at another address from now on. It does not wait; only one goroutine calls it.
+// SetAddr changes the registry's address while the client runs. It does not block. It must not be called concurrently.
 func (c *Client) SetAddr(addr string) {
 	select {
-	case <-c.newAddrs: // an older one that nobody has taken yet
+	case <-c.newAddrs: // drop an older address that Run has not received yet
 	default:
 	}
 	c.newAddrs <- addr
 }
 
-// Run follows the list until ctx is done, and tells what the registry says. Asking while a watch stands ends that
-// one and begins another, and so does a move: the new address is asked at once, from the generation held, and the
-// end of the watch at the old one is no failure.
+// Run follows the list until ctx is done and calls notify for every list, change and failure. Watch and SetAddr end the
+// current watch and open another one. After SetAddr the new address is asked at once for the changes after the known
+// generation, and the end of the watch at the old address is not reported as a failure.
 func (c *Client) Run(ctx context.Context, notify func(*node.List)) {
 	c.notify = notify
 	ended := make(chan struct{})
@@ -184,7 +217,8 @@
 		case addr := <-c.newAddrs:
 			cancel()
 			<-ended
-			c.options.Addr, c.retryDelay = addr, c.firstRetryDelay()
+			c.options.Addr = addr
+			c.retryDelay = c.firstRetryDelay()
 			c.log.Info().Str("addr", addr).Msg("registry moved")
 		}
 		var watchCtx context.Context
@@ -197,12 +231,13 @@
 	}
 }
 
-// follow holds one watch. Unless it was replaced, its end is told.
+// runWatch keeps one watch open until it ends, reports the end as a failure unless ctx is done, and requests the next
+// watch after a delay.
 func (c *Client) runWatch(ctx context.Context) {
 	err := c.watch(ctx)
-	// Danger: what a silent watch misses counts as told soon after; the wait that spares a registry that is down would
-	// use that time up. So a watch that stood and fell silent is opened anew by itself: the first time, and again if it has
-	// brought more than its first line since.
+	// A change that a silent watch misses counts as delivered soon afterwards, and the backoff that spares a registry
+	// that is down would use up that time. So a watch that was established and then fell silent is reopened without
+	// backoff: the first time always, later only if the reopened watch has brought more than its first line.
 	for minLines := 1; errors.Is(err, errSilent) && c.lineCount >= minLines && ctx.Err() == nil; minLines = 2 {
 		c.log.Warn().Uint64("generation", c.generation).Msg("watch of the list is silent, opened anew")
 		select {
@@ -216,14 +251,15 @@
 	}
 	c.log.Warn().Err(err).Uint64("generation", c.generation).Msg("watch of the list ended")
 	c.notify(&node.List{Form: policy.ListFailed})
-	// Danger: the whole fleet may lose a small registry together; it comes back at random, and ever later. Where the module
-	// asks, it has a plan of its own, which may be later than a change counts as told: the actor steps in before that.
-	c.retryDelay = min(c.retryDelay, c.retryDelayLimit()) // the settings may have changed
+	// The whole fleet may lose a small registry at the same time, so the delay is random and grows with each failure.
+	// Without AutoWatch the policy has its own schedule of calls, which may be later than the time at which a change
+	// counts as delivered, so the client retries before that.
+	c.retryDelay = min(c.retryDelay, c.retryDelayLimit()) // SetAutoWatch may have lowered the limit
 	limit := c.retryDelay
 	if !c.autoWatch.Load() {
 		limit = c.retryDelayLimit()
 	}
-	// A call that took its time to fail has waited already.
+	// The time that the failed call took counts towards the delay.
 	delay := max(c.randomDelay(limit)-time.Since(c.lastCall), c.randomDelay(c.firstRetryDelay()))
 	c.retryDelay = min(2*c.retryDelay, c.retryDelayLimit())
 	select {
@@ -233,12 +269,12 @@
 	}
 }
 
-// draw is a time of at least half of most, at random.
+// randomDelay returns a random duration from half of limit to limit.
 func (c *Client) randomDelay(limit time.Duration) time.Duration {
 	return limit/2 + time.Duration(c.rng.Int63n(int64(limit)/2+1))
 }
 
-// stream is a watch that has brought its first line.
+// watchStream is a watch that has brought its first line.
 type watchStream struct {
 	body      io.Closer
 	reader    *bufio.Reader
@@ -246,8 +282,9 @@
 	cancel    context.CancelFunc
 }
 
-// open makes a call, and another beside it for as long as nothing comes, two at the most; the first that brings a line is the
-// watch. Silence of all is told as a failure, and the calls go on.
+// openWatch makes a call and, while no line arrives, a second one beside it. The first call that brings a line becomes
+// the watch. A call that stays silent is reported as a failure and replaced; openWatch goes on until a call brings a
+// line, all of them fail or ctx is done.
 func (c *Client) openWatch(ctx context.Context, query string) (*watchStream, error) {
 	c.callPending.Store(true)
 	defer c.callPending.Store(false)
@@ -260,7 +297,7 @@
 	pending := 0
 	defer func() {
 		endWait()
-		for ; pending > 0; pending-- { // each ends with its context
+		for ; pending > 0; pending-- { // ending waitCtx makes each of them return
 			if late := <-results; late.watchStream != nil {
 				late.close()
 			}
@@ -302,12 +339,13 @@
 	}
 }
 
-// firstLine makes one call and waits for its first line. Over ends the wait, and no watch that stands.
+// openStream makes one call and waits for its first line. The end of waitCtx ends the wait but not a stream that was
+// returned.
 func (c *Client) openStream(ctx, waitCtx context.Context, query string) (*watchStream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancelCall := func() { cancel(nil) }
 	stopWaitHook := context.AfterFunc(waitCtx, cancelCall)
-	// Danger: a registry that is cut off says nothing, for ever.
+	// A registry that is cut off never answers and never closes the connection.
 	silenceTimer := time.AfterFunc(2*c.hedgeDelay, func() { cancel(errSilent) })
 	response, err := c.get(ctx, query)
 	if err == nil {
@@ -316,7 +354,7 @@
 			if stopWaitHook() && silenceTimer.Stop() {
 				return stream, nil
 			}
-			err = errSilent // the wait ended just then
+			err = errSilent // waitCtx or the timer ended at the same moment
 		}
 		response.Body.Close()
 	}
@@ -327,11 +365,13 @@
 	return nil, err
 }
 
+// close ends the call.
 func (s *watchStream) close() {
 	s.cancel()
 	s.body.Close()
 }
 
+// watch opens a watch and reports what it brings until it ends. It returns the reason for the end.
 func (c *Client) watch(ctx context.Context) error {
 	query := "?watch=1"
 	if c.hasList {
@@ -347,24 +387,26 @@
 	defer stream.close()
 	silenceTimer := time.AfterFunc(c.maxSilence, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
-	assembler, line := objectAssembler{}, stream.firstLine
-	var fullListGeneration *uint64 // changes up to here are in a whole list that was asked for on the way
+	assembler := objectAssembler{}
+	line := stream.firstLine
+	var fullListGeneration *uint64 // generation of a full list that replaced a broken line of this watch
 	for firstLineDone := false; ; firstLineDone = true {
 		if firstLineDone {
 			if line, err = readLine(stream.reader); err != nil {
-				return errors.Join(err, context.Cause(ctx)) // half a line is no line
+				return errors.Join(err, context.Cause(ctx)) // an incomplete last line is dropped
 			}
 		}
-		c.lineCount, c.retryDelay = c.lineCount+1, c.firstRetryDelay()
+		c.lineCount++
+		c.retryDelay = c.firstRetryDelay()
 		line, complete := assembler.addLine(line)
 		if !complete {
-			continue // Danger: an object that comes ever further and never ends tells nothing
+			continue // silenceTimer runs on: an object that grows and never ends carries no information
 		}
 		silenceTimer.Reset(c.maxSilence)
 		if len(line) == 0 {
 			if !firstLineDone {
-				// Danger: the module asks again until it hears that it is subscribed, and each call is work for
-				// a small service.
+				// An empty list of changes shows the policy that it is subscribed. Otherwise it would ask again and
+				// again, and each call is work for a small service.
 				c.notify(&node.List{Form: policy.ListChanges})
 			}
 			continue
@@ -376,28 +418,31 @@
 				return err
 			}
 			if generation < c.generation {
-				// Danger: the registry's answers may lag behind its watches. A list older than a change that was told would
-				// bring a draining server back, and the change is never told again; the watch goes on from what is held.
-				return fmt.Errorf("whole list of generation %d is older than what is held", generation)
+				// The registry's responses may lag behind its watches. A list that is older than a reported change would
+				// bring a draining server back, and the change is never sent again. The next watch continues from
+				// c.generation.
+				return fmt.Errorf("full list of generation %d is older than the list already known", generation)
 			}
 			silenceTimer.Reset(c.maxSilence)
 			fullListGeneration = &generation
 		}
 		if list.Form == policy.ListChanges && fullListGeneration != nil && generation <= *fullListGeneration {
-			continue // older than the whole list
+			continue // the full list already contains these changes
 		}
 		c.acceptList(list, generation)
 	}
 }
 
+// acceptList records the generation of a list and reports the list.
 func (c *Client) acceptList(list *node.List, generation uint64) {
-	c.generation, c.hasList = generation, true
+	c.generation = generation
+	c.hasList = true
 	c.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
 		Bool("whole", list.Form == policy.ListWhole).Msg("list")
 	c.notify(list)
 }
 
-// whole asks for the whole list once.
+// fetchFullList makes one call for the full list.
 func (c *Client) fetchFullList(ctx context.Context) (*node.List, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, fullListTimeout)
 	defer cancel()
@@ -413,12 +458,13 @@
 	}
 	list, generation, err := c.ids.parseList(raw)
 	if err != nil {
-		return nil, 0, fmt.Errorf("whole list: %w", err)
+		return nil, 0, fmt.Errorf("full list: %w", err)
 	}
 	list.Form = policy.ListWhole
 	return list, generation, nil
 }
 
+// get sends a request to the registry and returns the response if its status is 200.
 func (c *Client) get(ctx context.Context, query string) (*http.Response, error) {
 	c.log.Debug().Str("query", query).Msg("call")
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.options.Addr+targetsPath+query, nil)
@@ -436,12 +482,13 @@
 	return response, nil
 }
 
-// object is one that may come indented, over several lines. Danger: each of them taken for a broken line would be a call for
-// the whole list, at every node.
+// objectAssembler joins the lines of a JSON object that arrives indented. If each of its lines were taken for a broken
+// line, every node would call for the full list.
 type objectAssembler struct{ buffer []byte }
 
-// add takes a line and gives what ends with it: an object, what can't become one, or an empty line alone. An object ends with a
-// brace; trying it at every line would be work by the square of a list.
+// addLine adds a line and reports whether the buffer is complete. A complete buffer is an object, bytes that cannot
+// become an object, or a single empty line. After the first line, only lines that end with a brace are tried as the end
+// of an object; trying every line would take time quadratic in the length of the list.
 func (a *objectAssembler) addLine(line []byte) (object []byte, complete bool) {
 	isFirstLine := len(a.buffer) == 0
 	a.buffer = append(a.buffer, line...)
@@ -454,13 +501,13 @@
 	return object, true
 }
 
-// unfinished says that raw may be the beginning of an object.
+// isIncompleteObject reports whether raw may be the beginning of an object.
 func isIncompleteObject(raw []byte) bool {
 	var value json.RawMessage
 	return errors.Is(json.NewDecoder(bytes.NewReader(raw)).Decode(&value), io.ErrUnexpectedEOF)
 }
 
-// readLine reads up to the line's end and refuses one that has none in reach.
+// readLine returns the next line without surrounding white space. A line of more than maxLineBytes is an error.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,24 +25,27 @@
 	"canvasrouter/policy"
 )
 
+// listLine is one line of a watch.
 func listLine(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(entries, ","))
 }
 
+// instanceJSON is one server of a list.
 func instanceJSON(id, lifecycle, addr string, startedAtMs int) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"b","machineType":"m2","cell":3,"lifecycle":%q,`+
 		`"weight":1.5,"startedAtMs":%d}`, id, addr, lifecycle, startedAtMs)
 }
 
-// follow runs a registry's actor against a stand-in that answers a watch with a script and the whole list with
-// another, until the watch has ended.
+// runScript runs a client against a fake registry until the watch has ended. The fake answers a watch with the parts of
+// script and a call for the full list with fullList. The result is the lists that the client reported, then the calls
+// that it made.
 func runScript(t *testing.T, script []string, fullList string, keepOpen bool) []string {
 	t.Helper()
 	releaseWatch := make(chan struct{})
 	var calls []string
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, client *http.Request) {
-		calls = append(calls, "asked "+client.URL.RequestURI())
-		if client.URL.Query().Get("watch") == "" {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		calls = append(calls, "asked "+request.URL.RequestURI())
+		if request.URL.Query().Get("watch") == "" {
 			fmt.Fprintln(w, fullList)
 			return
 		}
@@ -50,8 +53,8 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		for _, s := range script {
-			fmt.Fprint(w, s)
+		for _, part := range script {
+			fmt.Fprint(w, part)
 			w.(http.Flusher).Flush()
 		}
 		if keepOpen {
@@ -60,8 +63,8 @@
 	}))
 	defer server.Close()
 	defer close(releaseWatch)
-	part := sockets.NewPart(4)
-	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, part, zerolog.Nop())
+	socketShare := sockets.NewPart(4)
+	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, socketShare, zerolog.Nop())
 	if keepOpen {
 		client.maxSilence = 100 * time.Millisecond
 	}
@@ -73,7 +76,10 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
-	go func() { client.Run(ctx, func(l *node.List) { lists <- l }); close(ended) }()
+	go func() {
+		client.Run(ctx, func(l *node.List) { lists <- l })
+		close(ended)
+	}()
 	client.Watch()
 	trace := []string{describe(cached)}
 	for trace[len(trace)-1] != "failed" {
@@ -81,7 +87,7 @@
 		case l := <-lists:
 			trace = append(trace, describe(l))
 		case <-ctx.Done():
-			t.Fatal("the end of the watch was not told; so far: ", trace)
+			t.Fatal("the end of the watch was not reported; so far: ", trace)
 		}
 	}
 	cancel()
@@ -89,8 +95,9 @@
 	return append(trace, calls...)
 }
 
+// describe is a list in one line of text.
 func describe(l *node.List) string {
-	out := [...]string{"changes", "whole", "cached", "failed"}[l.Form]
+	out := [...]string{"changes", "full", "cached", "failed"}[l.Form]
 	for i, e := range l.Entries {
 		out += fmt.Sprintf(" %s %s zone %d started %d", [...]string{"ready", "draining", "gone"}[e.State], l.Addrs[i],
 			e.Zone, e.Started/policy.Millisecond)
@@ -98,21 +105,21 @@
 	return out
 }
 
-// indented is an object over several lines.
+// indented spreads a JSON object over several lines.
 func indented(object string) string {
 	var out bytes.Buffer
 	json.Indent(&out, []byte(object), "", "  ")
 	return out.String()
 }
 
-// What a watch says is told in order; however it ends, that is told too, and once.
+// TestWatch checks that the client reports what a watch brings in order, and the end of the watch once, however it ends.
 func TestWatch(t *testing.T) {
 	const cached, asked = "cached ready 127.0.0.1:1 zone 1 started 0", "asked /api/targets?watch=1&from=41"
 	for name, c := range map[string]struct {
-		script []string
-		hold   bool
-		whole  string
-		want   []string
+		script   []string
+		keepOpen bool
+		fullList string
+		want     []string
 	}{
 		"changes": {script: []string{listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n",
 			listLine(43, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
@@ -121,103 +128,110 @@
 		"back with another address and start": {script: []string{
 			listLine(42, false, instanceJSON("s-1", "active", "127.0.0.1:2", 77)) + "\n"},
 			want: []string{cached, "changes ready 127.0.0.1:2 zone 1 started 77", "failed", asked}},
-		"the whole list first": {script: []string{listLine(3, true) + "\n"}, want: []string{cached, "whole", "failed", asked}},
-		// Danger: unless it hears that it is subscribed, the module asks again and again.
-		"nothing changed":   {script: []string{listLine(41, false) + "\n"}, want: []string{cached, "changes", "failed", asked}},
-		"empty lines":       {script: []string{"\n", "\n", "\n"}, want: []string{cached, "changes", "failed", asked}},
-		"half a line":       {script: []string{listLine(42, true)[:30]}, want: []string{cached, "failed", asked}},
-		"the registry down": {script: []string{"down"}, want: []string{cached, "failed", asked}},
-		// Danger: a registry that is cut off says nothing, and its connection stays open.
-		// Danger: waiting before it is opened anew uses up the time after which what it missed counts as told.
-		"a silent watch": {script: []string{listLine(42, false) + "\n"}, hold: true,
+		"the full list first": {script: []string{listLine(3, true) + "\n"}, want: []string{cached, "full", "failed", asked}},
+		// Unless the policy gets a list of changes, it does not know that it is subscribed and asks again and again.
+		"nothing changed":      {script: []string{listLine(41, false) + "\n"}, want: []string{cached, "changes", "failed", asked}},
+		"empty lines":          {script: []string{"\n", "\n", "\n"}, want: []string{cached, "changes", "failed", asked}},
+		"an incomplete line":   {script: []string{listLine(42, true)[:30]}, want: []string{cached, "failed", asked}},
+		"the registry is down": {script: []string{"down"}, want: []string{cached, "failed", asked}},
+		// A registry that is cut off sends nothing, and its connection stays open. A backoff before the watch is reopened
+		// would use up the time after which the changes that it missed count as delivered.
+		"a silent watch": {script: []string{listLine(42, false) + "\n"}, keepOpen: true,
 			want: []string{cached, "changes", "changes", "failed", asked, "asked /api/targets?watch=1&from=42"}},
 		"indented": {script: []string{indented(listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0))) + "\n\n",
 			listLine(43, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
 			want: []string{cached, "changes draining 127.0.0.1:1 zone 1 started 0", "changes gone  zone 1 started 0",
 				"failed", asked}},
-		"an end in the middle of an indented object": {script: []string{
+		"the end of the watch in the middle of an indented object": {script: []string{
 			indented(listLine(42, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)))[:38] + "\n"},
 			want: []string{cached, "failed", asked}},
-		"an indented object that stops": {script: []string{"{\n  \"generation\": 42,\n\n"},
-			whole: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
-			want:  []string{cached, "whole ready 127.0.0.1:3 zone 1 started 0", "failed", asked, "asked /api/targets"}},
+		"an indented object that is not finished": {script: []string{"{\n  \"generation\": 42,\n\n"},
+			fullList: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
+			want:     []string{cached, "full ready 127.0.0.1:3 zone 1 started 0", "failed", asked, "asked /api/targets"}},
 		"a broken line": {script: []string{"{nonsense\n", listLine(44, false, instanceJSON("s-1", "left", "", 0)) + "\n",
 			listLine(45, false, instanceJSON("s-1", "left", "", 0)) + "\n"},
-			whole: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
-			want: []string{cached, "whole ready 127.0.0.1:3 zone 1 started 0", "changes gone  zone 1 started 0", "failed",
+			fullList: listLine(44, true, instanceJSON("s-2", "active", "127.0.0.1:3", 0)),
+			want: []string{cached, "full ready 127.0.0.1:3 zone 1 started 0", "changes gone  zone 1 started 0", "failed",
 				asked, "asked /api/targets"}},
-		"a broken line, and a whole list older than a change": {script: []string{
+		"a broken line, and a full list older than a change": {script: []string{
 			listLine(43, false, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n", "{nonsense\n"},
-			whole: listLine(42, true, instanceJSON("s-1", "active", "127.0.0.1:1", 0)),
+			fullList: listLine(42, true, instanceJSON("s-1", "active", "127.0.0.1:1", 0)),
 			want: []string{cached, "changes draining 127.0.0.1:1 zone 1 started 0", "failed", asked,
 				"asked /api/targets"}},
 		"an unknown lifecycle": {script: []string{listLine(42, false, instanceJSON("s-1", "sleeping", "127.0.0.1:1", 0)) + "\n"},
-			whole: "no list either", want: []string{cached, "failed", asked, "asked /api/targets"}},
+			fullList: "no list either", want: []string{cached, "failed", asked, "asked /api/targets"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, runScript(t, c.script, c.whole, c.hold)); diff != "" {
+			if diff := cmp.Diff(c.want, runScript(t, c.script, c.fullList, c.keepOpen)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// A move ends the watch at the old address, which is no failure, and goes on at the new one from the generation held;
-// while that one is down, the module hears of it and asks again there. Of several moves the last counts.
-func TestMove(t *testing.T) {
-	asked, told := make(chan string, 8), make(chan *node.List, 8)
-	stand := func(name string, lines ...string) *httptest.Server {
-		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name + " " + r.URL.RequestURI()
-			for _, l := range lines {
-				fmt.Fprintln(w, l)
+// TestSetAddr checks that a new address ends the watch at the old one without a reported failure, and that the client
+// goes on at the new address from the known generation. While that one is down, the failure is reported and the client
+// retries there. Of several addresses the last one counts.
+func TestSetAddr(t *testing.T) {
+	calls, lists := make(chan string, 8), make(chan *node.List, 8)
+	startRegistry := func(name string, lines ...string) *httptest.Server {
+		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+			calls <- name + " " + request.URL.RequestURI()
+			for _, line := range lines {
+				fmt.Fprintln(w, line)
 			}
 			w.(http.Flusher).Flush()
-			<-r.Context().Done()
+			<-request.Context().Done()
 		}))
 	}
-	first, second := stand("first", listLine(42, true)), stand("second", listLine(43, false))
+	first, second := startRegistry("first", listLine(42, true)), startRegistry("second", listLine(43, false))
 	defer first.Close()
 	defer second.Close()
 	down := httptest.NewServer(nil)
 	down.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	r := New(Options{Addr: "127.0.0.1:1"}, sockets.NewPart(4), zerolog.Nop())
+	client := New(Options{Addr: "127.0.0.1:1"}, sockets.NewPart(4), zerolog.Nop())
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
-	r.SetAddr(addr(down))
-	r.SetAddr(addr(first))
-	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
-	got := []string{<-asked, describe(<-told)}
-	r.SetAddr(addr(down))
-	got = append(got, describe(<-told))
-	r.Watch()
-	got = append(got, describe(<-told))
-	r.SetAddr(addr(second))
-	got = append(got, <-asked, describe(<-told))
+	client.SetAddr(addr(down))
+	client.SetAddr(addr(first))
+	go func() {
+		client.Run(ctx, func(l *node.List) { lists <- l })
+		close(ended)
+	}()
+	got := []string{<-calls, describe(<-lists)}
+	client.SetAddr(addr(down))
+	got = append(got, describe(<-lists))
+	client.Watch()
+	got = append(got, describe(<-lists))
+	client.SetAddr(addr(second))
+	got = append(got, <-calls, describe(<-lists))
 	cancel()
 	<-ended
-	if diff := cmp.Diff([]string{"first /api/targets?watch=1", "whole", "failed", "failed",
+	if diff := cmp.Diff([]string{"first /api/targets?watch=1", "full", "failed", "failed",
 		"second /api/targets?watch=1&from=42", "changes"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Where changes come unasked, the actor begins a watch again by itself.
-func TestUnasked(t *testing.T) {
+// TestAutoWatch checks that a client with AutoWatch opens the next watch by itself.
+func TestAutoWatch(t *testing.T) {
 	watches := make(chan string, 8)
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		watches <- r.URL.RequestURI()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		watches <- request.URL.RequestURI()
 		fmt.Fprintln(w, listLine(7, true))
 	}))
-	defer stand.Close()
-	part := sockets.NewPart(4)
-	r := New(Options{Addr: strings.TrimPrefix(stand.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, part,
+	defer server.Close()
+	socketShare := sockets.NewPart(4)
+	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, socketShare,
 		zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { r.Run(ctx, func(*node.List) {}); close(ended) }()
+	go func() {
+		client.Run(ctx, func(*node.List) {})
+		close(ended)
+	}()
 	got := []string{<-watches, <-watches}
 	cancel()
 	<-ended
@@ -226,110 +240,117 @@
 	}
 }
 
-// Danger: a whole fleet that lost its registry would come back in step and at once. Where nodes watch by
-// themselves they wait longer after each failure, each for a time of its own, until a line has come.
-//
-// Danger: what has changed meanwhile counts as told once the registry is back, heard or not; a node that waits for long
-// would push to servers past the grace of their drain.
-func TestUnaskedSpread(t *testing.T) {
-	testUnaskedSpread(t, 0, maxRetryDelay)
-	testUnaskedSpread(t, 1500*time.Millisecond, 750*time.Millisecond)
+// TestAutoWatchBackoff guards against two failures. A fleet that lost its registry would reconnect in step and at once:
+// with AutoWatch a client waits longer after each failure, for a random time, until a line has arrived. And the changes
+// made meanwhile count as delivered once the registry is back, so a client that waits too long would let its node push to
+// servers past their drain grace.
+func TestAutoWatchBackoff(t *testing.T) {
+	testAutoWatchBackoff(t, 0, maxRetryDelay)
+	testAutoWatchBackoff(t, 1500*time.Millisecond, 750*time.Millisecond)
 }
 
-func testUnaskedSpread(t *testing.T, grace, longest time.Duration) {
-	const answered = 6 // the call of so many that brings a line before the registry is down again
+// testAutoWatchBackoff checks the delays between the watches of two clients under a drain grace, and the longest delay.
+func testAutoWatchBackoff(t *testing.T, grace, longest time.Duration) {
+	const answered = 6 // the sixth call brings a line; then the registry is down again
 	synctest.Test(t, func(t *testing.T) {
 		starts := map[uint64][]time.Duration{}
 		for seed := range uint64(2) {
-			begun, watched := time.Now(), 0
-			r := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
-			r.httpClient.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
-				starts[seed] = append(starts[seed], time.Since(begun))
-				if watched++; watched == answered {
+			started := time.Now()
+			watches := 0
+			client := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+			client.httpClient.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
+				starts[seed] = append(starts[seed], time.Since(started))
+				if watches++; watches == answered {
 					return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("\n"))}, nil
 				}
 				return nil, errors.New("down")
 			})
 			ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
-			r.Run(ctx, func(*node.List) {})
+			client.Run(ctx, func(*node.List) {})
 			cancel()
-			most := time.Second / firstRetryDivisor
-			for k := 1; k < watched; k++ {
-				if k == answered { // a line, though it told nothing, sets the wait back
-					most = time.Second / firstRetryDivisor
+			limit := time.Second / firstRetryDivisor
+			for k := 1; k < watches; k++ {
+				if k == answered { // an empty line resets the backoff, too
+					limit = time.Second / firstRetryDivisor
 				}
-				if wait := starts[seed][k] - starts[seed][k-1]; wait < most/2 || wait > most {
-					t.Errorf("grace %v: wait %d is %v, not within half of %v", grace, k, wait, most)
+				if delay := starts[seed][k] - starts[seed][k-1]; delay < limit/2 || delay > limit {
+					t.Errorf("grace %v: delay %d is %v, not from half of %[4]v to %[4]v", grace, k, delay, limit)
 				}
-				most = min(2*most, longest)
+				limit = min(2*limit, longest)
 			}
-			if watched < 6 || r.retryDelay != longest {
-				t.Errorf("grace %v: %d watches in 40 s, the wait stands at %v", grace, watched, r.retryDelay)
+			if watches < 6 || client.retryDelay != longest {
+				t.Errorf("grace %v: %d watches in 40 s, the delay limit is %v", grace, watches, client.retryDelay)
 			}
 		}
 		if starts[0][1] == starts[1][1] {
-			t.Error("two nodes come back in step")
+			t.Error("two clients reconnect in step")
 		}
 	})
 }
 
-// The registry is down for longer than any wait between two tries, comes back, and a server drains at once: that is heard within
-// the drain's grace. Down is a connection that is reset; the test steps by the calls that come.
-func TestComesBackWithADrain(t *testing.T) {
+// TestReconnectDuringDrain checks the time to reconnect: the registry is down for longer than any retry delay, comes back,
+// and a server drains at once. The client must report that within the drain grace. While the registry is down it resets
+// each connection; the test advances with the calls that arrive.
+func TestReconnectDuringDrain(t *testing.T) {
 	const grace = 400 * time.Millisecond
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	r := New(Options{Addr: l.Addr().String(), AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace}, sockets.NewPart(4), zerolog.Nop())
-	told := make(chan *node.List, 64)
+	defer listener.Close()
+	client := New(Options{Addr: listener.Addr().String(), AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace}, sockets.NewPart(4), zerolog.Nop())
+	lists := make(chan *node.List, 64)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
-	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
-	var back time.Time // right after the last call that failed: the drain is told from here on
+	go func() {
+		client.Run(ctx, func(l *node.List) { lists <- l })
+		close(ended)
+	}()
+	var backSince time.Time // after the last failed call: the registry is back from here on
 	lag := together.NewLag()
 	for range 8 {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
-		back = time.Now()
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
+		backSince = time.Now()
 	}
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+	defer conn.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		t.Fatal(err)
 	}
 	body := listLine(43, true, instanceJSON("s-1", "leaving", "127.0.0.1:1", 0)) + "\n"
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
-	for heard := ""; !strings.Contains(heard, "draining"); {
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
+	for reported := ""; !strings.Contains(reported, "draining"); {
 		select {
-		case list := <-told:
-			heard = describe(list)
+		case list := <-lists:
+			reported = describe(list)
 		case <-ctx.Done():
-			t.Fatal("the drain was not heard")
+			t.Fatal("the drain was not reported")
 		}
 	}
-	took := time.Since(back)
+	took := time.Since(backSince)
 	if late, _ := lag.End(); took > grace+late {
-		t.Errorf("the drain was heard after %v", took)
+		t.Errorf("the drain was reported after %v", took)
 	}
 	cancel()
 	<-ended
 }
 
+// roundTrip is a function as an http.RoundTripper.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Every node puts the same servers in the same order, whatever it heard of first, and an id keeps its number.
+// TestServerIDs checks that all nodes give the same servers the same IDs in whatever order they learn of them, and that an
+// instance keeps its ID.
 func TestServerIDs(t *testing.T) {
 	one, other := newIDAllocator(nil, nil), newIDAllocator(nil, nil)
 	ids := []string{"s-5be2a07c", "s-1", "s-2", ""}
@@ -340,24 +361,25 @@
 	if diff := cmp.Diff(one.serverIDs, other.serverIDs); diff != "" {
 		t.Error(diff)
 	}
-	clash := newIDAllocator(nil, nil)
-	clash.usedIDs[one.serverIDs["s-1"]] = true
-	if got := clash.serverID("s-1"); got == one.serverIDs["s-1"] || got != clash.serverID("s-1") {
-		t.Errorf("a number in use was given again, or not kept: %x", got)
+	collision := newIDAllocator(nil, nil)
+	collision.usedIDs[one.serverIDs["s-1"]] = true
+	if got := collision.serverID("s-1"); got == one.serverIDs["s-1"] || got != collision.serverID("s-1") {
+		t.Errorf("an ID in use was assigned again, or the ID was not kept: %x", got)
 	}
 }
 
-// Danger: on long days ids are ever new. What has left gives its number back, whether told as left or missing from a
-// whole list, and has the same one should it return; words in excess don't take another's number.
-func TestReplacements(t *testing.T) {
-	n := newIDAllocator(nil, nil)
+// TestReleasedIDs guards against maps that grow without bound where new instances keep arriving. An instance that has left
+// frees its ID, whether it is listed as left or missing from a full list, and gets the same ID if it returns. Names past
+// the limit share the last number and never take another name's number.
+func TestReleasedIDs(t *testing.T) {
+	ids := newIDAllocator(nil, nil)
 	id := func(i int) string { return fmt.Sprintf("s-%d", i) }
 	parse := func(reset bool, entries ...string) *node.List {
-		l, _, err := n.parseList([]byte(listLine(1, reset, entries...)))
+		list, _, err := ids.parseList([]byte(listLine(1, reset, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return l
+		return list
 	}
 	first := parse(true, instanceJSON(id(0), "active", "127.0.0.1:1", 0)).Entries[0].Server
 	for i := range 5000 {
@@ -366,21 +388,22 @@
 	for i := range 5000 {
 		parse(true, instanceJSON(id(i), "active", "127.0.0.1:1", i))
 	}
-	if len(n.serverIDs) != 1 || len(n.usedIDs) != 1 {
-		t.Errorf("%d ids and %d numbers are kept for one server", len(n.serverIDs), len(n.usedIDs))
+	if len(ids.serverIDs) != 1 || len(ids.usedIDs) != 1 {
+		t.Errorf("%d instance IDs and %d server IDs are kept for one server", len(ids.serverIDs), len(ids.usedIDs))
 	}
-	if again := parse(false, instanceJSON(id(0), "active", "127.0.0.1:1", 9)).Entries[0].Server; again != first {
-		t.Errorf("back as %x, was %x", again, first)
+	if returned := parse(false, instanceJSON(id(0), "active", "127.0.0.1:1", 9)).Entries[0].Server; returned != first {
+		t.Errorf("returned with ID %x, had %x", returned, first)
 	}
-	var words []string
+	var names []string
 	for i := range 1000 {
-		if at := nameIndex(&words, id(i)); int(at) != min(i, 255) {
-			t.Fatalf("word %d is number %d", i, at)
+		if number := nameIndex(&names, id(i)); int(number) != min(i, 255) {
+			t.Fatalf("name %d has number %d", i, number)
 		}
 	}
 }
 
-func TestLineWithoutEnd(t *testing.T) {
+// TestLineTooLong checks that a line without an end is refused instead of filling the memory.
+func TestLineTooLong(t *testing.T) {
 	endless := bufio.NewReader(strings.NewReader(strings.Repeat("x", maxLineBytes+8192)))
 	if _, err := readLine(endless); err == nil || !strings.Contains(err.Error(), "too long") {
 		t.Errorf("got %v", err)
