--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a node's configuration is read, checked and given defaults. Every
-// error names the key at fault.
+// Package config reads a node's configuration, checks it and fills in defaults. No other package does so. Every error
+// names the key at fault.
 package config
 
 import (
@@ -27,32 +27,34 @@
 	minMemoryMB     = 16
 )
 
-// Config is all that a node is told at its start.
+// Config is the configuration of one node.
 type Config struct {
-	Name              string
-	Listen            string // where clients connect
-	RegistryAddr      string // the registry
-	Seed              uint64
-	LogLevel          zerolog.Level
-	Cores             float64
-	MemoryMB          int
-	Sockets           int
-	CachedList        json.RawMessage // the list as the node last had it, in the registry's form
-	Rules             *Rules
-	Names             Names
-	MaxPendingOps     int           // ops in hand that the settings allow
-	AnswerSlack       policy.Micros // past a client's wait, in which a final answer still counts
-	IgnoredSettings   []string      // settings that earlier versions heeded, given here
-	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long
-	Fleet             *Fleet        // nil: the node hears nobody
-	Store             *Store        // nil: the file alone says what holds
-	Raw               []byte        // the document that this was read from
+	Name         string
+	Listen       string // address for clients
+	RegistryAddr string // address of the service registry
+	Seed         uint64 // of random decisions
+	LogLevel     zerolog.Level
+	Cores        float64
+	MemoryMB     int
+	Sockets      int             // sockets that the node may open
+	CachedList   json.RawMessage // the server list that the node had when it last ran, in the registry's format
+	Rules        *Rules
+	Names        Names
+
+	MaxPendingOps     int           // limit from the settings
+	AnswerSlack       policy.Micros // after a client's deadline, in which a final answer still counts
+	IgnoredSettings   []string      // settings in the file that only earlier versions used
+	ServerIdleTimeout time.Duration // servers close connections that have been idle for this long
+
+	Fleet *Fleet // nil: the node exchanges nothing with other nodes
+	Store *Store // nil: the file is the only source of configuration
+	Raw   []byte // the document that was parsed
 
 	rawSettings, rawFleet json.RawMessage
 }
 
-// Fixed names the keys that differ in next and can't change while the node runs. Discovery, log_level and settings
-// can; known is only read at the start, since the node itself holds a newer list.
+// RestartRequiredKeys returns the keys that differ in next and cannot change while the node runs. The keys discovery,
+// log_level and settings can; known is only read at the start, because a running node has a newer list.
 func (c *Config) RestartRequiredKeys(next *Config) (keys []string) {
 	for _, field := range []struct {
 		key   string
@@ -71,37 +73,45 @@
 	return keys
 }
 
-// Running is c, taken over by a node that runs with old: what can't change while it runs stays.
+// WithFixedKeysOf returns a copy of c with the values of running for all keys that cannot change while a node runs.
 func (c *Config) WithFixedKeysOf(running *Config) *Config {
 	merged := *c
-	merged.Name, merged.Listen, merged.Seed = running.Name, running.Listen, running.Seed
-	merged.Cores, merged.MemoryMB, merged.Sockets = running.Cores, running.MemoryMB, running.Sockets
+	merged.Name = running.Name
+	merged.Listen = running.Listen
+	merged.Seed = running.Seed
+	merged.Cores = running.Cores
+	merged.MemoryMB = running.MemoryMB
+	merged.Sockets = running.Sockets
 	merged.Store = running.Store
 	return &merged
 }
 
-// SameSettings says that the settings have the same values.
+// SameSettings reports whether both configurations have the same settings.
 func (c *Config) SameSettings(next *Config) bool { return sameJSON(c.rawSettings, next.rawSettings) }
 
-// SameFleet says that the nodes would hear each other as before: the same keys, and the same place among them.
+// SameFleet reports whether both configurations give the node the same connection to the fleet: the same keys under fleet,
+// and the same number, zone and fleet size.
 func (c *Config) SameFleet(next *Config) bool {
 	place, nextPlace := &c.Rules.Topology, &next.Rules.Topology
 	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.rawFleet, next.rawFleet) &&
 		place.Number == nextPlace.Number && place.Zone == nextPlace.Zone && place.Nodes == nextPlace.Nodes)
 }
 
-// sameJSON compares values, whatever their spacing and the order of their keys.
+// sameJSON compares two JSON values regardless of white space and the order of keys.
 func sameJSON(rawLeft, rawRight json.RawMessage) bool {
 	var left, right any
 	return json.Unmarshal(rawLeft, &left) == nil && json.Unmarshal(rawRight, &right) == nil && reflect.DeepEqual(left, right)
 }
 
-// Names are the words of the settings, by the number that the module knows them by.
+// Names holds the names from the settings. The index of a name is the number that the policy uses for it.
 type Names struct {
-	Categories, Tenants, Zones, MachineTypes []string
+	Categories   []string
+	Tenants      []string
+	Zones        []string
+	MachineTypes []string
 }
 
-// document is the file's form.
+// fileDocument is the JSON format of the configuration file.
 type fileDocument struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -119,7 +129,7 @@
 	Store    json.RawMessage `json:"store"`
 }
 
-// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_LOG_LEVEL stand in for
+// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_LOG_LEVEL are defaults for
 // keys that the file leaves out.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
@@ -133,7 +143,7 @@
 	return Parse(raw, getenv)
 }
 
-// Parse reads a file's content.
+// Parse reads a configuration from the content of a file.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	c, err := parse(raw, getenv)
 	if err != nil {
@@ -142,6 +152,7 @@
 	return c, nil
 }
 
+// parse is Parse without the prefix of the errors. A configuration with an invalid setting is returned with its error.
 func parse(raw []byte, getenv func(string) string) (*Config, error) {
 	var document fileDocument
 	if err := json.Unmarshal(raw, &document); err != nil {
@@ -196,8 +207,12 @@
 	c.ServerIdleTimeout = Duration(MillisToMicros(set.numberOr("limits.idle_close", 0)))
 	c.AnswerSlack = MillisToMicros(set.numberOr("safety.answer_slack", 0))
 	c.MaxPendingOps = int(set.numberOr("limits.max_open", float64(c.Sockets)))
-	c.Names = Names{Categories: set.objectNames("categories"), Tenants: set.objectNames("tenants"),
-		Zones: set.stringList("failure_domains"), MachineTypes: set.stringList("kinds")}
+	c.Names = Names{
+		Categories:   set.objectNames("categories"),
+		Tenants:      set.objectNames("tenants"),
+		Zones:        set.stringList("failure_domains"),
+		MachineTypes: set.stringList("kinds"),
+	}
 	set.checkRules(c.Rules)
 	if set.booleanOr("safety.gone_is_advice", false) {
 		c.IgnoredSettings = append(c.IgnoredSettings, "safety.gone_is_advice")
@@ -214,9 +229,9 @@
 	return c, err
 }
 
-// check refuses values that no node could run with.
+// checkRules records an error for a value that no node could run with.
 func (s *settings) checkRules(rules *Rules) {
-	for _, check := range []struct {
+	for _, rule := range []struct {
 		key     string
 		invalid bool
 	}{
@@ -227,8 +242,8 @@
 		{"limits.max_pushes", rules.PushLimits.Max < 1},
 		{"limits.dial_timeout", rules.PushLimits.Dial < policy.Millisecond},
 	} {
-		if check.invalid {
-			s.recordError("setting %s is out of range: %q", check.key, s.values[check.key])
+		if rule.invalid {
+			s.recordError("setting %s is out of range: %q", rule.key, s.values[rule.key])
 		}
 	}
 	for i, category := range rules.Categories {
@@ -238,6 +253,7 @@
 	}
 }
 
+// valueOr returns the value, or fallback if there is none.
 func valueOr[T any](value *T, fallback T) T {
 	if value != nil {
 		return *value
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -8,7 +8,7 @@
 	"canvasrouter/policy"
 )
 
-// Explain says in words what a configuration means: a few lines of text.
+// Explain describes the configuration in a few lines of text.
 func (c *Config) Explain() string {
 	var text strings.Builder
 	writeLine := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
@@ -24,50 +24,52 @@
 		writeLine("  %s", describeRepeat(&category))
 	}
 	for _, key := range c.IgnoredSettings {
-		writeLine("Setting %s is given, and no longer heeded.", key)
+		writeLine("Setting %s is given but no longer used.", key)
 	}
 	writeLine("")
 	writeLine("An op gets at most %d pushes, %s. A connection not open within %s has failed.", rules.PushLimits.Max,
 		choose(rules.PushLimits.Duplicate, "also two at once", "never two at once"), Duration(rules.PushLimits.Dial))
 	if rules.PushLimits.RetryAfter > 0 {
-		writeLine("A nack says when to come back, %s at most.", Duration(rules.PushLimits.RetryAfter))
+		writeLine("A nack carries a Retry-After of at most %s.", Duration(rules.PushLimits.RetryAfter))
 	} else {
-		writeLine("A nack gives no advice.")
+		writeLine("A nack carries no Retry-After.")
 	}
-	writeLine("A server that has just started can do %g%% of its work and is warm after %s; all nodes together must not send it",
+	writeLine("A server that has just started has %g%% of its capacity and is warm after %s; all nodes together must not send it",
 		100*rules.ColdStart.From, Duration(rules.ColdStart.Warm))
-	writeLine("more than %g times what it can do for %s.", rules.ColdStart.Factor, Duration(rules.ColdStart.Window))
+	writeLine("more than %g times its capacity for %s.", rules.ColdStart.Factor, Duration(rules.ColdStart.Window))
 	c.explainFleet(writeLine)
 	c.explainStore(writeLine)
-	writeLine("Changes of the list come %s.", choose(rules.Registry.Ask, "only on asking, and the node asks", "unasked"))
+	writeLine("The registry sends changes of the list %s.", choose(rules.Registry.Ask, "only on request, and the node requests them", "without a request"))
 	return text.String()
 }
 
+// explainFleet describes the key fleet.
 func (c *Config) explainFleet(writeLine func(format string, args ...any)) {
 	fleet := c.Fleet
 	if fleet == nil {
 		if c.Rules.Topology.Peers {
-			writeLine("Nodes may tell each other what they push, but key fleet is left out: there is no way for it, and each decides alone.")
+			writeLine("Setting limits.peers allows peer messages, but key fleet is left out: nodes send none, and each decides alone.")
 		}
 		return
 	}
-	writeLine("The node hears others of fleet %q: it listens on %s (UDP and TCP), they reach it at %s, and it joins by %v.", fleet.Name,
+	writeLine("The node is a member of fleet %q: it listens on %s (UDP and TCP), advertises %s and joins through %v.", fleet.Name,
 		fleet.Listen, fleet.Advertise, fleet.Join)
-	writeLine("It sends them at most %d bytes a second in datagrams; what is more is dropped.", fleet.MaxBytesPerSecond)
+	writeLine("It sends at most %d bytes a second in datagrams to other nodes and drops the rest.", fleet.MaxBytesPerSecond)
 	switch {
 	case fleet.PeerMessages && c.Rules.Topology.Peers:
-		writeLine("Modules tell each other what they push and how it ends.")
+		writeLine("Nodes exchange peer messages about what they push and how it ends.")
 	case fleet.PeerMessages:
-		writeLine("Modules tell each other nothing: setting limits.peers is not true.")
+		writeLine("Nodes exchange no peer messages: setting limits.peers is not true.")
 	default:
-		writeLine("Modules tell each other nothing: fleet.words is off.")
+		writeLine("Nodes exchange no peer messages: fleet.words is off.")
 	}
-	writeLine("What others find of servers %s.", choose(fleet.OutlierReports, "weighs, where this node has no better evidence of its own", "is neither told nor heeded"))
+	writeLine("Outlier reports of other nodes %s.", choose(fleet.OutlierReports, "count where this node has no better evidence of its own", "are neither sent nor used"))
 	if fleet.ControlSocket != "" {
-		writeLine("Its own user sees what it knows by the socket %s (canvasrouter fleet).", fleet.ControlSocket)
+		writeLine("Its own user can query its state through the socket %s (canvasrouter fleet).", fleet.ControlSocket)
 	}
 }
 
+// describeRepeat says when an op of a category may be pushed again.
 func describeRepeat(category *policy.Category) string {
 	switch category.Repeat {
 	case policy.Deduplicated:
@@ -79,6 +81,7 @@
 	return "Redeliverable: may run again."
 }
 
+// nameOf returns the name with the given number, or the number as text if it has none.
 func nameOf(names []string, number int) string {
 	if number < len(names) {
 		return names[number]
@@ -86,6 +89,7 @@
 	return fmt.Sprintf("number %d", number)
 }
 
+// choose returns ifTrue or ifFalse.
 func choose(condition bool, ifTrue, ifFalse string) string {
 	if condition {
 		return ifTrue
@@ -93,5 +97,5 @@
 	return ifFalse
 }
 
-// Duration is a time of the module's as the libraries take it.
+// Duration converts the policy's microseconds.
 func Duration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,16 +9,16 @@
 	"path/filepath"
 )
 
-// Fleet says how a node hears the others.
+// Fleet configures the exchange with the other nodes of the fleet.
 type Fleet struct {
-	Name              string           // nodes of one fleet have one name
-	Listen            netip.AddrPort   // UDP and TCP, for nodes alone
-	Advertise         netip.AddrPort   // as the others reach it
-	Join              []netip.AddrPort // some of the others; not all need to be there
-	ControlSocket     string           // Unix socket for the node's own user; "": none
-	PeerMessages      bool             // modules tell each other what they push, where settings.limits.peers allows
-	OutlierReports    bool             // what others find of servers weighs
-	MaxBytesPerSecond int              // bytes a second that the node sends to nodes, in datagrams
+	Name              string           // the same at all nodes of a fleet
+	Listen            netip.AddrPort   // UDP and TCP, for other nodes only
+	Advertise         netip.AddrPort   // address at which other nodes reach this one
+	Join              []netip.AddrPort // nodes to join through; not all of them need to be up
+	ControlSocket     string           // path of a Unix socket for the node's own user; "": none
+	PeerMessages      bool             // policies exchange messages about their pushes, if settings.limits.peers allows it
+	OutlierReports    bool             // nodes exchange and use reports about unhealthy servers
+	MaxBytesPerSecond int              // limit of the datagrams sent to other nodes
 }
 
 const (
@@ -26,10 +26,10 @@
 	defaultMaxBytesPerSecond = 64 << 10
 	minBytesPerSecond        = 4 << 10
 	maxJoinAddrs             = 64
-	maxSocketPathBytes       = 100 // bytes of a Unix socket's path
+	maxSocketPathBytes       = 100 // path of a Unix socket
 )
 
-// parseFleet reads the key fleet; left out, the node hears nobody.
+// parseFleet reads the key fleet. If it is left out, the result is nil.
 func parseFleet(raw json.RawMessage) (*Fleet, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
@@ -45,7 +45,7 @@
 		Pace      *int     `json:"bytes_per_second"`
 	}{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.DisallowUnknownFields() // a switch that is misspelt would stay on
+	decoder.DisallowUnknownFields() // otherwise a misspelt switch would silently stay on
 	if err := decoder.Decode(&document); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
@@ -53,8 +53,13 @@
 		}
 		return nil, fmt.Errorf("key fleet: %w", err)
 	}
-	fleet := &Fleet{Name: document.Name, ControlSocket: document.Control, PeerMessages: valueOr(document.Words, true), OutlierReports: valueOr(document.Judged, true),
-		MaxBytesPerSecond: valueOr(document.Pace, defaultMaxBytesPerSecond)}
+	fleet := &Fleet{
+		Name:              document.Name,
+		ControlSocket:     document.Control,
+		PeerMessages:      valueOr(document.Words, true),
+		OutlierReports:    valueOr(document.Judged, true),
+		MaxBytesPerSecond: valueOr(document.Pace, defaultMaxBytesPerSecond),
+	}
 	if fleet.Name == "" {
 		fleet.Name = defaultFleetName
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,13 +11,13 @@
 	"canvasrouter/policy"
 )
 
-// settings are path=value pairs. The first bad or missing one is kept in err.
+// settings holds the settings as path=value pairs. err is the error of the first missing or invalid one that was read.
 type settings struct {
 	values map[string]string
 	err    error
 }
 
-// fromText reads one path=value pair a line, as the simulator's first message holds them.
+// settingsFromText reads one path=value pair a line, the format of the simulator's first message.
 func settingsFromText(text []byte) *settings {
 	s := &settings{values: make(map[string]string)}
 	for i, line := range strings.Split(string(text), "\n") {
@@ -35,7 +35,7 @@
 	return s
 }
 
-// fromJSON flattens nested JSON to the paths that the text form has.
+// settingsFromJSON flattens nested JSON to the same paths as the text format.
 func settingsFromJSON(raw []byte) *settings {
 	s := &settings{values: make(map[string]string)}
 	var tree map[string]any
@@ -48,6 +48,8 @@
 	return s
 }
 
+// flatten stores value, and all that it contains, under path. A list of objects also gets a path.count; a list of plain
+// values becomes one value with commas.
 func (s *settings) flatten(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -73,17 +75,19 @@
 	}
 }
 
-// word is a plain value as the text form writes it: spaces and commas become _.
+// plainText returns a plain value as the text format writes it: spaces and commas become _.
 func plainText(value any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(value))
 }
 
+// recordError keeps the first error.
 func (s *settings) recordError(format string, args ...any) {
 	if s.err == nil {
 		s.err = fmt.Errorf(format, args...)
 	}
 }
 
+// text returns a value. A missing one is an error.
 func (s *settings) text(key string) string {
 	value, found := s.values[key]
 	if !found {
@@ -92,6 +96,7 @@
 	return value
 }
 
+// number returns a value as a number other than NaN.
 func (s *settings) number(key string) float64 {
 	value := s.text(key)
 	if s.err != nil {
@@ -104,6 +109,7 @@
 	return x
 }
 
+// numberOr returns a number, or fallback if it is missing.
 func (s *settings) numberOr(key string, fallback float64) float64 {
 	if _, found := s.values[key]; !found {
 		return fallback
@@ -111,10 +117,13 @@
 	return s.number(key)
 }
 
+// integer returns a number without its fraction.
 func (s *settings) integer(key string) int { return int(s.number(key)) }
 
+// duration returns a number of milliseconds.
 func (s *settings) duration(key string) policy.Micros { return MillisToMicros(s.number(key)) }
 
+// boolean returns a value that is true or false; an empty one is false.
 func (s *settings) boolean(key string) bool {
 	switch value := s.text(key); value {
 	case "true":
@@ -126,6 +135,7 @@
 	return false
 }
 
+// booleanOr returns a boolean, or fallback if it is missing.
 func (s *settings) booleanOr(key string, fallback bool) bool {
 	if _, found := s.values[key]; !found {
 		return fallback
@@ -133,6 +143,7 @@
 	return s.boolean(key)
 }
 
+// enumValue returns what values has for a setting. Any other value is an error.
 func enumValue[T any](s *settings, key string, values map[string]T) T {
 	value := s.text(key)
 	result, found := values[value]
@@ -142,11 +153,12 @@
 	return result
 }
 
-// count gives the length of a list of objects: 0 where the list is empty or absent.
+// listLength returns the length of a list of objects: 0 if the list is empty or missing.
 func (s *settings) listLength(key string) int {
 	return int(s.numberOr(key+".count", 0))
 }
 
+// categories reads the list of categories.
 func (s *settings) categories() []policy.Category {
 	categories := make([]policy.Category, s.listLength("categories"))
 	if len(categories) == 0 {
@@ -159,19 +171,25 @@
 			Late:    s.numberOr(prefix+"tardy_benefit", 0),
 			Target:  s.duration(prefix + "target_latency"),
 			TTL:     s.duration(prefix + "ttl"),
-			Repeat: enumValue(s, prefix+"effect", map[string]policy.Repeat{"idempotent": policy.Redeliverable,
-				"deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}),
+			Repeat: enumValue(s, prefix+"effect", map[string]policy.Repeat{
+				"idempotent":   policy.Redeliverable,
+				"deduplicated": policy.Deduplicated,
+				"at_most_once": policy.AtMostOnce,
+			}),
 			Window: MillisToMicros(s.numberOr(prefix+"repeat_window", 0)),
 		}
 		if categories[i].Repeat == policy.Deduplicated {
-			categories[i].Scope = enumValue(s, prefix+"key_scope", map[string]policy.Scope{"all": policy.ScopeAll,
-				"zone": policy.ScopeZone, "cell": policy.ScopeCell})
+			categories[i].Scope = enumValue(s, prefix+"key_scope", map[string]policy.Scope{
+				"all":  policy.ScopeAll,
+				"zone": policy.ScopeZone,
+				"cell": policy.ScopeCell,
+			})
 		}
 	}
 	return categories
 }
 
-// list gives a list of plain values.
+// stringList returns a list of plain values.
 func (s *settings) stringList(key string) []string {
 	if value := s.values[key]; value != "" {
 		return strings.Split(value, ",")
@@ -179,7 +197,7 @@
 	return nil
 }
 
-// names gives the names of a list of objects.
+// objectNames returns the names of a list of objects.
 func (s *settings) objectNames(key string) []string {
 	names := make([]string, s.listLength(key))
 	for i := range names {
@@ -188,44 +206,60 @@
 	return names
 }
 
-// Micros turns the settings' milliseconds into the module's whole microseconds.
+// MillisToMicros converts the milliseconds of the settings to whole microseconds.
 func MillisToMicros(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
 
-// Rules are the settings as the module takes them.
+// Rules are the settings in the types of the policy.
 type Rules struct {
 	Topology   policy.Place
 	Categories []policy.Category
 	PushLimits policy.PushRule
 	ColdStart  policy.ColdRule
 	Registry   policy.RegistryRule
-	DrainGrace policy.Micros // of drains; 0: not told
+	DrainGrace policy.Micros // of draining servers; 0 if the settings do not give one
 }
 
-// NewNode starts the module with these rules.
+// NewNode returns a policy node with these rules.
 func (r *Rules) NewNode(seed uint64) *policy.Node {
 	return policy.New(int64(seed), r.Topology, r.Categories, r.PushLimits, r.ColdStart, r.Registry)
 }
 
-// ParseRules reads the rules from path=value lines.
+// ParseRules reads rules from path=value lines.
 func ParseRules(text []byte) (*Rules, error) {
 	s := settingsFromText(text)
 	rules := s.rules()
 	return rules, s.err
 }
 
+// rules reads all rules.
 func (s *settings) rules() *Rules {
 	rules := &Rules{
-		Topology: policy.Place{Tier: s.integer("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
-			Nodes: s.integer("fleet_size"), Number: s.integer("slot_no"),
-			Zone: policy.ZoneID(s.integer("az")), Cross: s.numberOr("prices.cross_zone", 0),
-			Peers: s.booleanOr("limits.peers", false), Tick: s.duration("tick")},
-		PushLimits: policy.PushRule{Max: s.integer("limits.max_pushes"), Duplicate: s.boolean("limits.may_duplicate"),
-			Cancel: s.boolean("limits.may_cancel"), Dial: s.duration("limits.dial_timeout")},
-		ColdStart: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.duration("safety.cold"),
-			Factor: s.number("safety.overload_factor"), Window: s.duration("safety.tip_after")},
+		Topology: policy.Place{
+			Tier:   s.integer("tier"),
+			Tiers:  len(strings.Split(s.text("tiers"), ",")),
+			Nodes:  s.integer("fleet_size"),
+			Number: s.integer("slot_no"),
+			Zone:   policy.ZoneID(s.integer("az")),
+			Cross:  s.numberOr("prices.cross_zone", 0),
+			Peers:  s.booleanOr("limits.peers", false),
+			Tick:   s.duration("tick"),
+		},
+		PushLimits: policy.PushRule{
+			Max:       s.integer("limits.max_pushes"),
+			Duplicate: s.boolean("limits.may_duplicate"),
+			Cancel:    s.boolean("limits.may_cancel"),
+			Dial:      s.duration("limits.dial_timeout"),
+		},
+		ColdStart: policy.ColdRule{
+			From:   s.number("safety.cold_from"),
+			Warm:   s.duration("safety.cold"),
+			Factor: s.number("safety.overload_factor"),
+			Window: s.duration("safety.tip_after"),
+		},
 		Registry: policy.RegistryRule{
 			Ask:    enumValue(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
-			Within: MillisToMicros(s.numberOr("safety.must_ask_in", 0))},
+			Within: MillisToMicros(s.numberOr("safety.must_ask_in", 0)),
+		},
 		DrainGrace: MillisToMicros(s.numberOr("safety.drain_grace", 0)),
 		Categories: s.categories(),
 	}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// Form counts the forms of configuration that this program knows: a change may need a later one.
+// FormatVersion is the newest format of configuration that this program knows. A change may require a newer one.
 const FormatVersion = 1
 
-// Store says where changes of configuration come from.
+// Store configures where changes of configuration come from.
 type Store struct {
-	Replicas []string   // addresses of the machines that hold them
-	Service  string     // whose changes the node takes, beside those for all and for itself
-	LocalIP  netip.Addr // that calls come from; invalid: any
+	Replicas []string   // addresses of the store's replicas
+	Service  string     // the node takes the changes for this service, besides those for all nodes and for itself
+	LocalIP  netip.Addr // local address of connections to the replicas; invalid: any
 }
 
 const maxReplicas = 7
 
-// parseStore reads the key store; left out, the configuration is the file alone.
+// parseStore reads the key store. If it is left out, the result is nil.
 func parseStore(raw json.RawMessage) (*Store, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
@@ -63,7 +63,7 @@
 	return store, nil
 }
 
-// explainStore says in words what the key comes to.
+// explainStore describes the key store.
 func (c *Config) explainStore(writeLine func(format string, args ...any)) {
 	store := c.Store
 	if store == nil {
@@ -73,18 +73,20 @@
 	if store.Service != "" {
 		service = fmt.Sprintf("service %q's", store.Service)
 	}
-	writeLine("Changes of configuration come from the store at %v: those for all nodes, %s, and the node's own, laid over this file in that order.",
+	writeLine("Changes of configuration come from the store at %v: those for all nodes, %s, and the node's own, applied on top of this file in that order.",
 		store.Replicas, service)
-	writeLine("Where none of them can be reached the node runs what it runs; at its start that is the file.")
+	writeLine("While no replica can be reached the node keeps its running configuration; at its start that is the file.")
 }
 
-// Changeable are the keys that a change may hold, and those of settings that only a change for one node may.
 var (
-	changeableKeys   = []string{"settings", "log_level", "discovery"}
+	// changeableKeys are the keys of the configuration that a change may contain.
+	changeableKeys = []string{"settings", "log_level", "discovery"}
+	// nodeOnlySettings are the settings that only a change for a single node may contain.
 	nodeOnlySettings = []string{"slot_no", "az", "fleet_size"}
 )
 
-// CheckPatch says what a change may not hold, by its key. One is whether it is for a single node.
+// CheckPatch returns an error that names a key which a change must not contain. singleNode tells whether the change is for
+// one node only.
 func CheckPatch(patch json.RawMessage, singleNode bool) error {
 	var patched map[string]json.RawMessage
 	if err := json.Unmarshal(patch, &patched); err != nil {
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// contains reports whether wanted is one of values.
 func contains(values []string, wanted string) bool {
 	for _, value := range values {
 		if value == wanted {
