--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -9,17 +9,17 @@
 	"canvasrouter/internal/fleet"
 )
 
-// others are the other nodes, as far as this one hears them. A reload may come while the node drains, and as it ends.
+// peerNetwork is the connection to the other nodes of the fleet. A reload may arrive while the node drains or ends.
 type peerNetwork struct {
 	mu      sync.Mutex
-	fleet   *fleet.Fleet // nil: none
-	stopped bool
+	fleet   *fleet.Fleet // nil: not connected
+	stopped bool         // the node ends: no fleet is started any more
 }
 
-// canHear says whether modules have a way to tell each other.
+// canReachPeers reports whether a configuration lets nodes exchange peer messages.
 func canReachPeers(c *config.Config) bool { return c.Fleet != nil && c.Fleet.PeerMessages }
 
-// hearOthers begins to hear others, if the configuration says so.
+// startFleet connects to the other nodes if the configuration has the key fleet.
 func (p *process) startFleet(c *config.Config) (err error) {
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
@@ -33,7 +33,7 @@
 	return err
 }
 
-// leave tells the others that the node leaves.
+// leave announces to the other nodes that this one leaves.
 func (n *peerNetwork) leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -42,13 +42,13 @@
 	}
 }
 
-// close ends hearing them; for good if the node ends.
+// close disconnects from the other nodes. If final is set, the fleet is not started again.
 func (n *peerNetwork) close(final bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopped = n.stopped || final
 	if n.fleet != nil {
-		n.fleet.Leave() // the others needn't find out; once is enough
+		n.fleet.Leave() // announced, so that the others need not detect it; a repeated announcement has no effect
 		n.fleet.Close()
 		n.fleet = nil
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve is one node as a process: its parts wired together, its signals, its log and its end.
+// Package serve runs one node as a process: it connects the parts of the node, handles signals and configuration changes,
+// writes the log and shuts the node down.
 package serve
 
 import (
@@ -27,26 +28,33 @@
 	"canvasrouter/policy"
 )
 
-// logLines is how many lines may wait to be written; past that the oldest are lost, and no op waits for one.
+// logBufferLines is the number of log lines that may wait to be written. Beyond it the oldest lines are dropped, so that no
+// op ever waits for the log.
 const logBufferLines = 4096
 
-// lastLines is how long the exit waits for the log's last lines to be written.
+// logFlushTimeout bounds how long the exit waits until the last log lines are written.
 const logFlushTimeout = 200 * time.Millisecond
 
-// Options are what a program other than the node itself may set. The zero value is the node.
+// Options replace parts of the node in other programs. The zero value runs the node unchanged.
 type Options struct {
-	Getenv            func(string) string                          // in place of the environment
-	NewDecider        func(*config.Config) (policy.Decider, error) // in the module's place
-	AdjustAnswerSlack func(settings policy.Micros) policy.Micros   // in place of the settings' answer slack
+	// Getenv replaces the environment.
+	Getenv func(string) string
+
+	// NewDecider makes the decider of a configuration, in place of the policy.
+	NewDecider func(*config.Config) (policy.Decider, error)
+
+	// AdjustAnswerSlack returns the answer slack to use in place of the one from the settings.
+	AdjustAnswerSlack func(settings policy.Micros) policy.Micros
 }
 
-// Main runs the node until it is told to end, and gives its exit code: 0 after a planned restart, 1 if it failed,
-// 2 if its configuration is no use. A fault is one line on standard error.
+// Main runs the node until SIGTERM or an interrupt and returns its exit code: 0 after a planned restart, 1 after a failure,
+// 2 if the configuration is invalid. The error is one line on standard error.
 func Main(o Options) int {
-	// Danger: until it is caught, SIGHUP ends the process. One that comes early waits here.
+	// Until SIGHUP is caught it ends the process. One that arrives during the start waits in this channel.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	// The same with SIGTERM: whoever watches would take a node that is told to end while it starts for one that crashed.
+	// An uncaught SIGTERM would end the process, too, and a node that is stopped during its start would look like one that
+	// crashed.
 	terminate, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stopSignals()
 	if o.Getenv == nil {
@@ -70,10 +78,13 @@
 		log.Error().Err(err).Msg("node ends")
 	}
 	flushed := make(chan struct{})
-	go func() { logWriter.Close(); close(flushed) }()
+	go func() {
+		logWriter.Close()
+		close(flushed)
+	}()
 	select {
 	case <-flushed:
-	case <-time.After(logFlushTimeout): // Danger: nobody may read the log any more, and the exit would wait for ever
+	case <-time.After(logFlushTimeout): // without this, the exit would hang if nobody reads the log any more
 	}
 	if err != nil {
 		return 1
@@ -81,21 +92,35 @@
 	return 0
 }
 
+// run starts the parts of the node and returns when the node has shut down.
 func (o *Options) run(c *config.Config, reload <-chan os.Signal, terminate context.Context, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4) // the rest is stacks and what the kernel counts
+	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4) // the rest is left for stacks and for memory that the kernel counts
 
 	clientSockets, serverSockets, registrySockets, maxPendingOps := sockets.Split(c.Sockets)
 	clock := node.NewClock()
-	p := &process{Options: o, config: c, clock: clock, maxPendingOps: maxPendingOps, maxOpsWithPushes: clientSockets.Size(), log: log}
+	p := &process{
+		Options:          o,
+		config:           c,
+		clock:            clock,
+		maxPendingOps:    maxPendingOps,
+		maxOpsWithPushes: clientSockets.Size(),
+		log:              log,
+	}
 	firstGeneration, err := p.newGeneration(c)
 	if err != nil {
 		return err
 	}
 	actor := node.New(firstGeneration.Options, firstGeneration.Module, clock, log.With().Str("part", "node").Logger())
-	registryClient := registry.New(registry.Options{Addr: c.RegistryAddr, Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes,
-		AutoWatch: !c.Rules.Registry.Ask, BaseRetryDelay: time.Second, DrainGrace: config.Duration(c.Rules.DrainGrace), Seed: c.Seed}, registrySockets,
-		log.With().Str("part", "registry").Logger())
+	registryClient := registry.New(registry.Options{
+		Addr:           c.RegistryAddr,
+		Zones:          c.Names.Zones,
+		MachineTypes:   c.Names.MachineTypes,
+		AutoWatch:      !c.Rules.Registry.Ask,
+		BaseRetryDelay: time.Second,
+		DrainGrace:     config.Duration(c.Rules.DrainGrace),
+		Seed:           c.Seed,
+	}, registrySockets, log.With().Str("part", "registry").Logger())
 	cachedList, err := registryClient.LoadCached(c.CachedList)
 	if err != nil {
 		return err
@@ -106,7 +131,10 @@
 	if err != nil {
 		return fmt.Errorf("config: key listen: %w", err)
 	}
-	p.actor, p.registry, p.serverPool, p.clientServer = actor, registryClient, serverPool, clientServer
+	p.actor = actor
+	p.registry = registryClient
+	p.serverPool = serverPool
+	p.clientServer = clientServer
 
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -119,7 +147,7 @@
 	}
 	defer p.peers.close(true)
 	defer p.followStore(c)()
-	go func() { // until the process ends, also while it drains
+	go func() { // runs until the process ends, so a reload also works while the node drains
 		for {
 			<-reload
 			p.reconfigure()
@@ -140,29 +168,31 @@
 	case err := <-serveEnded:
 		return fmt.Errorf("clients: %w", err)
 	case err := <-actorEnded:
-		clientServer.Drain(serveEnded, false) // the answers of what was in hand go out
+		clientServer.Drain(serveEnded, false) // the answers of pending ops are still sent
 		return err
 	}
 }
 
-// running is a node's parts, and the configuration in force.
+// process holds the parts of a running node and the configuration in force.
 type process struct {
 	*Options
-	config                          *config.Config
-	maxPendingOps, maxOpsWithPushes int // ops in hand that sockets allow, and ops that can have pushes out
-	log                             zerolog.Logger
-	actor                           *node.Node
-	registry                        *registry.Client
-	serverPool                      *servers.Pool
-	clientServer                    *clients.Server
-	clock                           *node.Clock
-	peers                           peerNetwork
+	config           *config.Config
+	maxPendingOps    int // limit from the socket budget
+	maxOpsWithPushes int // ops that can have pushes in flight
+	log              zerolog.Logger
+	actor            *node.Node
+	registry         *registry.Client
+	serverPool       *servers.Pool
+	clientServer     *clients.Server
+	clock            *node.Clock
+	peers            peerNetwork
 
-	mu    sync.Mutex // guards config, and that one change at a time is taken over
+	mu    sync.Mutex // guards config and serializes configuration changes
 	store storeFollower
 }
 
-// generation is the module, unless something else stands in its place, as these settings make it.
+// newGeneration makes the decider for the settings of c, and its options. The decider is the policy unless
+// Options.NewDecider replaces it.
 func (p *process) newGeneration(c *config.Config) (*node.Generation, error) {
 	for _, key := range c.IgnoredSettings {
 		p.log.Warn().Str("key", key).Msg("setting is no longer heeded")
@@ -171,34 +201,43 @@
 		p.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
 		c.Rules.Topology.Peers = false
 	}
-	g := &node.Generation{Options: node.Options{MostOpen: min(p.maxPendingOps, c.MaxPendingOps), Slack: c.AnswerSlack}}
+	generation := &node.Generation{Options: node.Options{
+		MostOpen: min(p.maxPendingOps, c.MaxPendingOps),
+		Slack:    c.AnswerSlack,
+	}}
 	if p.AdjustAnswerSlack != nil {
-		g.Options.Slack = p.AdjustAnswerSlack(g.Options.Slack)
+		generation.Options.Slack = p.AdjustAnswerSlack(generation.Options.Slack)
 	}
 	if p.NewDecider == nil {
-		g.Module = c.Rules.NewNode(c.Seed)
-		return g, nil
+		generation.Module = c.Rules.NewNode(c.Seed)
+		return generation, nil
 	}
 	var err error
-	g.Module, err = p.NewDecider(c)
-	return g, err
+	generation.Module, err = p.NewDecider(c)
+	return generation, err
 }
 
+// serverOptions returns the options of the server pool under a configuration.
 func (p *process) serverOptions(c *config.Config) servers.Options {
-	return servers.Options{Dial: config.Duration(c.Rules.PushLimits.Dial), IdleClose: c.ServerIdleTimeout, MostOut: p.maxOpsWithPushes * c.Rules.PushLimits.Max}
+	return servers.Options{
+		Dial:      config.Duration(c.Rules.PushLimits.Dial),
+		IdleClose: c.ServerIdleTimeout,
+		MostOut:   p.maxOpsWithPushes * c.Rules.PushLimits.Max,
+	}
 }
 
+// clientOptions returns the options for clients under a configuration and its generation.
 func clientOptions(c *config.Config, generation int) clients.Options {
-	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
+	options := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
 	for _, category := range c.Rules.Categories {
-		o.Repeats = append(o.Repeats, category.Repeat)
-		o.Longest = max(o.Longest, config.Duration(category.TTL))
+		options.Repeats = append(options.Repeats, category.Repeat)
+		options.Longest = max(options.Longest, config.Duration(category.TTL))
 	}
-	return o
+	return options
 }
 
-// reconfigure reads the configuration anew, as at the start, and takes over what can change while the node runs: the
-// settings, where the registry is, and the log level. Ops in hand and connections to clients live through it.
+// reconfigure reads the configuration again and applies what can change while the node runs: the settings, the registry's
+// address, the log level and the key fleet. Pending ops and client connections are not interrupted.
 func (p *process) reconfigure() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,14 +249,15 @@
 		err = p.install(file)
 	}
 	if err != nil {
-		// Danger: the file may be half written; what runs is better than nothing.
+		// The file may be half written; the running configuration stays in force.
 		p.log.Error().Err(err).Msg("configuration not taken over, the running one stays")
 		return
 	}
 	p.store.fileReread(file)
 }
 
-// install lets the node go by what was read, whole, or leaves it as it is. The lock is held.
+// install puts a configuration into force as a whole, or returns an error and leaves the current one in force. p.mu is
+// held.
 func (p *process) install(file *config.Config) error {
 	current := p.config
 	next := file.WithFixedKeysOf(current)
@@ -236,12 +276,12 @@
 	return nil
 }
 
-// takeOver lets the node go by what differs in next.
+// applyChanges applies what differs between current and next.
 func (p *process) applyChanges(current, next *config.Config) error {
 	if !current.SameFleet(next) {
 		p.peers.close(false)
 		if err := p.startFleet(next); err != nil {
-			return errors.Join(err, p.startFleet(current)) // what ran before runs again
+			return errors.Join(err, p.startFleet(current)) // go back to the previous fleet
 		}
 		if current.SameSettings(next) && !next.Rules.Topology.Peers {
 			return nil
@@ -252,18 +292,18 @@
 	return p.switchGeneration(next)
 }
 
-// change lets ops that come from now on go by the next settings. Danger: requests must not be read by categories that
-// no module has yet, so the front comes last.
+// switchGeneration makes ops that arrive from now on follow the settings of next. The client server is switched last:
+// otherwise it would assign requests to categories that no generation knows yet.
 func (p *process) switchGeneration(next *config.Config) error {
 	if zone := int(next.Rules.Topology.Zone); zone < len(next.Names.Zones) {
-		next.Rules.Topology.Zone = p.registry.ZoneID(next.Names.Zones[zone]) // lists keep the numbers they have
+		next.Rules.Topology.Zone = p.registry.ZoneID(next.Names.Zones[zone]) // the registry client keeps the zone numbers it already uses
 	}
-	g, err := p.newGeneration(next)
+	generation, err := p.newGeneration(next)
 	if err != nil {
 		return err
 	}
-	g.Apply = func() { p.serverPool.Use(p.serverOptions(next)) }
-	number, err := p.actor.Switch(g)
+	generation.Apply = func() { p.serverPool.Use(p.serverOptions(next)) }
+	number, err := p.actor.Switch(generation)
 	if err != nil {
 		return err
 	}
@@ -272,7 +312,7 @@
 	return nil
 }
 
-// Check says what is wrong with a configuration beyond what reading it shows: the list that it starts with.
+// CheckConfig checks what config.Load does not: the cached server list.
 func CheckConfig(c *config.Config) error {
 	client := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewPart(1), zerolog.Nop())
 	_, err := client.LoadCached(c.CachedList)
--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -14,32 +14,44 @@
 	"canvasrouter/internal/store/apply"
 )
 
-// changes are those of the store; nil: the file alone says what holds.
+// storeFollower applies the changes of configuration from the store. Without an Applier the file is the only source of
+// configuration.
 type storeFollower struct{ *apply.Applier }
 
-// followStore begins to follow, if the configuration says so.
+// followStore starts to follow the store if the configuration has the key store. stop ends that.
 func (p *process) followStore(c *config.Config) (stop func()) {
 	if c.Store == nil {
 		return func() {}
 	}
-	p.store.Applier = apply.New(apply.Options{Config: c, Getenv: p.Getenv, Check: CheckConfig, Lock: &p.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
-		Seed: rand.Uint64(), Log: p.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
+	p.store.Applier = apply.New(apply.Options{
+		Config: c,
+		Getenv: p.Getenv,
+		Check:  CheckConfig,
+		Lock:   &p.mu,
+		Life:   fmt.Sprintf("%016x", rand.Uint64()),
+		Seed:   rand.Uint64(),
+		Log:    p.log.With().Str("part", "store").Logger(),
+		Install: func(c *config.Config) error {
 			err := p.install(c)
 			if errors.Is(err, node.ErrTooManySwitches) {
 				err = errors.Join(apply.ErrBusy, err)
 			}
 			return err
-		}})
+		},
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		p.store.Run(ctx)
 	}()
-	return func() { cancel(); <-ended }
+	return func() {
+		cancel()
+		<-ended
+	}
 }
 
-// over lays what runs of the store over a file that was read anew.
+// overlay applies the store's changes that are in force to a file that was read again.
 func (f *storeFollower) overlay(file *config.Config) (*config.Config, error) {
 	if f.Applier == nil {
 		return file, nil
@@ -47,13 +59,14 @@
 	return f.Over(file)
 }
 
+// fileReread passes on a file that was read again and is in force.
 func (f *storeFollower) fileReread(file *config.Config) {
 	if f.Applier != nil {
 		f.Reread(file.Raw)
 	}
 }
 
-// look is what is known of the store.
+// status returns what this node knows of the store, or nil if it follows none.
 func (f *storeFollower) status() *store.Look {
 	if f.Applier == nil {
 		return nil
