--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs the decisions on the simulator's wire, on standard input and output.
+// Command simhost runs policy nodes for the simulator, with the simulator's wire protocol on standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // nodes hold little; collecting rarely costs less than collecting often
+	debug.SetGCPercent(400) // nodes use little memory, so rare collections save time
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,6 @@
-// Package simwire turns the simulator's frames into the policy's inputs, and its effects into
-// frames. It hosts many nodes that share nothing, and decides nothing.
+// Package simwire is the wire protocol between the simulator and the policy. It decodes batches of events into inputs of
+// the policy and encodes the resulting effects as actions. One process hosts many policy nodes that share no state. The
+// package itself makes no decisions.
 package simwire
 
 import (
@@ -14,7 +15,7 @@
 	"canvasrouter/policy"
 )
 
-// Codes of events and of actions; each direction numbers its own.
+// Codes of the events that the simulator sends.
 const (
 	eventCreate = iota + 1
 	eventEndpoints
@@ -29,6 +30,7 @@
 	eventSnapshotRows
 )
 
+// Codes of the actions that are sent to the simulator.
 const (
 	actionTransmit = 1
 	actionRefuse   = 2
@@ -45,34 +47,47 @@
 const (
 	batchHeaderBytes  = 16
 	listEntryBytes    = 23
-	maxLists          = 16   // SNAPSHOT_ROWS numbers
-	maxTextBytes      = 4096 // of a TRACE or GIVE_IN
-	requestFlagRepeat = 2    // NEW_REQUEST marks: a repetition by the client
-	listFormFailed    = 3
+	maxLists          = 16   // list numbers of SNAPSHOT_ROWS are below this
+	maxTextBytes      = 4096 // longest text of a TRACE or GIVE_IN
+	requestFlagRepeat = 2    // flag of NEW_REQUEST: the client repeats an op
+	listFormFailed    = 3    // form of ENDPOINTS that carries no list
 )
 
-var outcomeByCode = map[byte]policy.Outcome{0: policy.Acked, 5: policy.Errored, 11: policy.Full,
-	110: policy.TimedOut, 111: policy.ConnectFailed, 104: policy.Reset, 125: policy.Cancelled, 114: policy.Moot}
+// outcomeByCode maps the simulator's outcome codes.
+var outcomeByCode = map[byte]policy.Outcome{
+	0:   policy.Acked,
+	5:   policy.Errored,
+	11:  policy.Full,
+	110: policy.TimedOut,
+	111: policy.ConnectFailed,
+	104: policy.Reset,
+	125: policy.Cancelled,
+	114: policy.Moot,
+}
 
+// listFormByCode maps the form codes of ENDPOINTS.
 var listFormByCode = [...]policy.ListForm{policy.ListChanges, policy.ListWhole, policy.ListCached, policy.ListFailed}
 
+// serverStateByCode maps the availability codes of SNAPSHOT_ROWS.
 var serverStateByCode = map[byte]policy.ServerState{1: policy.Ready, 3: policy.Draining, 2: policy.Gone}
 
+// toMillis converts a policy time to the simulator's milliseconds.
 func toMillis(t policy.Micros) float64 { return float64(t) / 1000 }
 
-// host holds the nodes of one process and the lists that belong to the process as a whole.
+// host holds the nodes of one process, and the server lists, which all nodes of the process share.
 type host struct {
-	nodes       map[uint32]policy.Decider
+	nodes       map[uint32]policy.Decider // by instance number
 	lists       [maxLists][]policy.Entry
 	listKnown   [maxLists]bool
-	input       policy.Input
-	reply       []byte
-	actionCount uint32
+	input       policy.Input // reused for every event
+	reply       []byte       // encoded actions of the current batch
+	actionCount uint32       // actions in reply
 }
 
-// Serve answers batches from r on w until r ends.
+// Serve reads batches of events from r and writes a reply to each on w, until r ends.
 func Serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, 1<<20), bufio.NewWriterSize(w, 1<<20)
+	in := bufio.NewReaderSize(r, 1<<20)
+	out := bufio.NewWriterSize(w, 1<<20)
 	h := &host{nodes: make(map[uint32]policy.Decider)}
 	var header [batchHeaderBytes]byte
 	var body []byte
@@ -83,14 +98,15 @@
 			}
 			return fmt.Errorf("batch %d: header cut short: %w", batch, err)
 		}
-		count, length := binary.BigEndian.Uint32(header[:]), binary.BigEndian.Uint32(header[4:])
+		count := binary.BigEndian.Uint32(header[:])
+		length := binary.BigEndian.Uint32(header[4:])
 		clock := math.Float64frombits(binary.BigEndian.Uint64(header[8:]))
 		if cap(body) < int(length) {
 			body = make([]byte, length)
 		}
 		body = body[:length]
 		if n, err := io.ReadFull(in, body); err != nil {
-			return fmt.Errorf("batch %d: %d bytes announced, %d came: %w", batch, length, n, err)
+			return fmt.Errorf("batch %d: %d bytes announced, %d received: %w", batch, length, n, err)
 		}
 		if err := h.decodeBatch(config.MillisToMicros(clock), count, body); err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
@@ -106,8 +122,10 @@
 	}
 }
 
+// decodeBatch handles the records of one batch and leaves their actions in h.reply.
 func (h *host) decodeBatch(now policy.Micros, count uint32, body []byte) error {
-	h.reply, h.actionCount = h.reply[:0], 0
+	h.reply = h.reply[:0]
+	h.actionCount = 0
 	fields := &fieldReader{remaining: body}
 	for i := uint32(0); i < count; i++ {
 		offset := len(body) - len(fields.remaining)
@@ -121,38 +139,40 @@
 	return nil
 }
 
-// cursor reads fields in order; the first field that does not fit is kept as short.
+// fieldReader reads the fields of records in order. A field that goes past the end sets truncated and reads as zero.
 type fieldReader struct {
 	remaining []byte
 	truncated bool
 }
 
-func (c *fieldReader) take(n int) []byte {
-	if n < 0 || n > len(c.remaining) {
-		c.truncated = true
-		c.remaining = nil
+// take returns the next n bytes.
+func (r *fieldReader) take(n int) []byte {
+	if n < 0 || n > len(r.remaining) {
+		r.truncated = true
+		r.remaining = nil
 		return make([]byte, 8)
 	}
-	field := c.remaining[:n]
-	c.remaining = c.remaining[n:]
+	field := r.remaining[:n]
+	r.remaining = r.remaining[n:]
 	return field
 }
 
-func (c *fieldReader) u8() byte     { return c.take(1)[0] }
-func (c *fieldReader) u16() uint16  { return binary.BigEndian.Uint16(c.take(2)) }
-func (c *fieldReader) u32() uint32  { return binary.BigEndian.Uint32(c.take(4)) }
-func (c *fieldReader) u64() uint64  { return binary.BigEndian.Uint64(c.take(8)) }
-func (c *fieldReader) f32() float64 { return float64(math.Float32frombits(c.u32())) }
-func (c *fieldReader) time() policy.Micros {
-	return config.MillisToMicros(math.Float64frombits(c.u64()))
+func (r *fieldReader) u8() byte     { return r.take(1)[0] }
+func (r *fieldReader) u16() uint16  { return binary.BigEndian.Uint16(r.take(2)) }
+func (r *fieldReader) u32() uint32  { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *fieldReader) u64() uint64  { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *fieldReader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
+func (r *fieldReader) time() policy.Micros {
+	return config.MillisToMicros(math.Float64frombits(r.u64()))
 }
-func (c *fieldReader) server() policy.ServerID {
-	return policy.ServerID(c.u32())<<16 | policy.ServerID(c.u16())
+func (r *fieldReader) server() policy.ServerID {
+	return policy.ServerID(r.u32())<<16 | policy.ServerID(r.u16())
 }
 
-// report passes over a load report: no decision reads one.
-func (c *fieldReader) skipLoadReport() { c.take(4 * int(c.u8())) }
+// skipLoadReport skips a load report, which no decision uses.
+func (r *fieldReader) skipLoadReport() { r.take(4 * int(r.u8())) }
 
+// setOutcome sets the outcome for a code.
 func setOutcome(input *policy.Input, code byte) error {
 	outcome, found := outcomeByCode[code]
 	if !found {
@@ -162,9 +182,10 @@
 	return nil
 }
 
+// errTruncated reports a record that ends before its last field.
 var errTruncated = errors.New("record cut short")
 
-// record reads one event and hands it to the node that it names.
+// decodeRecord reads one event and passes it to the node that it names.
 func (h *host) decodeRecord(now policy.Micros, fields *fieldReader) error {
 	code := fields.u8()
 	if code == eventSnapshotRows {
@@ -194,7 +215,8 @@
 		return nil
 	case eventEndpoints:
 		input.Kind = policy.ListCame
-		form, list := fields.u8(), fields.u32()
+		form := fields.u8()
+		list := fields.u32()
 		fields.u64()
 		if int(form) >= len(listFormByCode) {
 			return fmt.Errorf("ENDPOINTS: unknown form %d", form)
@@ -202,26 +224,33 @@
 		input.Form = listFormByCode[form]
 		if form != listFormFailed {
 			if list >= maxLists || !h.listKnown[list] {
-				return fmt.Errorf("ENDPOINTS: no list %d has come", list)
+				return fmt.Errorf("ENDPOINTS: no list %d received", list)
 			}
 			input.List = h.lists[list]
 		}
 	case eventNewRequest:
 		input.Kind = policy.OpArrived
-		input.Op, input.Category = policy.OpID(fields.u32()), policy.CategoryID(fields.u8())
+		input.Op = policy.OpID(fields.u32())
+		input.Category = policy.CategoryID(fields.u8())
 		fields.time()
-		input.NotAfter, input.Tenant = fields.time(), policy.TenantID(fields.u16())
+		input.NotAfter = fields.time()
+		input.Tenant = policy.TenantID(fields.u16())
 		input.Repeated = fields.u8()&requestFlagRepeat != 0
 		fields.u64()
 	case eventEstablished:
 		input.Kind = policy.StreamBegan
 		input.Op = policy.OpID(fields.u32())
-		input.Took, input.Push, input.Server = fields.time(), policy.PushNo(fields.u8()), fields.server()
+		input.Took = fields.time()
+		input.Push = policy.PushNo(fields.u8())
+		input.Server = fields.server()
 	case eventFinished:
 		input.Kind = policy.PushEnded
 		input.Op = policy.OpID(fields.u32())
 		outcomeCode := fields.u8()
-		input.Took, input.Server, input.Push, input.Settled = fields.time(), fields.server(), policy.PushNo(fields.u8()), fields.u8() != 0
+		input.Took = fields.time()
+		input.Server = fields.server()
+		input.Push = policy.PushNo(fields.u8())
+		input.Settled = fields.u8() != 0
 		fields.skipLoadReport()
 		if err := setOutcome(input, outcomeCode); err != nil {
 			return err
@@ -242,8 +271,9 @@
 			return err
 		}
 	case eventInbox:
-		fields.u32() // who says it counts for nothing
-		input.Kind, input.Said = policy.PeerSaid, fields.take(int(fields.u16()))
+		fields.u32() // the sender, which is not used
+		input.Kind = policy.PeerSaid
+		input.Said = fields.take(int(fields.u16()))
 	default:
 		return fmt.Errorf("unknown code %d", code)
 	}
@@ -258,8 +288,10 @@
 	return nil
 }
 
+// decodeSnapshot reads a server list, which ENDPOINTS events refer to by its number.
 func (h *host) decodeSnapshot(fields *fieldReader) error {
-	list, count := fields.u32(), int(fields.u32())
+	list := fields.u32()
+	count := int(fields.u32())
 	if list >= maxLists {
 		return fmt.Errorf("SNAPSHOT_ROWS: list number %d", list)
 	}
@@ -268,9 +300,15 @@
 	}
 	entries := h.lists[list][:0]
 	for range count {
-		entry := policy.Entry{Started: fields.time(), Server: fields.server(), Weight: fields.f32(), Cell: policy.CellID(fields.u16())}
+		entry := policy.Entry{
+			Started: fields.time(),
+			Server:  fields.server(),
+			Weight:  fields.f32(),
+			Cell:    policy.CellID(fields.u16()),
+		}
 		state := fields.u8()
-		entry.Kind, entry.Zone = policy.KindID(fields.u8()), policy.ZoneID(fields.u8())
+		entry.Kind = policy.KindID(fields.u8())
+		entry.Zone = policy.ZoneID(fields.u8())
 		var found bool
 		if entry.State, found = serverStateByCode[state]; !found {
 			return fmt.Errorf("SNAPSHOT_ROWS: unknown availability %d", state)
@@ -280,11 +318,13 @@
 		}
 		entries = append(entries, entry)
 	}
-	h.lists[list], h.listKnown[list] = entries, true
+	h.lists[list] = entries
+	h.listKnown[list] = true
 	return nil
 }
 
-// step lets a node decide. A panic there ends the day with its text.
+// step passes an input to a node and encodes its effects. A panic of the node becomes a GIVE_IN action, which ends the
+// simulation with the text of the panic.
 func (h *host) step(now policy.Micros, instance uint32, node policy.Decider, input *policy.Input) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -296,16 +336,19 @@
 	}
 }
 
+// beginAction appends the head of an action.
 func (h *host) beginAction(code byte, instance uint32) {
 	h.actionCount++
 	h.reply = append(h.reply, code)
 	h.reply = binary.BigEndian.AppendUint32(h.reply, instance)
 }
 
+// appendTime appends a time in milliseconds.
 func (h *host) appendTime(t policy.Micros) {
 	h.reply = binary.BigEndian.AppendUint64(h.reply, math.Float64bits(toMillis(t)))
 }
 
+// appendText appends an action with a text of at most maxTextBytes.
 func (h *host) appendText(code byte, instance uint32, text string) {
 	text = text[:min(len(text), maxTextBytes)]
 	h.beginAction(code, instance)
@@ -313,6 +356,7 @@
 	h.reply = append(h.reply, text...)
 }
 
+// appendEffect appends the action for an effect.
 func (h *host) appendEffect(instance uint32, effect *policy.Effect) {
 	beginOpAction := func(code byte) {
 		h.beginAction(code, instance)
