--- a/cmd/canvasrouter/deploy_test.go
+++ b/cmd/canvasrouter/deploy_test.go
@@ -13,8 +13,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The operators load a library of theirs into the node's process: the platform's binary must be linked dynamically
-// against the C library, and `run` must be one process. Other tests pass without either.
+// TestDeployFile checks the build and run commands of the deployment. Operators preload a library into the node's process,
+// so the binary must be linked dynamically against the C library and run must be a single process. No other test would
+// notice if either were missing.
 func TestDeployFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -30,7 +31,7 @@
 	out := t.TempDir()
 	build := strings.ReplaceAll(deploy.Build, "-o bin/", "-o "+out+"/")
 	if build == deploy.Build {
-		t.Fatalf("build does not say -o bin/: %q", deploy.Build)
+		t.Fatalf("build has no -o bin/: %q", deploy.Build)
 	}
 	command := exec.Command("sh", "-c", build)
 	command.Dir = "../.."
@@ -52,7 +53,8 @@
 	}
 }
 
-// The platform's build links nothing of what nodes hear each other by, nor its libraries.
+// TestPlatformBuildDependencies checks that the platform's build links none of the packages for the exchange between nodes,
+// for the store or for the command line.
 func TestPlatformBuildDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-tags", "platform", "canvasrouter/cmd/canvasrouter").CombinedOutput()
 	if err != nil {
--- a/cmd/canvasrouter/disconnect_test.go
+++ b/cmd/canvasrouter/disconnect_test.go
@@ -18,72 +18,76 @@
 	"canvasrouter/internal/lab/together"
 )
 
-// goneBy is half of the 0.1 s after which an attempt for a client that has gone is a break of the rules.
+// disconnectDeadline is half of the 0.1 s after which a push for a client that has disconnected breaks the rules.
 const disconnectDeadline = 50 * time.Millisecond
 
-// arrivals are the pushes that stand-in servers have had the last byte of, by id.
+// pushLog holds the times at which fake servers received a whole push, by the id of the op.
 type pushLog struct {
-	mu   sync.Mutex
+	mu   sync.Mutex // guards byID
 	byID map[string][]time.Time
 }
 
-func (a *pushLog) record(id string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.byID[id] = append(a.byID[id], time.Now())
+// record adds a push that has arrived now.
+func (l *pushLog) record(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.byID[id] = append(l.byID[id], time.Now())
 }
 
-// resetting is a server that notes each request, and answers it or resets its connection, as hold says.
-func (a *pushLog) startServer(t *testing.T, hold func(id string) (answer bool)) (addr string) {
+// startServer starts a fake server that records each request. decide may block, and tells whether the server then answers
+// the request or resets its connection.
+func (l *pushLog) startServer(t *testing.T, decide func(id string) (answer bool)) (addr string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				q, err := http.ReadRequest(bufio.NewReader(c))
+				defer conn.Close()
+				request, err := http.ReadRequest(bufio.NewReader(conn))
 				if err != nil {
 					return
 				}
-				id := q.Header.Get("X-Txn")
-				a.record(id)
-				if hold(id) {
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine")
+				id := request.Header.Get("X-Txn")
+				l.record(id)
+				if decide(id) {
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine")
 					return
 				}
-				c.(*net.TCPConn).SetLinger(0)
+				conn.(*net.TCPConn).SetLinger(0)
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// known puts servers into a configuration, in place of the one that the example knows.
+// setCachedServers replaces the servers in the cached list of the configuration.
 func (p *process) setCachedServers(t *testing.T, addrs ...string) {
 	t.Helper()
 	raw, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all map[string]any
-	if err := json.Unmarshal(raw, &all); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(raw, &document); err != nil {
 		t.Fatal(err)
 	}
 	instances := []any{}
 	for i, addr := range addrs {
-		instances = append(instances, map[string]any{"instanceId": fmt.Sprint("s-", i), "hostPort": addr, "zone": "a", "machineType": "m1",
-			"cell": 0, "lifecycle": "active", "weight": 1, "startedAtMs": 0})
+		instances = append(instances, map[string]any{
+			"instanceId": fmt.Sprint("s-", i), "hostPort": addr, "zone": "a", "machineType": "m1",
+			"cell": 0, "lifecycle": "active", "weight": 1, "startedAtMs": 0,
+		})
 	}
-	all["known"].(map[string]any)["instances"] = instances
-	if raw, err = json.Marshal(all); err == nil {
+	document["known"].(map[string]any)["instances"] = instances
+	if raw, err = json.Marshal(document); err == nil {
 		err = os.WriteFile(p.configPath, raw, 0o600)
 	}
 	if err != nil {
@@ -91,11 +95,12 @@
 	}
 }
 
+// checkoutRequest is the text of a request.
 func checkoutRequest(id string) string {
 	return fmt.Sprintf("GET /checkout/%s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Remaining-Ms: 2500\r\n\r\n", id, id)
 }
 
-// leave closes a client's connection: with an end, or with a reset.
+// disconnect closes a client connection, with a reset or without, and returns the time just before.
 func disconnect(conn net.Conn, reset bool) time.Time {
 	if reset {
 		conn.(*net.TCPConn).SetLinger(0)
@@ -105,18 +110,19 @@
 	return closedAt
 }
 
-// Some hundred clients leave at any moment, with and without bytes behind their request that nobody reads, while servers reset
-// what they get and the node pushes again and again. No push begins later after the close than half of what is allowed.
+// TestNoPushAfterDisconnect lets some hundred clients disconnect at random moments, with and without unread bytes behind
+// their request, while servers reset connections and the node retries. No push may arrive later after the disconnect than
+// disconnectDeadline.
 func TestNoPushAfterDisconnect(t *testing.T) {
-	got := &pushLog{byID: make(map[string][]time.Time)}
-	var gone sync.Map // closed when an id's client leaves
-	wait := func(id string) bool {
+	log := &pushLog{byID: make(map[string][]time.Time)}
+	var disconnects sync.Map // channels by op, closed when the client disconnects
+	decide := func(id string) bool {
 		if rand.IntN(2) == 0 {
-			return true // or the node would think that all servers are down
+			return true // otherwise the node would take all servers for down
 		}
-		if at, known := gone.Load(id); known && rand.IntN(4) > 0 {
-			<-at.(chan struct{})
-			time.Sleep(disconnectDeadline + time.Duration(rand.IntN(45))*time.Millisecond) // nobody may have noticed yet
+		if disconnected, known := disconnects.Load(id); known && rand.IntN(4) > 0 {
+			<-disconnected.(chan struct{})
+			time.Sleep(disconnectDeadline + time.Duration(rand.IntN(45))*time.Millisecond) // the node may not have noticed yet
 			return false
 		}
 		time.Sleep(time.Duration(rand.IntN(60)) * time.Millisecond)
@@ -124,152 +130,152 @@
 	}
 	var addrs []string
 	for range 6 {
-		addrs = append(addrs, got.startServer(t, wait))
+		addrs = append(addrs, log.startServer(t, decide))
 	}
 	addr := freeAddr(t)
 	startNode(t, func(p *process) { p.setCachedServers(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t))
 	awaitReady(t, addr)
 	const clients, ops = 16, 25
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
-	closed := map[string]time.Time{}
+	closedAt := map[string]time.Time{}
 	lag := together.NewLag()
 	for k := range clients {
-		all.Go(func() {
+		running.Go(func() {
 			for i := range ops {
 				id := fmt.Sprintf("%d-%d", k, i)
-				left := make(chan struct{})
-				gone.Store(id, left)
-				c, err := net.Dial("tcp", addr)
+				disconnected := make(chan struct{})
+				disconnects.Store(id, disconnected)
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				io.WriteString(c, checkoutRequest(id))
+				io.WriteString(conn, checkoutRequest(id))
 				if i%4 > 0 {
 					time.Sleep(time.Millisecond)
-					io.WriteString(c, "G") // the library reads it, and no further
+					io.WriteString(conn, "G") // net/http reads this byte and no further
 				}
 				time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
-				at := disconnect(c, i%3 == 0)
-				close(left)
+				at := disconnect(conn, i%3 == 0)
+				close(disconnected)
 				mu.Lock()
-				closed[id] = at
+				closedAt[id] = at
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	time.Sleep(500 * time.Millisecond)
 	late, _ := lag.End()
-	got.mu.Lock()
-	defer got.mu.Unlock()
-	worst, pushes, after := time.Duration(0), 0, 0
-	for id, at := range closed {
-		pushes += len(got.byID[id])
-		for _, push := range got.byID[id] {
-			if over := push.Sub(at); over > 0 {
-				after++
-				worst = max(worst, over)
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	worstDelay, pushes, latePushes := time.Duration(0), 0, 0
+	for id, at := range closedAt {
+		pushes += len(log.byID[id])
+		for _, push := range log.byID[id] {
+			if delay := push.Sub(at); delay > 0 {
+				latePushes++
+				worstDelay = max(worstDelay, delay)
 			}
 		}
 	}
-	t.Logf("%d ops, %d pushes; %d came after their client's close, %v at the most; rig late %v", clients*ops, pushes, after, worst, late)
+	t.Logf("%d ops, %d pushes, %d of them after the disconnect, by at most %v; this process was late by %v", clients*ops, pushes, latePushes, worstDelay, late)
 	if pushes < clients*ops/2 {
 		t.Errorf("only %d pushes", pushes)
 	}
-	if worst > disconnectDeadline+late {
-		t.Errorf("a push came %v after its client's close", worst)
+	if worstDelay > disconnectDeadline+late {
+		t.Errorf("a push arrived %v after its client disconnected", worstDelay)
 	}
 }
 
-// The node is stopped with pushes out; their servers reset them, their clients leave, and it goes on 70 ms later. All that it
-// finds then it finds together, and nobody has noticed yet who left: no further push may begin. Each third round clients leave whole
-// requests behind that the node has not read.
+// TestNoPushAfterDisconnectWhilePaused pauses the node with pushes in flight. Their servers reset them, their clients
+// disconnect, and the node continues 70 ms later. It then finds all of this at once, before it has noticed any disconnect,
+// and must not start another push. In every third round clients also leave full requests that the node has not read.
 func TestNoPushAfterDisconnectWhilePaused(t *testing.T) {
-	got := &pushLog{byID: make(map[string][]time.Time)}
+	log := &pushLog{byID: make(map[string][]time.Time)}
 	var mu sync.Mutex
 	resets := make(chan struct{})
-	hold := func(id string) bool {
-		if strings.HasPrefix(id, "well") {
+	decide := func(id string) bool {
+		if strings.HasPrefix(id, "answered") {
 			return true
 		}
 		mu.Lock()
-		wait := resets
+		reset := resets
 		mu.Unlock()
-		<-wait
+		<-reset
 		return false
 	}
 	var addrs []string
 	for range 6 {
-		addrs = append(addrs, got.startServer(t, hold))
+		addrs = append(addrs, log.startServer(t, decide))
 	}
 	defer func() { close(resets) }()
 	addr := freeAddr(t)
 	p := startNode(t, func(p *process) { p.setCachedServers(t, addrs...) }, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t))
 	awaitReady(t, addr)
 	const rounds, each = 20, 6
-	pushed := func() (n int) {
-		got.mu.Lock()
-		defer got.mu.Unlock()
-		for _, at := range got.byID {
-			n += len(at)
+	pushCount := func() (count int) {
+		log.mu.Lock()
+		defer log.mu.Unlock()
+		for _, at := range log.byID {
+			count += len(at)
 		}
-		return n
+		return count
 	}
-	left := 0
+	inFlight := 0
 	for round := range rounds {
-		for i := range 3 * len(addrs) { // or the node would think that all servers are down
-			well := dialRaw(t, addr)
-			well.send(checkoutRequest(fmt.Sprintf("well-%d-%d", round, i)))
-			well.readAnswer()
-			well.Close()
+		for i := range 3 * len(addrs) { // otherwise the node would take all servers for down
+			answered := dialRaw(t, addr)
+			answered.send(checkoutRequest(fmt.Sprintf("answered-%d-%d", round, i)))
+			answered.readAnswer()
+			answered.Close()
 		}
-		before := pushed()
+		before := pushCount()
 		conns := make([]net.Conn, each)
 		for i := range conns {
-			c, err := net.Dial("tcp", addr)
+			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			conns[i] = c
-			io.WriteString(c, checkoutRequest(fmt.Sprintf("%d-%d", round, i)))
+			conns[i] = conn
+			io.WriteString(conn, checkoutRequest(fmt.Sprintf("%d-%d", round, i)))
 		}
-		for begun := time.Now(); pushed() < before+each && time.Since(begun) < time.Second/2; {
+		for started := time.Now(); pushCount() < before+each && time.Since(started) < time.Second/2; {
 			time.Sleep(time.Millisecond)
 		}
-		for _, c := range conns {
-			io.WriteString(c, "G")
+		for _, conn := range conns {
+			io.WriteString(conn, "G")
 		}
-		time.Sleep(20 * time.Millisecond) // the library reads no further
+		time.Sleep(20 * time.Millisecond) // net/http reads no further
 		p.pause(t)
-		out := pushed()
+		pushedBefore := pushCount()
 		mu.Lock()
 		close(resets)
 		resets = make(chan struct{})
 		mu.Unlock()
-		for i, c := range conns {
-			disconnect(c, i%2 == 0)
+		for i, conn := range conns {
+			disconnect(conn, i%2 == 0)
 		}
-		if round%3 == 0 { // nobody has read these
+		if round%3 == 0 { // requests that the node has not read
 			for i := range each {
-				c, err := net.Dial("tcp", addr)
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(c, checkoutRequest(fmt.Sprintf("%d-unread-%d", round, i)))
-				disconnect(c, i%2 == 0)
+				io.WriteString(conn, checkoutRequest(fmt.Sprintf("%d-unread-%d", round, i)))
+				disconnect(conn, i%2 == 0)
 			}
 		}
 		time.Sleep(70 * time.Millisecond)
 		p.Process.Signal(syscall.SIGCONT)
 		time.Sleep(150 * time.Millisecond)
-		if more := pushed() - out; more > 0 {
-			t.Errorf("round %d: %d pushes for clients that left 70 ms before", round, more)
+		if more := pushCount() - pushedBefore; more > 0 {
+			t.Errorf("round %d: %d pushes for clients that disconnected 70 ms before", round, more)
 		}
-		left += out - before
+		inFlight += pushedBefore - before
 	}
-	if left < rounds*each/2 {
-		t.Errorf("only %d pushes were out when their clients left", left)
+	if inFlight < rounds*each/2 {
+		t.Errorf("only %d pushes were in flight when their clients disconnected", inFlight)
 	}
 }
--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -16,18 +16,20 @@
 	"canvasrouter/internal/fleet"
 )
 
+// fleetCommand prints what a running node knows of the fleet.
 type fleetCommand struct {
-	File string `arg:"" help:"The node's configuration."`
-	JSON bool   `name:"json" help:"As JSON."`
+	File string `arg:"" help:"The node's configuration file."`
+	JSON bool   `name:"json" help:"Print JSON."`
 }
 
+// Run asks the node through its control socket and prints the answer.
 func (f *fleetCommand) Run() error {
 	c, err := config.Load(environmentWithConfig(f.File))
 	if err != nil {
 		return err
 	}
 	if c.Fleet == nil || c.Fleet.ControlSocket == "" {
-		return errors.New("config: key fleet.control is left out: the node has no socket to be asked by")
+		return errors.New("config: key fleet.control is left out: the node has no control socket")
 	}
 	view, err := fleet.Ask(context.Background(), c.Fleet.ControlSocket)
 	if err != nil {
@@ -42,7 +44,7 @@
 	return nil
 }
 
-// printView writes a view as a person reads it.
+// printView writes a view as text.
 func printView(out io.Writer, view *fleet.View) {
 	aliveCount := 1
 	for _, member := range view.Members {
@@ -58,27 +60,27 @@
 	fmt.Fprintf(out, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
 		counts.Sent, counts.SentBytes, counts.Got, counts.GotBytes, counts.Paced, counts.Overrun, counts.Spoilt, counts.Doubled, counts.Unknown)
 	fmt.Fprintf(out, "streams: %d, refused %d, with harm %d\n", counts.Streams, counts.Refused, counts.Broken)
-	if s := view.Words; s != nil {
+	if messages := view.Words; messages != nil {
 		fmt.Fprintf(out, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
-			s.Told, s.Sent, s.Heard, s.Pushed, s.Nobody, s.Paced, s.Stale, s.Foreign, s.Busy)
+			messages.Told, messages.Sent, messages.Heard, messages.Pushed, messages.Nobody, messages.Paced, messages.Stale, messages.Foreign, messages.Busy)
 	}
-	if s := view.Store; s != nil {
-		replica := s.Replica
+	if storeView := view.Store; storeView != nil {
+		replica := storeView.Replica
 		if replica == "" {
 			replica = "no replica"
 		}
-		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, s.Runs, s.Told)
-		for _, key := range slices.Sorted(maps.Keys(s.Refused)) {
-			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Why)
+		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, storeView.Runs, storeView.Told)
+		for _, key := range slices.Sorted(maps.Keys(storeView.Refused)) {
+			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, storeView.Refused[key].Version, storeView.Refused[key].Why)
 		}
 	}
-	for _, s := range view.Servers {
-		ownCondition := s.Own
+	for _, server := range view.Servers {
+		ownCondition := server.Own
 		if ownCondition == "" {
 			ownCondition = "nothing fresh"
 		}
-		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", s.Server, s.Ill, s.Part, ownCondition)
-		for _, report := range s.Reports {
+		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", server.Server, server.Ill, server.Part, ownCondition)
+		for _, report := range server.Reports {
 			fmt.Fprintf(out, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", report.Ill, report.Node, report.Source, report.Zone, report.AgeMs/1000, report.SpanMs/1000)
 		}
 	}
--- a/cmd/canvasrouter/idle_clients_test.go
+++ b/cmd/canvasrouter/idle_clients_test.go
@@ -16,20 +16,24 @@
 	"canvasrouter/internal/lab/together"
 )
 
-// crowd keeps so many connections open that say nothing, and opens another for each that is closed.
+// openIdleConnections keeps size connections open that send nothing, and opens a new one for each that the node closes. It
+// counts those.
 func openIdleConnections(t *testing.T, addr string, size int) (closed *atomic.Int64) {
 	closed = &atomic.Int64{}
-	var all sync.WaitGroup
+	var connections sync.WaitGroup
 	stop := make(chan struct{})
 	for range size {
-		all.Go(func() {
+		connections.Go(func() {
 			for {
-				c, err := net.DialTimeout("tcp", addr, time.Second)
+				conn, err := net.DialTimeout("tcp", addr, time.Second)
 				if err == nil {
-					go func() { <-stop; c.Close() }()
-					_, err = c.Read(make([]byte, 1))
+					go func() {
+						<-stop
+						conn.Close()
+					}()
+					_, err = conn.Read(make([]byte, 1))
 					closed.Add(1)
-					c.Close()
+					conn.Close()
 				}
 				select {
 				case <-stop:
@@ -39,85 +43,90 @@
 			}
 		})
 	}
-	t.Cleanup(func() { close(stop); all.Wait() })
+	t.Cleanup(func() {
+		close(stop)
+		connections.Wait()
+	})
 	return closed
 }
 
-// Idle clients fill all the descriptors that a process may have, while the registry is down. At its return the node takes up
-// the list again and hears of a drain in time; ops are answered all the while, and SIGHUP is heard.
+// TestIdleCrowdWhileRegistryIsDown opens idle connections until the node has no file descriptor left, while the registry is
+// down. When the registry is back the node must follow the list again and learn of a drain in time. All the while it must
+// answer ops and react to SIGHUP.
 func TestIdleCrowdWhileRegistryIsDown(t *testing.T) {
 	const sockets = 64
-	var kept, drained atomic.Int64
-	server := func(count *atomic.Int64) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	var keptPushes, drainedPushes atomic.Int64
+	startServer := func(count *atomic.Int64) string {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			count.Add(1)
 			io.WriteString(w, "fine")
 		})}
-		go s.Serve(l)
-		t.Cleanup(func() { s.Close() })
-		return l.Addr().String()
+		go server.Serve(listener)
+		t.Cleanup(func() { server.Close() })
+		return listener.Addr().String()
 	}
-	stays, leaves := server(&kept), server(&drained)
-	registry, addr := freeAddr(t), freeAddr(t)
+	keptAddr, drainedAddr := startServer(&keptPushes), startServer(&drainedPushes)
+	registryAddr, addr := freeAddr(t), freeAddr(t)
 	p := startNode(t, func(p *process) {
-		p.setCachedServers(t, stays, leaves)
+		p.setCachedServers(t, keptAddr, drainedAddr)
 		p.Path, p.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, os.Args[0])}
-	}, "127.0.0.1:8081", addr, "127.0.0.1:8500", registry, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
+	}, "127.0.0.1:8081", addr, "127.0.0.1:8500", registryAddr, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
 	awaitReady(t, addr)
-	shut := openIdleConnections(t, addr, 4*sockets)
-	var answered, lost atomic.Int64
-	ask := func() {
-		c, err := net.DialTimeout("tcp", addr, time.Second)
+	closed := openIdleConnections(t, addr, 4*sockets)
+	var answered, unanswered atomic.Int64
+	sendOp := func() {
+		conn, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
-			return // refused: nothing was taken
+			return // refused: the node has not accepted the op
 		}
-		r := dialRaw(t, addr)
-		c.Close()
-		r.send(checkoutRequest(fmt.Sprint("op-", time.Now().UnixNano())))
-		if got := r.readAnswer(); strings.HasPrefix(got, "200") {
+		client := dialRaw(t, addr)
+		conn.Close()
+		client.send(checkoutRequest(fmt.Sprint("op-", time.Now().UnixNano())))
+		if got := client.readAnswer(); strings.HasPrefix(got, "200") {
 			answered.Add(1)
 		} else {
-			lost.Add(1)
+			unanswered.Add(1)
 		}
-		r.Close()
+		client.Close()
 	}
-	for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; {
-		ask()
+	for started := time.Now(); time.Since(started) < 1500*time.Millisecond; {
+		sendOp()
 	}
-	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
-	t.Logf("registry down: %d of %d descriptors open, %d idle clients shut, ops answered %d, not %d", len(files), sockets, shut.Load(), answered.Load(), lost.Load())
-	if len(files) < sockets/2-4 || answered.Load() == 0 {
-		t.Errorf("%d descriptors open, %d ops answered: no crowd, or no service", len(files), answered.Load())
+	descriptors, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
+	t.Logf("registry down: %d of %d descriptors open, %d idle connections closed, %d ops answered, %d not", len(descriptors), sockets, closed.Load(), answered.Load(), unanswered.Load())
+	if len(descriptors) < sockets/2-4 || answered.Load() == 0 {
+		t.Errorf("%d descriptors open, %d ops answered: too few idle connections, or no service", len(descriptors), answered.Load())
 	}
-	p.configure(t, "127.0.0.1:8081", addr, "127.0.0.1:8500", registry, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
-	p.setCachedServers(t, stays, leaves)
-	p.Process.Signal(syscall.SIGHUP) // a file more is read
-	l, err := net.Listen("tcp", registry)
+	p.configure(t, "127.0.0.1:8081", addr, "127.0.0.1:8500", registryAddr, `"sockets": 256`, fmt.Sprintf(`"sockets": %d`, sockets))
+	p.setCachedServers(t, keptAddr, drainedAddr)
+	p.Process.Signal(syscall.SIGHUP) // the node needs a descriptor to read the file
+	listener, err := net.Listen("tcp", registryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, told := time.Now(), make(chan time.Duration, 1)
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintf(w, `{"generation":9,"reset":false,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","machineType":"m1","cell":0,"lifecycle":"leaving","weight":1,"startedAtMs":0}]}`+"\n", leaves)
+	backSince := time.Now()
+	watchDelay := make(chan time.Duration, 1)
+	registry := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintf(w, `{"generation":9,"reset":false,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","machineType":"m1","cell":0,"lifecycle":"leaving","weight":1,"startedAtMs":0}]}`+"\n", drainedAddr)
 		w.(http.Flusher).Flush()
 		select {
-		case told <- time.Since(back):
+		case watchDelay <- time.Since(backSince):
 		default:
 		}
 		<-r.Context().Done()
 	})}
-	go s.Serve(l)
-	defer s.Close()
+	go registry.Serve(listener)
+	defer registry.Close()
 	lag := together.NewLag()
 	var took time.Duration
 	select {
-	case took = <-told:
+	case took = <-watchDelay:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the node does not come back to the registry")
+		t.Fatal("the node does not reconnect to the registry")
 	}
 	late, _ := lag.End()
 	t.Logf("the list is followed again %v after the registry's return", took)
@@ -125,21 +134,21 @@
 		t.Errorf("the list is followed again after %v", took)
 	}
 	time.Sleep(200 * time.Millisecond)
-	before := drained.Load()
-	for begun := time.Now(); time.Since(begun) < time.Second; {
-		ask()
+	before := drainedPushes.Load()
+	for started := time.Now(); time.Since(started) < time.Second; {
+		sendOp()
 	}
-	if more := drained.Load() - before; more > 0 || kept.Load() == 0 {
-		t.Errorf("%d pushes to the server that drains", more)
+	if more := drainedPushes.Load() - before; more > 0 || keptPushes.Load() == 0 {
+		t.Errorf("%d pushes to the draining server", more)
 	}
-	if total := answered.Load() + lost.Load(); lost.Load()*4 > total {
-		t.Errorf("%d of %d ops not served", lost.Load(), total)
+	if total := answered.Load() + unanswered.Load(); unanswered.Load()*4 > total {
+		t.Errorf("%d of %d ops not served", unanswered.Load(), total)
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if !strings.Contains(p.log.String(), "configuration taken over") {
-		t.Errorf("SIGHUP was not heard: %s", p.log.String())
+		t.Errorf("SIGHUP had no effect: %s", p.log.String())
 	}
 }
--- a/cmd/canvasrouter/main.go
+++ b/cmd/canvasrouter/main.go
@@ -1,6 +1,6 @@
-// Command canvasrouter is one node: a load balancer for services that call services, at any tier. Without arguments it
-// is the platform's node and takes its configuration from NODE_CONFIG. Built with the tag platform it is that alone:
-// the commands' library would cost 2 MB of the small machine's memory by being linked.
+// Command canvasrouter is one node of a load balancer for services that call services, at any tier. Without arguments it
+// runs the node with the configuration file that NODE_CONFIG names. A build with the tag platform can do only that: linking
+// the library for the command line would take 2 MB of a small machine's memory.
 package main
 
 import (
--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -21,7 +21,7 @@
 	"canvasrouter/internal/lab/together"
 )
 
-// asNode makes the test's own program run as a node.
+// runAsNodeEnv is the environment variable that makes the test binary run as the program itself.
 const runAsNodeEnv = "CANVASROUTER_TEST_AS_NODE"
 
 func TestMain(m *testing.M) {
@@ -32,19 +32,21 @@
 	os.Exit(m.Run())
 }
 
+// process is a node that runs as a process of its own.
 type process struct {
 	*exec.Cmd
 	log        bytes.Buffer
-	configPath string // its file
+	configPath string
 }
 
-// start runs the example's configuration, changed, as a process of its own.
+// startNode starts a node with the example configuration after the given replacements, pairs of old and new text. prepare
+// may change the process before it starts.
 func startNode(t *testing.T, prepare func(*process), changes ...string) *process {
 	t.Helper()
 	return startNodeWithTimeout(t, 20*time.Second, prepare, changes...)
 }
 
-// startFor lets the process live for so long at the most.
+// startNodeWithTimeout is startNode for a process that is killed after timeout.
 func startNodeWithTimeout(t *testing.T, timeout time.Duration, prepare func(*process), changes ...string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0]), configPath: filepath.Join(t.TempDir(), "config.json")}
@@ -56,11 +58,14 @@
 		t.Fatal(err)
 	}
 	stop := time.AfterFunc(timeout, func() { p.Process.Kill() })
-	t.Cleanup(func() { stop.Stop(); p.Process.Kill() })
+	t.Cleanup(func() {
+		stop.Stop()
+		p.Process.Kill()
+	})
 	return p
 }
 
-// configure writes the example's configuration, changed.
+// configure writes the example configuration after the given replacements.
 func (p *process) configure(t *testing.T, changes ...string) {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/example.json")
@@ -72,7 +77,7 @@
 	}
 }
 
-// free is an address that nobody listens at.
+// freeAddr returns an address at which nobody listens.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,21 +87,22 @@
 	return l.Addr().String()
 }
 
+// awaitReady waits until the node at addr is ready.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
-	for begin := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		response, err := http.Get("http://" + addr + "/-/ready")
 		if err == nil {
 			response.Body.Close()
 			break
 		}
-		if time.Since(begin) > 10*time.Second {
-			t.Fatal("never ready")
+		if time.Since(started) > 10*time.Second {
+			t.Fatal("the node is not ready after 10 s")
 		}
 	}
 }
 
-// ask sends an op on a connection of its own.
+// sendBooking sends an op on a connection of its own and returns the status and the body of the answer.
 func sendBooking(addr, path string) string {
 	request, _ := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("body"))
 	request.Header.Set("X-Txn", "9b1f"+strings.TrimPrefix(path, "/booking/"))
@@ -111,7 +117,7 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body))
 }
 
-// A bad configuration is one line that names the key, and a non-zero exit.
+// TestBadConfig checks that an invalid configuration leads to one line that names the key and a non-zero exit code.
 func TestBadConfig(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"tick": 5.0`, `"tick": "often"`, "setting tick is no number"},
@@ -126,35 +132,35 @@
 	}
 }
 
-// A node is ready without a registry, serves an op with a server's bytes, and at SIGTERM finishes what it has,
-// takes what still comes, and exits 0.
+// TestPlannedRestart checks that a node without a registry is ready and serves ops, and that after SIGTERM it finishes the
+// pending op, serves an op that still arrives, and exits with 0.
 func TestPlannedRestart(t *testing.T) {
-	begun, finish := make(chan bool, 1), make(chan bool)
+	pushed, finish := make(chan bool, 1), make(chan bool)
 	var once sync.Once
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/slow") {
-			once.Do(func() { begun <- true })
+			once.Do(func() { pushed <- true })
 			<-finish
 		}
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %s", r.Header.Get("X-Txn"), r.RequestURI, body)
 	}))
-	defer stand.Close()
+	defer server.Close()
 	addr := freeAddr(t)
 	p := startNode(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t),
-		"127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://"))
+		"127.0.0.1:8181", strings.TrimPrefix(server.URL, "http://"))
 	awaitReady(t, addr)
 	var slow sync.WaitGroup
 	slow.Go(func() {
 		if got := sendBooking(addr, "/booking/slow"); got != "200 9b1fslow /booking/slow body" {
-			t.Errorf("the op in hand: %s", got)
+			t.Errorf("the pending op: %s", got)
 		}
 	})
-	<-begun
+	<-pushed
 	p.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	if got := sendBooking(addr, "/booking/a//b?k=%2f"); got != "200 9b1fa//b?k=%2f /booking/a//b?k=%2f body" {
-		t.Errorf("an op that came meanwhile: %s", got)
+		t.Errorf("an op that arrived while the node drained: %s", got)
 	}
 	time.Sleep(600 * time.Millisecond)
 	close(finish)
@@ -164,21 +170,21 @@
 	}
 }
 
-// Danger: the kill does not wait for a TTL of over 3 s. An op that was in hand when the restart was asked for is answered
-// before it, though its server says nothing and its client would wait on.
+// TestPlannedRestartLongTTL checks that an op with a long TTL is answered before a planned restart ends in a kill, although
+// its server is silent and its client would go on waiting. The kill does not wait for a TTL of more than 3 s.
 func TestPlannedRestartLongTTL(t *testing.T) {
-	begun, finish := make(chan bool, 8), make(chan bool)
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodPost { // nodes of other tests look for registries at ports that were free a moment ago
-			begun <- true
+	pushed, finish := make(chan bool, 8), make(chan bool)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodPost { // ignores calls from nodes of other tests, whose registry address was a free port that this server may have got
+			pushed <- true
 			<-finish
 		}
 	}))
-	defer stand.Close()
+	defer server.Close()
 	defer close(finish)
 	addr := freeAddr(t)
 	p := startNode(t, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(t),
-		"127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://"),
+		"127.0.0.1:8181", strings.TrimPrefix(server.URL, "http://"),
 		`"target_latency": 500.0, "ttl": 1200.0`, `"target_latency": 30000.0, "ttl": 60000.0`)
 	awaitReady(t, addr)
 	status := make(chan int, 1)
@@ -196,14 +202,15 @@
 		response.Body.Close()
 		status <- response.StatusCode
 	}()
-	<-begun
+	<-pushed
 	p.Process.Signal(syscall.SIGTERM)
-	told, lag := time.Now(), together.NewLag()
+	terminated := time.Now()
+	lag := together.NewLag()
 	if got := <-status; got != http.StatusBadGateway { // its one push may have run
 		t.Errorf("status %d", got)
 	}
-	took := time.Since(told)
-	if late, _ := lag.End(); took > 3700*time.Millisecond+late { // how late this process was itself is not the node's fault
+	took := time.Since(terminated)
+	if late, _ := lag.End(); took > 3700*time.Millisecond+late { // the delays of this process itself are allowed for
 		t.Errorf("answered after %v", took)
 	}
 	if err := p.Wait(); err != nil {
@@ -211,8 +218,9 @@
 	}
 }
 
-// Danger: a node that is told to end while it starts would die of the signal, and count as crashed. Here it reads its
-// configuration from a pipe, so the signal surely comes before the node has started.
+// TestTerminatedDuringStart checks that a node which gets SIGTERM during its start exits with 0. Without a handler the
+// signal would kill it, and it would count as crashed. The configuration comes from a pipe, so that the signal arrives
+// before the node has started.
 func TestTerminatedDuringStart(t *testing.T) {
 	var raw []byte
 	p := startNode(t, func(p *process) {
@@ -222,7 +230,7 @@
 			t.Fatal(err)
 		}
 	}, "127.0.0.1:8081", freeAddr(t), "127.0.0.1:8500", freeAddr(t))
-	config, err := os.OpenFile(p.configPath, os.O_WRONLY, 0) // until the node reads
+	config, err := os.OpenFile(p.configPath, os.O_WRONLY, 0) // blocks until the node opens the pipe
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,52 +242,52 @@
 	}
 }
 
-// SIGHUP takes the configuration over anew while an op is in hand: the list is followed at the new address. A faulty
-// file changes nothing, and what can't change is named.
+// TestReload checks that SIGHUP applies a new configuration while an op is pending: the list is followed at the new address.
+// An invalid file changes nothing, and keys that cannot change are named in the log.
 func TestReload(t *testing.T) {
-	begun, finish := make(chan bool, 1), make(chan bool)
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun <- true
+	pushed, finish := make(chan bool, 1), make(chan bool)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		pushed <- true
 		<-finish
 	}))
-	defer stand.Close()
-	watched := make(chan string, 8)
+	defer server.Close()
+	watches := make(chan string, 8)
 	discovery := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			watched <- name + " " + r.URL.RequestURI()
+		registry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			watches <- name + " " + r.URL.RequestURI()
 			fmt.Fprintln(w, `{"generation":2,"reset":false,"instances":[]}`)
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}))
-		t.Cleanup(s.CloseClientConnections)
-		return strings.TrimPrefix(s.URL, "http://")
+		t.Cleanup(registry.CloseClientConnections)
+		return strings.TrimPrefix(registry.URL, "http://")
 	}
 	addr := freeAddr(t)
-	changes := []string{"127.0.0.1:8081", addr, "127.0.0.1:8181", strings.TrimPrefix(stand.URL, "http://")}
+	changes := []string{"127.0.0.1:8081", addr, "127.0.0.1:8181", strings.TrimPrefix(server.URL, "http://")}
 	at := func(registry string, more ...string) []string {
 		return append(append([]string{"127.0.0.1:8500", registry}, changes...), more...)
 	}
 	p := startNode(t, func(*process) {}, at(discovery("old"))...)
 	awaitReady(t, addr)
-	got := []string{<-watched}
+	got := []string{<-watches}
 	var slow sync.WaitGroup
 	slow.Go(func() {
 		if got := sendBooking(addr, "/booking"); got != "200 " {
-			t.Errorf("the op in hand: %s", got)
+			t.Errorf("the pending op: %s", got)
 		}
 	})
-	<-begun
+	<-pushed
 	p.configure(t, at(discovery("new"), `"sockets": 256`, `"sockets": 255`)...)
 	p.Process.Signal(syscall.SIGHUP)
-	got = append(got, <-watched)
+	got = append(got, <-watches)
 	if err := os.WriteFile(p.configPath, []byte(`{"name": "n0", "lis`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // signals of one kind that wait are one
+	time.Sleep(100 * time.Millisecond) // pending signals of the same kind are merged
 	p.configure(t, at(discovery("last"))...)
 	p.Process.Signal(syscall.SIGHUP)
-	got = append(got, <-watched)
+	got = append(got, <-watches)
 	close(finish)
 	slow.Wait()
 	p.Process.Signal(syscall.SIGTERM)
@@ -293,12 +301,12 @@
 	}
 	for _, line := range []string{`"keys":["limits"]`, "not taken over"} {
 		if strings.Count(p.log.String(), line) != 1 {
-			t.Errorf("%s: not once in %s", line, p.log.String())
+			t.Errorf("%s is not exactly once in the log: %s", line, p.log.String())
 		}
 	}
 }
 
-// Danger: a log that nobody reads fills its pipe; no op and no exit may wait for it.
+// TestBlockedLog checks that neither ops nor the exit wait for a log that nobody reads and whose pipe is full.
 func TestBlockedLog(t *testing.T) {
 	addr := freeAddr(t)
 	unread, log, err := os.Pipe()
@@ -310,7 +318,7 @@
 	p := startNode(t, func(p *process) { p.Stderr = log }, "127.0.0.1:8081", addr, "127.0.0.1:8181", freeAddr(t),
 		"127.0.0.1:8500", freeAddr(t), `"seed"`, `"log_level": "debug", "seed"`)
 	awaitReady(t, addr)
-	for range 1000 { // some 300 bytes each; a pipe holds 64 KiB
+	for range 1000 { // about 300 bytes of log each; a pipe holds 64 KiB
 		if got := sendBooking(addr, "/booking"); got != "503 " {
 			t.Fatal(got)
 		}
@@ -321,8 +329,8 @@
 	}
 }
 
-// The commands read a configuration as the node does; without one, or with a bad word, it is one line and a non-zero
-// exit.
+// TestCommands checks that the commands read a configuration as the node does. A missing or invalid one leads to one line
+// and a non-zero exit code.
 func TestCommands(t *testing.T) {
 	run := func(args ...string) (string, int) {
 		cmd := exec.Command(os.Args[0], args...)
--- a/cmd/canvasrouter/platform.go
+++ b/cmd/canvasrouter/platform.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// command says that this build has none.
+// runCommandLine reports that this build has no commands.
 func runCommandLine() {
 	fmt.Fprintln(os.Stderr, "canvasrouter: built for the platform, without commands: the configuration comes from NODE_CONFIG")
 	os.Exit(2)
--- a/cmd/canvasrouter/reload_test.go
+++ b/cmd/canvasrouter/reload_test.go
@@ -17,10 +17,11 @@
 	"canvasrouter/policy"
 )
 
-// Settings of two deployments: the same at-most-once category stands elsewhere among others, with other zones, another cap on
-// pushes, and nodes that may tell each other.
+// paymentCategory is an at-most-once category that baseSettings and changedSettings share.
 const paymentCategory = `{"name": "pay", "benefit": 9.0, "effect": "at_most_once", "target_latency": 600.0, "ttl": 3000.0}`
 
+// The settings of two deployments, as replacements in the example configuration. In changedSettings the payment category
+// has another number, the zones and the limits of pushes differ, and peer messages are on.
 var (
 	baseSettings    = []string{`"ttl": 1200.0}],`, `"ttl": 1200.0}, ` + paymentCategory + `],`}
 	changedSettings = []string{`"az": 0, "failure_domains": ["a"]`, `"az": 1, "failure_domains": ["north", "a"]`,
@@ -29,7 +30,7 @@
 		`"max_pushes": 3, "may_duplicate": true`, `"max_pushes": 5, "may_duplicate": false, "peers": true`}
 )
 
-// send sends an op without a body of its own and gives its status, 0 where no answer came.
+// sendOp sends an op without a body and returns the status of the answer, or 0 if there was none.
 func sendOp(client *http.Client, method, url, id string) int {
 	request, _ := http.NewRequest(method, url, nil)
 	request.Header.Set("X-Txn", id)
@@ -42,26 +43,31 @@
 	return response.StatusCode
 }
 
-// The move to other settings and back, twelve times under load, with a drain, a faulty file, and a last switch while
-// the node drains: every op has one answer, none has two effects, and the drained server gets nothing new.
+// TestSwitch switches between two settings twelve times under load, with a draining server, an invalid file, and a last
+// switch while the node drains. Every op must be answered, no op of an at-most-once category may run twice, and the
+// drained server must get no new push.
 func TestSwitch(t *testing.T) {
 	var mu sync.Mutex
-	effects, last := map[string]int{}, map[int]time.Time{} // by op; the last push at each server
+	effects := map[string]int{}     // pushes received, by op
+	lastPush := map[int]time.Time{} // by server
 	addrs := map[int]string{}
 	for server := 1; server <= 2; server++ {
-		stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fake := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			effects[r.Header.Get("X-Txn")]++
-			last[server] = time.Now()
+			lastPush[server] = time.Now()
 			mu.Unlock()
-			time.Sleep(30 * time.Millisecond) // so that ops are out across each switch
+			time.Sleep(30 * time.Millisecond) // so that ops are in flight during each switch
 		}))
-		t.Cleanup(stand.Close)
-		addrs[server] = strings.TrimPrefix(stand.URL, "http://")
+		t.Cleanup(fake.Close)
+		addrs[server] = strings.TrimPrefix(fake.URL, "http://")
 	}
 	list := registry.NewService(registry.NewCatalog([]registry.Entry{{Server: 1, Weight: 1}}, false), 0, registry.Words{
-		Zones: []string{"a"}, Kinds: []string{"m1"}, Addr: func(server int) string { return addrs[server] },
-		Told: func(int, []registry.Entry, bool) {}})
+		Zones: []string{"a"},
+		Kinds: []string{"m1"},
+		Addr:  func(server int) string { return addrs[server] },
+		Told:  func(int, []registry.Entry, bool) {},
+	})
 	t.Cleanup(list.Close)
 	discovery, err := list.Listen(0)
 	if err != nil {
@@ -87,10 +93,10 @@
 			}
 		})
 	}
-	await := func(what string, is func() bool) {
-		for end := time.Now().Add(3 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	waitUntil := func(event string, condition func() bool) {
+		for end := time.Now().Add(3 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: not in time", what)
+				t.Fatalf("%s: not within 3 s", event)
 			}
 		}
 	}
@@ -103,14 +109,14 @@
 			p.Process.Signal(syscall.SIGHUP)
 			time.Sleep(50 * time.Millisecond)
 		}
-		want, settings := http.StatusOK, changedSettings // of a category that only the moved settings have
+		want, settings := http.StatusOK, changedSettings // for a category that only changedSettings have
 		if i%2 == 1 {
 			want, settings = http.StatusNotFound, baseSettings
 		}
 		p.configure(t, with(settings)...)
 		p.Process.Signal(syscall.SIGHUP)
 		probes := 0
-		await(fmt.Sprintf("switch %d", i), func() bool {
+		waitUntil(fmt.Sprintf("switch %d", i), func() bool {
 			probes++
 			return sendOp(http.DefaultClient, "GET", "http://"+addr+"/lookup", fmt.Sprintf("probe-%d-%d", i, probes)) == want
 		})
@@ -123,16 +129,16 @@
 	}
 	stop.Store(true)
 	load.Wait()
-	var inHand sync.WaitGroup
+	var pending sync.WaitGroup
 	for i := range 4 {
-		inHand.Go(func() {
+		pending.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			if got := sendOp(client, "POST", "http://"+addr+"/pay/1", fmt.Sprint("last-", i)); got != http.StatusOK {
-				t.Errorf("an op in hand as the node drains: %d", got)
+				t.Errorf("a pending op while the node drains: %d", got)
 			}
 		})
 	}
-	await("the last ops are out", func() bool {
+	waitUntil("the last ops are in flight", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return effects["last-0"]+effects["last-1"]+effects["last-2"]+effects["last-3"] == 4
@@ -140,14 +146,19 @@
 	p.configure(t, with(changedSettings)...)
 	p.Process.Signal(syscall.SIGTERM)
 	p.Process.Signal(syscall.SIGHUP)
-	inHand.Wait()
+	pending.Wait()
 	if err := p.Wait(); err != nil {
 		t.Errorf("exit: %v, log %s", err, p.log.String())
 	}
-	acked, allowed := 0, map[int][]int{http.StatusOK: {1}, http.StatusServiceUnavailable: {0}, http.StatusBadGateway: {0, 1}}
+	acked := 0
+	allowedEffects := map[int][]int{ // by status
+		http.StatusOK:                 {1},
+		http.StatusServiceUnavailable: {0},
+		http.StatusBadGateway:         {0, 1},
+	}
 	for _, worker := range statuses {
 		for id, status := range worker {
-			if got := effects[id]; !slices.Contains(allowed[status], got) {
+			if got := effects[id]; !slices.Contains(allowedEffects[status], got) {
 				t.Errorf("op %s: status %d, %d effects", id, status, got)
 			}
 			if status == http.StatusOK {
@@ -155,16 +166,16 @@
 			}
 		}
 	}
-	for id, n := range effects {
-		if n > 1 && !strings.HasPrefix(id, "probe") { // which may run again
-			t.Errorf("op %s has %d effects", id, n)
+	for id, count := range effects {
+		if count > 1 && !strings.HasPrefix(id, "probe") { // probes may run more than once
+			t.Errorf("op %s has %d effects", id, count)
 		}
 	}
 	if acked < 100 {
 		t.Errorf("%d ops acked", acked)
 	}
-	if last[1].After(drained) || drained.IsZero() {
-		t.Errorf("the drained server got a push %v after it was told", last[1].Sub(drained))
+	if lastPush[1].After(drained) || drained.IsZero() {
+		t.Errorf("the drained server got a push %v after the drain was announced", lastPush[1].Sub(drained))
 	}
 	for line, count := range map[string]int{`"message":"new settings"`: 12, "not taken over": 1, "no way to tell each other": 6} {
 		if got := strings.Count(p.log.String(), line); got < count || got > count+1 {
--- a/cmd/canvasrouter/store.go
+++ b/cmd/canvasrouter/store.go
@@ -26,12 +26,12 @@
 	"canvasrouter/internal/store/apply"
 )
 
-// replicaCommand is one of the machines set aside for control.
+// replicaCommand runs a replica of the store.
 type replicaCommand struct {
-	File string `arg:"" help:"The replica's configuration."`
+	File string `arg:"" help:"The replica's configuration file."`
 }
 
-// replicaFile is its form.
+// replicaFile is the JSON format of a replica's configuration file.
 type replicaFile struct {
 	Number   *int     `json:"number"`
 	Listen   string   `json:"listen"`
@@ -40,6 +40,7 @@
 	Bind     string   `json:"bind"`
 }
 
+// readReplicaFile reads the configuration file of a replica.
 func readReplicaFile(path string) (options store.ReplicaOptions, listen string, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,11 +53,11 @@
 	case err != nil:
 		return options, "", fmt.Errorf("%s: %w", path, err)
 	case len(file.Replicas) < 1 || len(file.Replicas)%2 == 0 || len(file.Replicas) > 7:
-		return options, "", fmt.Errorf("%s: key replicas: %d addresses; an odd number up to 7 is wanted", path, len(file.Replicas))
+		return options, "", fmt.Errorf("%s: key replicas: %d addresses; an odd number up to 7 is required", path, len(file.Replicas))
 	case file.Number == nil || *file.Number < 0 || *file.Number >= len(file.Replicas):
-		return options, "", fmt.Errorf("%s: key number: it is none of the places in replicas", path)
+		return options, "", fmt.Errorf("%s: key number: it must be an index into replicas", path)
 	case file.Dir == "":
-		return options, "", fmt.Errorf("%s: key dir is missing: what was promised has to outlive the process", path)
+		return options, "", fmt.Errorf("%s: key dir is missing: the replica's promises must survive a restart", path)
 	}
 	for _, addr := range append(slices.Clone(file.Replicas), file.Listen) {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -71,10 +72,16 @@
 		}
 		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	return store.ReplicaOptions{Number: *file.Number, Peers: file.Replicas, Dir: file.Dir, Check: apply.CheckChange, Dial: dialer.DialContext}, file.Listen, nil
+	return store.ReplicaOptions{
+		Number: *file.Number,
+		Peers:  file.Replicas,
+		Dir:    file.Dir,
+		Check:  apply.CheckChange,
+		Dial:   dialer.DialContext,
+	}, file.Listen, nil
 }
 
-// Run is a replica until SIGTERM.
+// Run runs the replica until SIGTERM or an interrupt.
 func (c *replicaCommand) Run() error {
 	options, listen, err := readReplicaFile(c.File)
 	if err != nil {
@@ -92,11 +99,17 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	server := &http.Server{Handler: replica, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
+	server := &http.Server{
+		Handler:           replica,
+		ReadHeaderTimeout: 2 * time.Second,
+		ReadTimeout:       5 * time.Second,
+		IdleTimeout:       time.Minute,
+		MaxHeaderBytes:    16 << 10,
+	}
 	go replica.Run(ctx)
 	go func() {
 		<-ctx.Done()
-		server.Close() // watches have no end of their own; nodes go to another replica
+		server.Close() // not Shutdown: watches never end by themselves, and their nodes go to another replica
 	}()
 	log.Info().Str("listen", listen).Strs("replicas", options.Peers).Msg("replica starts")
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -106,30 +119,31 @@
 	return nil
 }
 
-// changeCommand asks for a change.
+// changeCommand changes the configuration of nodes.
 type changeCommand struct {
-	File  string         `arg:"" help:"A configuration with the key store: a node's."`
-	Key   string         `help:"Whom it is for: all, service/NAME or node/NAME." required:"" placeholder:"KEY"`
-	Patch string         `help:"File with what changes (RFC 7396), in place of what the key changed before." type:"existingfile" placeholder:"FILE"`
-	Back  bool           `help:"Go back to the patch before."`
-	From  *store.Version `help:"Only if this version stands; 0 for none." placeholder:"VERSION"`
-	ID    string         `help:"The same change asked twice has the same id; made from the change if left out." placeholder:"ID"`
-	Needs int            `help:"Form of configuration that programs must know." default:"1"`
-	Wait  time.Duration  `help:"Wait so long for it to be in force everywhere." default:"8s"`
+	File  string         `arg:"" help:"Configuration file of a node, with the key store."`
+	Key   string         `help:"Nodes to change: all, service/NAME or node/NAME." required:"" placeholder:"KEY"`
+	Patch string         `help:"File with a JSON merge patch (RFC 7396), which replaces the current patch of the key." type:"existingfile" placeholder:"FILE"`
+	Back  bool           `help:"Go back to the previous patch."`
+	From  *store.Version `help:"Change only if this is the current version; 0 for none." placeholder:"VERSION"`
+	ID    string         `help:"Identifies the change, so that a repeated request is applied once; generated if left out." placeholder:"ID"`
+	Needs int            `help:"Format of configuration that nodes must know." default:"1"`
+	Wait  time.Duration  `help:"How long to wait until the change is in force at all nodes." default:"8s"`
 }
 
+// loadStoreConfig returns the key store of a configuration file.
 func loadStoreConfig(file string) (*config.Store, error) {
 	c, err := config.Load(environmentWithConfig(file))
 	if err != nil {
 		return nil, err
 	}
 	if c.Store == nil {
-		return nil, errors.New("config: key store is left out: there is nobody to ask")
+		return nil, errors.New("config: key store is left out: there is no replica to ask")
 	}
 	return c.Store, nil
 }
 
-// Run asks each replica in turn until one answers, and then looks who runs it.
+// Run submits the change and then waits until it is in force at all nodes that it is for.
 func (c *changeCommand) Run() error {
 	storeConfig, err := loadStoreConfig(c.File)
 	if err != nil {
@@ -164,7 +178,7 @@
 				fmt.Println(" ", line)
 			}
 			if total == 0 {
-				return errors.New("no node that it is for has reported")
+				return errors.New("no node that the change is for has reported")
 			}
 			if runs < total {
 				return fmt.Errorf("not in force at %d nodes", total-runs)
@@ -175,17 +189,23 @@
 	return nil
 }
 
-var storeClient = &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
-	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
+// storeClient sends requests to the replicas of the store.
+var storeClient = &http.Client{
+	Timeout: 8 * time.Second,
+	Transport: &http.Transport{
+		DisableKeepAlives: true,
+		DialContext:       (&net.Dialer{Timeout: time.Second}).DialContext,
+	},
+}
 
-// askFor asks for a change, one replica after another until one says something. Danger: one that says that there is no majority may be the one
-// that is cut off; the next may not be.
+// submitChange sends a change to one replica after another until one accepts or refuses it. A replica that finds no
+// majority may itself be the one that is cut off, so the next one is asked, too.
 func submitChange(replicas []string, change *store.Change) (*store.Answer, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return nil, err
 	}
-	lastErr := errors.New("no replica is named")
+	lastErr := errors.New("no replica is configured")
 	for _, addr := range replicas {
 		response, err := storeClient.Post("http://"+addr+"/change", "application/json", bytes.NewReader(raw))
 		if err != nil {
@@ -212,14 +232,15 @@
 	return nil, lastErr
 }
 
-// states are what the replicas know together.
+// storeStates is the state of all replicas that answer.
 type storeStates struct {
 	replicas []*store.State
 	failures []string
-	nodes    map[string]store.NodeReport // the youngest of each
+	nodes    map[string]store.NodeReport // the latest report of each node, by name
 	values   map[store.Key]*store.Value
 }
 
+// fetchStates asks all replicas for their state.
 func fetchStates(replicas []string) *storeStates {
 	states := &storeStates{nodes: map[string]store.NodeReport{}, values: map[store.Key]*store.Value{}}
 	for i, addr := range replicas {
@@ -248,7 +269,8 @@
 	return states
 }
 
-// runs counts the nodes that a key is for, and names those that lag behind a version or refuse it.
+// countRunning counts the nodes that a key is for and those of them that run a version of it or a later one. lagging and
+// refused describe the others.
 func (s *storeStates) countRunning(key store.Key, version store.Version) (runs, total int, lagging, refused []string) {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		report := s.nodes[name]
@@ -268,12 +290,13 @@
 	return runs, total, lagging, refused
 }
 
-// changesCommand shows what stands and who runs it.
+// changesCommand shows the current changes and the nodes that run them.
 type changesCommand struct {
-	File string `arg:"" help:"A configuration with the key store: a node's."`
-	JSON bool   `name:"json" help:"What each replica knows, as JSON."`
+	File string `arg:"" help:"Configuration file of a node, with the key store."`
+	JSON bool   `name:"json" help:"Print the state of each replica as JSON."`
 }
 
+// Run prints one block for each key.
 func (c *changesCommand) Run() error {
 	storeConfig, err := loadStoreConfig(c.File)
 	if err != nil {
@@ -285,16 +308,16 @@
 		encoder.SetIndent("", " ")
 		return encoder.Encode(states.replicas)
 	}
-	for _, fault := range states.failures {
-		fmt.Println(fault)
+	for _, failure := range states.failures {
+		fmt.Println(failure)
 	}
 	for _, replica := range states.replicas {
 		fmt.Printf("replica %d: %d keys, %d watch it\n", replica.Number, len(replica.Values), replica.Watchers)
 	}
 	for _, key := range slices.Sorted(maps.Keys(states.values)) {
 		value := states.values[key]
-		runs, replica, lagging, refused := states.countRunning(key, value.Version)
-		fmt.Printf("%s: version %d (id %s), in force at %d of %d nodes\n", key, value.Version, value.ID, runs, replica)
+		runs, total, lagging, refused := states.countRunning(key, value.Version)
+		fmt.Printf("%s: version %d (id %s), in force at %d of %d nodes\n", key, value.Version, value.ID, runs, total)
 		for _, line := range append(refused, lagging...) {
 			fmt.Println("  " + strings.TrimSpace(line))
 		}
--- a/cmd/canvasrouter/store_test.go
+++ b/cmd/canvasrouter/store_test.go
@@ -19,25 +19,36 @@
 	"canvasrouter/internal/store"
 )
 
-// storeRig is three replicas and some nodes, each a process of the program.
+// storeHarness runs three replicas and some nodes, each as a process of the program.
 type storeHarness struct {
 	t            *testing.T
 	replicaAddrs []string
 	replicas     []*exec.Cmd
-	replicaFiles []string
-	nodes        map[string]*process
-	nodeAddrs    map[string]string
+	replicaFiles []string            // configuration files
+	nodes        map[string]*process // by name
+	nodeAddrs    map[string]string   // client addresses, by name
 }
 
+// newStoreHarness starts the replicas.
 func newStoreHarness(t *testing.T) *storeHarness {
-	s := &storeHarness{t: t, nodes: map[string]*process{}, nodeAddrs: map[string]string{}, replicas: make([]*exec.Cmd, 3)}
+	s := &storeHarness{
+		t:         t,
+		nodes:     map[string]*process{},
+		nodeAddrs: map[string]string{},
+		replicas:  make([]*exec.Cmd, 3),
+	}
 	for range 3 {
 		s.replicaAddrs = append(s.replicaAddrs, freeAddr(t))
 	}
 	dir := t.TempDir()
 	for i := range 3 {
 		file := filepath.Join(dir, fmt.Sprintf("replica-%d.json", i))
-		raw, _ := json.Marshal(map[string]any{"number": i, "listen": s.replicaAddrs[i], "replicas": s.replicaAddrs, "dir": filepath.Join(dir, fmt.Sprint("state-", i))})
+		raw, _ := json.Marshal(map[string]any{
+			"number":   i,
+			"listen":   s.replicaAddrs[i],
+			"replicas": s.replicaAddrs,
+			"dir":      filepath.Join(dir, fmt.Sprint("state-", i)),
+		})
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +58,7 @@
 	return s
 }
 
-// replica starts one of the three.
+// startReplica starts one of the replicas and waits until it answers.
 func (s *storeHarness) startReplica(i int) {
 	s.t.Helper()
 	cmd := exec.Command(os.Args[0], "replica", s.replicaFiles[i])
@@ -57,7 +68,11 @@
 	}
 	s.replicas[i] = cmd
 	stop := time.AfterFunc(100*time.Second, func() { cmd.Process.Kill() })
-	s.t.Cleanup(func() { stop.Stop(); cmd.Process.Kill(); cmd.Wait() })
+	s.t.Cleanup(func() {
+		stop.Stop()
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
 	s.waitUntil("a replica does not answer", 10*time.Second, func() bool {
 		response, err := http.Get("http://" + s.replicaAddrs[i] + "/state")
 		if err == nil {
@@ -67,6 +82,7 @@
 	})
 }
 
+// signalReplica sends a signal to a replica, and waits for its end if the signal ends it.
 func (s *storeHarness) signalReplica(i int, signal syscall.Signal) {
 	s.replicas[i].Process.Signal(signal)
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
@@ -74,30 +90,33 @@
 	}
 }
 
-// node starts a node of a service.
+// startNode starts a node of a service and waits until it is ready.
 func (s *storeHarness) startNode(name, service string) *process {
 	s.t.Helper()
 	addr := freeAddr(s.t)
 	key, _ := json.Marshal(map[string]any{"replicas": s.replicaAddrs, "service": service})
-	p := startNodeWithTimeout(s.t, 100*time.Second, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(s.t), `"name": "n0"`, fmt.Sprintf(`"store": %s, "name": %q`, key, name))
+	p := startNodeWithTimeout(s.t, 100*time.Second, func(*process) {}, "127.0.0.1:8081", addr, "127.0.0.1:8500", freeAddr(s.t),
+		`"name": "n0"`, fmt.Sprintf(`"store": %s, "name": %q`, key, name))
 	awaitReady(s.t, addr)
-	s.nodes[name], s.nodeAddrs[name] = p, addr
+	s.nodes[name] = p
+	s.nodeAddrs[name] = addr
 	return p
 }
 
+// waitUntil waits for a condition and returns how long that took. After timeout the test fails.
 func (s *storeHarness) waitUntil(failure string, timeout time.Duration, condition func() bool) time.Duration {
 	s.t.Helper()
-	for begun := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if condition() {
-			return time.Since(begun)
+			return time.Since(started)
 		}
-		if time.Since(begun) > timeout {
+		if time.Since(started) > timeout {
 			s.t.Fatalf("%s within %v", failure, timeout)
 		}
 	}
 }
 
-// command runs one of the program's commands on a node's file.
+// runCommand runs one of the program's commands.
 func (s *storeHarness) runCommand(args ...string) (out string, code int) {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), runAsNodeEnv+"=1", "NODE_CONFIG=")
@@ -105,6 +124,7 @@
 	return string(raw), cmd.ProcessState.ExitCode()
 }
 
+// runChange runs the command change with the configuration of a node.
 func (s *storeHarness) runChange(node, key, patch string, more ...string) (string, int) {
 	args := append([]string{"change", s.nodes[node].configPath, "--key", key}, more...)
 	if patch != "" {
@@ -117,12 +137,13 @@
 	return s.runCommand(args...)
 }
 
-// status asks a node for a category: 404 where it has none of that name, 503 where it has, since no server is up.
+// status sends an op of a category to a node and returns the status: 404 if the node has no such category, 503 if it has,
+// because no server is up.
 func (s *storeHarness) status(node, category string) int {
-	q, _ := http.NewRequest(http.MethodGet, "http://"+s.nodeAddrs[node]+"/"+category, nil)
-	q.Header.Set("X-Txn", fmt.Sprint(time.Now().UnixNano()))
-	q.Header.Set("X-Remaining-Ms", "500")
-	response, err := http.DefaultClient.Do(q)
+	request, _ := http.NewRequest(http.MethodGet, "http://"+s.nodeAddrs[node]+"/"+category, nil)
+	request.Header.Set("X-Txn", fmt.Sprint(time.Now().UnixNano()))
+	request.Header.Set("X-Remaining-Ms", "500")
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0
 	}
@@ -131,28 +152,30 @@
 	return response.StatusCode
 }
 
+// categoryPatch is a patch that replaces all categories by one.
 func categoryPatch(name string) string {
 	return fmt.Sprintf(`{"settings": {"categories": [{"name": %q, "benefit": 1.0, "effect": "idempotent", "target_latency": 300.0, "ttl": 900.0}]}}`, name)
 }
 
-// Changes by the program's own processes: in force at the nodes that they are for and no others, refused whole and named where they are
-// faulty, told apart where two are made at once, the same once where it is asked twice, taken back, and known after an absence;
-// with one replica gone they go on, with two none is taken and all nodes go on as they are.
+// TestStore checks changes of configuration with real processes. A change is in force at the nodes it is for and at no
+// others. An invalid one is refused as a whole with the key at fault. Of two conflicting changes one is refused, a repeated
+// request is applied once, and a change can be rolled back. A node that was away gets the changes it missed. Changes still
+// work with one replica down; with two down none is accepted and all nodes keep their configuration.
 func TestStore(t *testing.T) {
 	s := newStoreHarness(t)
 	for _, name := range []string{"a1", "a2"} {
 		s.startNode(name, "alpha")
 	}
 	s.startNode("b1", "beta")
-	s.waitUntil("the nodes' reports are not there", 10*time.Second, func() bool { return len(fetchStates(s.replicaAddrs).nodes) == 3 })
-	expect := func(what, out string, code, want int, has ...string) {
+	s.waitUntil("the nodes have not reported", 10*time.Second, func() bool { return len(fetchStates(s.replicaAddrs).nodes) == 3 })
+	expect := func(step, out string, code, wantCode int, wantParts ...string) {
 		t.Helper()
-		if code != want {
-			t.Errorf("%s: exit %d: %s", what, code, out)
+		if code != wantCode {
+			t.Errorf("%s: exit %d: %s", step, code, out)
 		}
-		for _, part := range has {
+		for _, part := range wantParts {
 			if !strings.Contains(out, part) {
-				t.Errorf("%s: no %q in %s", what, part, out)
+				t.Errorf("%s: no %q in %s", step, part, out)
 			}
 		}
 	}
@@ -166,7 +189,7 @@
 	out, code = s.runChange("a1", "service/alpha", categoryPatch("new"), "--id", "first")
 	expect("the same change twice", out, code, 0, "known, version 1")
 	out, code = s.runChange("a1", "service/alpha", categoryPatch("newer"), "--from", "0")
-	expect("from a version that does not stand", out, code, 2, "conflict: version 1 stands")
+	expect("a change from an old version", out, code, 2, "conflict: version 1 stands")
 	for patch, part := range map[string]string{
 		`{"settings": {"tick": "often"}}`:                  "setting tick is no number",
 		`{"listen": "127.0.0.1:1"}`:                        "key listen can't be changed",
@@ -178,50 +201,50 @@
 		expect(patch, out, code, 2, "refused: ", part)
 	}
 	out, code = s.runChange("a1", "service/alpha", `{"settings": {"tick": 5}}`, "--needs", "2", "--wait", "4s")
-	expect("of a later form", out, code, 2, "a1 refuses version 2: it needs form 2", "in force at 0 of 2")
+	expect("a change that needs a newer format", out, code, 2, "a1 refuses version 2: it needs form 2", "in force at 0 of 2")
 	if got := s.status("a1", "new"); got != 503 {
-		t.Errorf("what ran before is gone: %d", got)
+		t.Errorf("the previous change is no longer in force: %d", got)
 	}
 	out, code = s.runChange("a1", "service/alpha", "", "--back")
-	expect("the way back", out, code, 0, "chosen, version 3", "in force at 2 of 2")
-	// A node that was stopped through changes, and one that starts with its old file.
+	expect("a rollback", out, code, 0, "chosen, version 3", "in force at 2 of 2")
+	// One node is paused during two changes, another one restarts with its old file.
 	s.nodes["b1"].Process.Signal(syscall.SIGSTOP)
 	s.nodes["a2"].Process.Kill()
 	s.nodes["a2"].Wait()
 	out, code = s.runChange("a1", "all", `{"log_level": "warn"}`, "--wait", "3s")
-	expect("two nodes away", out, code, 2, "in force at 1 of 3 nodes", "b1 runs version 0", "a2 runs version 0")
+	expect("a change with two nodes away", out, code, 2, "in force at 1 of 3 nodes", "b1 runs version 0", "a2 runs version 0")
 	out, _ = s.runChange("a1", "service/beta", categoryPatch("late"), "--wait", "0s")
-	expect("a change for who is away", out, 0, 0, "chosen, version 1")
+	expect("a change for a node that is away", out, 0, 0, "chosen, version 1")
 	s.nodes["b1"].Process.Signal(syscall.SIGCONT)
-	took := s.waitUntil("the node that was stopped does not run the change", 8*time.Second, func() bool { return s.status("b1", "late") == 503 })
-	t.Logf("a node that was stopped runs the change %v after it goes on", took)
+	took := s.waitUntil("the paused node does not run the change", 8*time.Second, func() bool { return s.status("b1", "late") == 503 })
+	t.Logf("a paused node runs the change %v after it continues", took)
 	s.startNode("a2", "alpha")
 	took = s.waitUntil("the node with the old file does not run the change", 8*time.Second, func() bool { return s.status("a2", "new") == 503 })
 	t.Logf("a node with its old file runs the change %v after its start", took)
 	out, code = s.runCommand("changes", s.nodes["a1"].configPath)
-	expect("what stands", out, code, 0, "all: version 1", "in force at 3 of 3 nodes", "service/alpha: version 3", "service/beta: version 1")
-	// One replica gone, without a word.
+	expect("the command changes", out, code, 0, "all: version 1", "in force at 3 of 3 nodes", "service/alpha: version 3", "service/beta: version 1")
+	// One replica is killed.
 	s.signalReplica(0, syscall.SIGKILL)
 	out, code = s.runChange("a1", "service/alpha", categoryPatch("one-gone"))
-	expect("one replica gone", out, code, 0, "chosen, version 4", "in force at 2 of 2")
-	// Two gone: one killed, one that says nothing.
+	expect("one replica down", out, code, 0, "chosen, version 4", "in force at 2 of 2")
+	// Two replicas are down: one is killed, one is paused.
 	s.signalReplica(1, syscall.SIGSTOP)
 	out, code = s.runChange("a1", "service/alpha", categoryPatch("two-gone"), "--id", "doubt")
-	expect("two replicas gone", out, code, 2, "no majority")
+	expect("two replicas down", out, code, 2, "no majority")
 	for node, want := range map[string]int{"a1": 503, "a2": 503} {
 		if got := s.status(node, "one-gone"); got != want {
-			t.Errorf("with two replicas gone %s: %d, not %d", node, got, want)
+			t.Errorf("with two replicas down %s: %d, not %d", node, got, want)
 		}
 	}
 	s.signalReplica(1, syscall.SIGCONT)
 	s.startReplica(0)
 	out, code = s.runChange("a1", "service/alpha", categoryPatch("two-gone"), "--id", "doubt")
-	expect("the same again with all back", out, code, 0, "version 5", "in force at 2 of 2")
-	s.waitUntil("a replica that was gone does not know what it missed", 8*time.Second, func() bool {
+	expect("the same change with all replicas up", out, code, 0, "version 5", "in force at 2 of 2")
+	s.waitUntil("a replica that was down does not know the changes it missed", 8*time.Second, func() bool {
 		states := fetchStates(s.replicaAddrs)
-		for _, of := range states.replicas {
-			for _, v := range of.Values {
-				if v.Key == "service/alpha" && v.Version != 5 {
+		for _, replica := range states.replicas {
+			for _, value := range replica.Values {
+				if value.Key == "service/alpha" && value.Version != 5 {
 					return false
 				}
 			}
@@ -236,7 +259,8 @@
 	}
 }
 
-// A faulty file of a replica or a faulty key store is one line that names the key, and a non-zero exit.
+// TestInvalidStoreFiles checks that an invalid file of a replica or an invalid key store leads to one line that names the
+// key and a non-zero exit code.
 func TestInvalidStoreFiles(t *testing.T) {
 	dir := t.TempDir()
 	s := &storeHarness{t: t}
@@ -281,14 +305,21 @@
 	}
 }
 
-// A node's own look shows which changes it was told of, runs, and refuses.
+// TestFleetViewShowsStore checks that the view of a node shows the changes that it received, runs and refuses.
 func TestFleetViewShowsStore(t *testing.T) {
-	var b strings.Builder
-	printView(&b, &fleet.View{Store: &store.Look{Replica: "127.0.0.1:7950", Told: map[store.Key]store.Version{"all": 3}, Runs: map[store.Key]store.Version{"all": 2},
-		Refused: map[store.Key]store.Refusal{"all": {Version: 3, Why: "setting tick is no number"}}}})
-	for _, want := range []string{"store: watches 127.0.0.1:7950; runs map[all:2] of what it was told, map[all:3]", "all version 3 refused: setting tick is no number"} {
-		if !strings.Contains(b.String(), want) {
-			t.Errorf("no %q in %s", want, b.String())
+	var text strings.Builder
+	printView(&text, &fleet.View{Store: &store.Look{
+		Replica: "127.0.0.1:7950",
+		Told:    map[store.Key]store.Version{"all": 3},
+		Runs:    map[store.Key]store.Version{"all": 2},
+		Refused: map[store.Key]store.Refusal{"all": {Version: 3, Why: "setting tick is no number"}},
+	}})
+	for _, want := range []string{
+		"store: watches 127.0.0.1:7950; runs map[all:2] of what it was told, map[all:3]",
+		"all version 3 refused: setting tick is no number",
+	} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("no %q in %s", want, text.String())
 		}
 	}
 }
