--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -41,7 +41,7 @@
 	Rules        *Rules
 	Names        Names
 
-	MaxPendingOps     int           // limit from the settings
+	MaxPendingOps     int           // limit of pending ops from the settings
 	AnswerSlack       policy.Micros // after a client's deadline, in which a final answer still counts
 	IgnoredSettings   []string      // settings in the file that only earlier versions used
 	ServerIdleTimeout time.Duration // servers close connections that have been idle for this long
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -97,5 +97,5 @@
 	return ifFalse
 }
 
-// Duration converts the policy's microseconds.
+// Duration converts the policy's microseconds to a time.Duration.
 func Duration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -497,7 +497,8 @@
 			return nil, false
 		}
 	}
-	object, a.buffer = a.buffer, nil
+	object = a.buffer
+	a.buffer = nil
 	return object, true
 }
 
