--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -24,6 +24,7 @@
 // runAsNodeEnv is the environment variable that makes the test binary run as the program itself.
 const runAsNodeEnv = "CANVASROUTER_TEST_AS_NODE"
 
+// TestMain runs the program instead of the tests if runAsNodeEnv is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsNodeEnv) != "" {
 		main()
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -97,7 +97,7 @@
 	}
 	for key := range patched {
 		if !contains(changeableKeys, key) {
-			return fmt.Errorf("key %s can't be changed by a change: %s can", key, strings.Join(changeableKeys, ", "))
+			return fmt.Errorf("key %s can't be changed through the store, only %s can", key, strings.Join(changeableKeys, ", "))
 		}
 	}
 	if raw, found := patched["settings"]; found {
@@ -107,7 +107,7 @@
 		}
 		for _, key := range nodeOnlySettings {
 			if _, found := settings[key]; found && !singleNode {
-				return fmt.Errorf("key settings.%s is a node's own: a change for one node may hold it", key)
+				return fmt.Errorf("key settings.%s is a node's own: only a change for one node may contain it", key)
 			}
 		}
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -67,8 +67,8 @@
 	// open by itself.
 	AutoWatch bool
 
-	// BaseRetryDelay is the base of the delay between two such watches. The delay grows to eight times this value while
-	// they fail.
+	// BaseRetryDelay is the base of the delay between two such watches. The delay starts at a quarter of it and doubles
+	// with each failure, to at most eight times the base and at most 3 s.
 	BaseRetryDelay time.Duration
 
 	// DrainGrace is the grace period of draining servers; 0 if the settings do not give one. With AutoWatch, half of it
