--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -31,7 +31,7 @@
 	if c.Fleet == nil || c.Fleet.ControlSocket == "" {
 		return errors.New("config: key fleet.control is left out: the node has no control socket")
 	}
-	view, err := fleet.Ask(context.Background(), c.Fleet.ControlSocket)
+	view, err := fleet.FetchView(context.Background(), c.Fleet.ControlSocket)
 	if err != nil {
 		return fmt.Errorf("the node does not answer: %w", err)
 	}
@@ -52,17 +52,17 @@
 			aliveCount++
 		}
 	}
-	fmt.Fprintf(out, "fleet %s: node %s, number %d, life %s at %s; %d there\n", view.Fleet, view.Own.Name, view.Own.Number, view.Own.Life, view.Own.Addr, aliveCount)
+	fmt.Fprintf(out, "fleet %s: node %s, number %d, life %s at %s; %d there\n", view.Fleet, view.Self.Name, view.Self.Number, view.Self.Incarnation, view.Self.Addr, aliveCount)
 	for _, member := range view.Members {
-		fmt.Fprintf(out, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", member.Name, member.State, member.ForMs/1000, member.Number, member.Zone, member.Life, member.Addr)
+		fmt.Fprintf(out, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", member.Name, member.State, member.StateAgeMs/1000, member.Number, member.Zone, member.Incarnation, member.Addr)
 	}
-	counts := view.Ways
+	counts := view.Transport
 	fmt.Fprintf(out, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
-		counts.Sent, counts.SentBytes, counts.Got, counts.GotBytes, counts.Paced, counts.Overrun, counts.Spoilt, counts.Doubled, counts.Unknown)
-	fmt.Fprintf(out, "streams: %d, refused %d, with harm %d\n", counts.Streams, counts.Refused, counts.Broken)
-	if messages := view.Words; messages != nil {
+		counts.Sent, counts.SentBytes, counts.Received, counts.ReceivedBytes, counts.RateLimited, counts.DroppedUnread, counts.Malformed, counts.Duplicates, counts.UnknownKind)
+	fmt.Fprintf(out, "streams: %d, refused %d, with harm %d\n", counts.Streams, counts.StreamsRefused, counts.StreamsCorrupted)
+	if messages := view.Messages; messages != nil {
 		fmt.Fprintf(out, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
-			messages.Told, messages.Sent, messages.Heard, messages.Pushed, messages.Nobody, messages.Paced, messages.Stale, messages.Foreign, messages.Busy)
+			messages.Submitted, messages.Sent, messages.Delivered, messages.Evicted, messages.NoOwner, messages.RateLimited, messages.Stale, messages.UnknownFormat, messages.MailboxFull)
 	}
 	if storeView := view.Store; storeView != nil {
 		replica := storeView.Replica
@@ -75,13 +75,13 @@
 		}
 	}
 	for _, server := range view.Servers {
-		ownCondition := server.Own
+		ownCondition := server.OwnCondition
 		if ownCondition == "" {
 			ownCondition = "nothing fresh"
 		}
-		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", server.Server, server.Ill, server.Part, ownCondition)
+		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", server.Server, server.Condition, server.RemainingFraction, ownCondition)
 		for _, report := range server.Reports {
-			fmt.Fprintf(out, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", report.Ill, report.Node, report.Source, report.Zone, report.AgeMs/1000, report.SpanMs/1000)
+			fmt.Fprintf(out, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", report.Condition, report.NodeNumber, report.Reporter, report.Zone, report.AgeMs/1000, report.DurationMs/1000)
 		}
 	}
 }
--- a/internal/serve/peers.go
+++ b/internal/serve/peers.go
@@ -28,7 +28,7 @@
 	}
 	p.peers.fleet, err = fleet.Start(c, p.actor, p.clock, p.log.With().Str("part", "fleet").Logger())
 	if err == nil {
-		p.peers.fleet.Show(p.store.status)
+		p.peers.fleet.SetStoreView(p.store.status)
 	}
 	return err
 }
