--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -16,18 +16,20 @@
 	"canvasrouter/internal/fleet"
 )
 
+// fleetCommand prints what a running node knows of the fleet.
 type fleetCommand struct {
-	File string `arg:"" help:"The node's configuration."`
-	JSON bool   `name:"json" help:"As JSON."`
+	File string `arg:"" help:"The node's configuration file."`
+	JSON bool   `name:"json" help:"Print JSON."`
 }
 
+// Run asks the node through its control socket and prints the answer.
 func (f *fleetCommand) Run() error {
-	c, err := config.Load(environment(f.File))
+	c, err := config.Load(environmentWithConfig(f.File))
 	if err != nil {
 		return err
 	}
 	if c.Fleet == nil || c.Fleet.ControlSocket == "" {
-		return errors.New("config: key fleet.control is left out: the node has no socket to be asked by")
+		return errors.New("config: key fleet.control is left out: the node has no control socket")
 	}
 	view, err := fleet.FetchView(context.Background(), c.Fleet.ControlSocket)
 	if err != nil {
@@ -42,44 +44,44 @@
 	return nil
 }
 
-// printView writes a view as a person reads it.
-func printView(w io.Writer, v *fleet.View) {
-	there := 1
-	for _, m := range v.Members {
-		if m.State == "alive" {
-			there++
+// printView writes a view as text.
+func printView(out io.Writer, view *fleet.View) {
+	aliveCount := 1
+	for _, member := range view.Members {
+		if member.State == "alive" {
+			aliveCount++
 		}
 	}
-	fmt.Fprintf(w, "fleet %s: node %s, number %d, life %s at %s; %d there\n", v.Fleet, v.Self.Name, v.Self.Number, v.Self.Incarnation, v.Self.Addr, there)
-	for _, m := range v.Members {
-		fmt.Fprintf(w, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", m.Name, m.State, m.StateAgeMs/1000, m.Number, m.Zone, m.Incarnation, m.Addr)
+	fmt.Fprintf(out, "fleet %s: node %s, number %d, life %s at %s; %d there\n", view.Fleet, view.Self.Name, view.Self.Number, view.Self.Incarnation, view.Self.Addr, aliveCount)
+	for _, member := range view.Members {
+		fmt.Fprintf(out, "  %-16s %-8s for %.1f s  number %d, zone %d, life %s at %s\n", member.Name, member.State, member.StateAgeMs/1000, member.Number, member.Zone, member.Incarnation, member.Addr)
 	}
-	c := v.Transport
-	fmt.Fprintf(w, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
-		c.Sent, c.SentBytes, c.Received, c.ReceivedBytes, c.RateLimited, c.DroppedUnread, c.Malformed, c.Duplicates, c.UnknownKind)
-	fmt.Fprintf(w, "streams: %d, refused %d, with harm %d\n", c.Streams, c.StreamsRefused, c.StreamsCorrupted)
-	if s := v.Messages; s != nil {
-		fmt.Fprintf(w, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
-			s.Submitted, s.Sent, s.Delivered, s.Evicted, s.NoOwner, s.RateLimited, s.Stale, s.UnknownFormat, s.MailboxFull)
+	counts := view.Transport
+	fmt.Fprintf(out, "ways: %d frames sent (%d bytes), %d got (%d bytes); dropped for pace %d, unread %d; not understood %d, doubled %d, of unknown kind %d\n",
+		counts.Sent, counts.SentBytes, counts.Received, counts.ReceivedBytes, counts.RateLimited, counts.DroppedUnread, counts.Malformed, counts.Duplicates, counts.UnknownKind)
+	fmt.Fprintf(out, "streams: %d, refused %d, with harm %d\n", counts.Streams, counts.StreamsRefused, counts.StreamsCorrupted)
+	if messages := view.Messages; messages != nil {
+		fmt.Fprintf(out, "words: told %d, sent %d, heard %d; pushed out of a full queue %d, to nobody %d, dropped for pace %d, too late %d, not understood %d, node busy %d\n",
+			messages.Submitted, messages.Sent, messages.Delivered, messages.Evicted, messages.NoOwner, messages.RateLimited, messages.Stale, messages.UnknownFormat, messages.MailboxFull)
 	}
-	if s := v.Store; s != nil {
-		at := s.Replica
-		if at == "" {
-			at = "no replica"
+	if storeView := view.Store; storeView != nil {
+		replica := storeView.Replica
+		if replica == "" {
+			replica = "no replica"
 		}
-		fmt.Fprintf(w, "store: watches %s; runs %v of what it was told, %v\n", at, s.Runs, s.Told)
-		for _, key := range slices.Sorted(maps.Keys(s.Refused)) {
-			fmt.Fprintf(w, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Why)
+		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, storeView.Runs, storeView.Told)
+		for _, key := range slices.Sorted(maps.Keys(storeView.Refused)) {
+			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, storeView.Refused[key].Version, storeView.Refused[key].Why)
 		}
 	}
-	for _, s := range v.Servers {
-		own := s.OwnCondition
-		if own == "" {
-			own = "nothing fresh"
+	for _, server := range view.Servers {
+		ownCondition := server.OwnCondition
+		if ownCondition == "" {
+			ownCondition = "nothing fresh"
 		}
-		fmt.Fprintf(w, "server %s: others say %s, %.3f of its weight left; own finding %s\n", s.Server, s.Condition, s.RemainingFraction, own)
-		for _, r := range s.Reports {
-			fmt.Fprintf(w, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", r.Condition, r.NodeNumber, r.Reporter, r.Zone, r.AgeMs/1000, r.DurationMs/1000)
+		fmt.Fprintf(out, "server %s: others say %s, %.3f of its weight left; own finding %s\n", server.Server, server.Condition, server.RemainingFraction, ownCondition)
+		for _, report := range server.Reports {
+			fmt.Fprintf(out, "    %-13s by node %d (life %s, zone %d), %.1f s ago, since %.1f s before\n", report.Condition, report.NodeNumber, report.Reporter, report.Zone, report.AgeMs/1000, report.DurationMs/1000)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a node's configuration is read, checked and given defaults. Every
-// error names the key at fault.
+// Package config reads a node's configuration, checks it and fills in defaults. No other package does so. Every error
+// names the key at fault.
 package config
 
 import (
@@ -23,40 +23,42 @@
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultLogLevel = "info"
-	fewestSockets   = 40
-	leastMemoryMB   = 16
+	minSockets      = 40
+	minMemoryMB     = 16
 )
 
-// Config is all that a node is told at its start.
+// Config is the configuration of one node.
 type Config struct {
-	Name              string
-	Listen            string // where clients connect
-	RegistryAddr      string // the registry
-	Seed              uint64
-	LogLevel          zerolog.Level
-	Cores             float64
-	MemoryMB          int
-	Sockets           int
-	CachedList        json.RawMessage // the list as the node last had it, in the registry's form
-	Rules             *Rules
-	Names             Names
-	MaxPendingOps     int           // ops in hand that the settings allow
-	AnswerSlack       policy.Micros // past a client's wait, in which a final answer still counts
-	IgnoredSettings   []string      // settings that earlier versions heeded, given here
-	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long
-	Fleet             *Fleet        // nil: the node hears nobody
-	Store             *Store        // nil: the file alone says what holds
-	Raw               []byte        // the document that this was read from
-
-	settings, fleet json.RawMessage
+	Name         string
+	Listen       string // address for clients
+	RegistryAddr string // address of the service registry
+	Seed         uint64 // of random decisions
+	LogLevel     zerolog.Level
+	Cores        float64
+	MemoryMB     int
+	Sockets      int             // sockets that the node may open
+	CachedList   json.RawMessage // the server list that the node had when it last ran, in the registry's format
+	Rules        *Rules
+	Names        Names
+
+	MaxPendingOps     int           // limit of pending ops from the settings
+	AnswerSlack       policy.Micros // after a client's deadline, in which a final answer still counts
+	IgnoredSettings   []string      // settings in the file that only earlier versions used
+	ServerIdleTimeout time.Duration // servers close connections that have been idle for this long
+
+	Fleet *Fleet // nil: the node exchanges nothing with other nodes
+	Store *Store // nil: the file is the only source of configuration
+	Raw   []byte // the document that was parsed
+
+	rawSettings, rawFleet json.RawMessage
 }
 
-// Fixed names the keys that differ in next and can't change while the node runs. Discovery, log_level and settings
-// can; known is only read at the start, since the node itself holds a newer list.
+// RestartRequiredKeys returns the keys that differ in next and cannot change while the node runs. The keys discovery,
+// log_level and settings can; known is only read at the start, because a running node has a newer list.
 func (c *Config) RestartRequiredKeys(next *Config) (keys []string) {
-	for _, k := range []struct {
-		key  string
-		same bool
+	for _, field := range []struct {
+		key   string
+		equal bool
 	}{
 		{"name", c.Name == next.Name},
 		{"listen", c.Listen == next.Listen},
@@ -64,45 +66,53 @@
 		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
 		{"store", reflect.DeepEqual(c.Store, next.Store)},
 	} {
-		if !k.same {
-			keys = append(keys, k.key)
+		if !field.equal {
+			keys = append(keys, field.key)
 		}
 	}
 	return keys
 }
 
-// Running is c, taken over by a node that runs with old: what can't change while it runs stays.
-func (c *Config) WithFixedKeysOf(old *Config) *Config {
-	now := *c
-	now.Name, now.Listen, now.Seed = old.Name, old.Listen, old.Seed
-	now.Cores, now.MemoryMB, now.Sockets = old.Cores, old.MemoryMB, old.Sockets
-	now.Store = old.Store
-	return &now
+// WithFixedKeysOf returns a copy of c with the values of running for all keys that cannot change while a node runs.
+func (c *Config) WithFixedKeysOf(running *Config) *Config {
+	merged := *c
+	merged.Name = running.Name
+	merged.Listen = running.Listen
+	merged.Seed = running.Seed
+	merged.Cores = running.Cores
+	merged.MemoryMB = running.MemoryMB
+	merged.Sockets = running.Sockets
+	merged.Store = running.Store
+	return &merged
 }
 
-// SameSettings says that the settings have the same values.
-func (c *Config) SameSettings(next *Config) bool { return sameJSON(c.settings, next.settings) }
+// SameSettings reports whether both configurations have the same settings.
+func (c *Config) SameSettings(next *Config) bool { return sameJSON(c.rawSettings, next.rawSettings) }
 
-// SameFleet says that the nodes would hear each other as before: the same keys, and the same place among them.
+// SameFleet reports whether both configurations give the node the same connection to the fleet: the same keys under fleet,
+// and the same number, zone and fleet size.
 func (c *Config) SameFleet(next *Config) bool {
-	a, b := &c.Rules.Topology, &next.Rules.Topology
-	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.fleet, next.fleet) &&
-		a.Number == b.Number && a.Zone == b.Zone && a.Nodes == b.Nodes)
+	place, nextPlace := &c.Rules.Topology, &next.Rules.Topology
+	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.rawFleet, next.rawFleet) &&
+		place.Number == nextPlace.Number && place.Zone == nextPlace.Zone && place.Nodes == nextPlace.Nodes)
 }
 
-// sameJSON compares values, whatever their spacing and the order of their keys.
-func sameJSON(a, b json.RawMessage) bool {
-	var one, other any
-	return json.Unmarshal(a, &one) == nil && json.Unmarshal(b, &other) == nil && reflect.DeepEqual(one, other)
+// sameJSON compares two JSON values regardless of white space and the order of keys.
+func sameJSON(rawLeft, rawRight json.RawMessage) bool {
+	var left, right any
+	return json.Unmarshal(rawLeft, &left) == nil && json.Unmarshal(rawRight, &right) == nil && reflect.DeepEqual(left, right)
 }
 
-// Names are the words of the settings, by the number that the module knows them by.
+// Names holds the names from the settings. The index of a name is the number that the policy uses for it.
 type Names struct {
-	Categories, Tenants, Zones, MachineTypes []string
+	Categories   []string
+	Tenants      []string
+	Zones        []string
+	MachineTypes []string
 }
 
-// document is the file's form.
-type document struct {
+// fileDocument is the JSON format of the configuration file.
+type fileDocument struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -119,7 +129,7 @@
 	Store    json.RawMessage `json:"store"`
 }
 
-// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_LOG_LEVEL stand in for
+// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_LOG_LEVEL are defaults for
 // keys that the file leaves out.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
@@ -133,7 +143,7 @@
 	return Parse(raw, getenv)
 }
 
-// Parse reads a file's content.
+// Parse reads a configuration from the content of a file.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	c, err := parse(raw, getenv)
 	if err != nil {
@@ -142,26 +152,27 @@
 	return c, nil
 }
 
+// parse is Parse without the prefix of the errors. A configuration with an invalid setting is returned with its error.
 func parse(raw []byte, getenv func(string) string) (*Config, error) {
-	var d document
-	if err := json.Unmarshal(raw, &d); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, fmt.Errorf("key %s: a %s can't be used here", kind.Field, kind.Value)
+	var document fileDocument
+	if err := json.Unmarshal(raw, &document); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("key %s: a %s can't be used here", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
 	c := &Config{
-		Name:         cmp.Or(d.Name, getenv("NODE_NAME")),
-		Listen:       cmp.Or(d.Listen, getenv("NODE_LISTEN")),
-		RegistryAddr: cmp.Or(d.Discovery, getenv("NODE_DISCOVERY")),
-		CachedList:   d.Known,
-		settings:     d.Settings,
-		fleet:        d.Fleet,
+		Name:         cmp.Or(document.Name, getenv("NODE_NAME")),
+		Listen:       cmp.Or(document.Listen, getenv("NODE_LISTEN")),
+		RegistryAddr: cmp.Or(document.Discovery, getenv("NODE_DISCOVERY")),
+		CachedList:   document.Known,
+		rawSettings:  document.Settings,
+		rawFleet:     document.Fleet,
 		Raw:          raw,
-		Cores:        orDefault(d.Limits.Cores, defaultCores),
-		MemoryMB:     orDefault(d.Limits.MemoryMB, defaultMemoryMB),
-		Sockets:      orDefault(d.Limits.Sockets, defaultSockets),
+		Cores:        valueOr(document.Limits.Cores, defaultCores),
+		MemoryMB:     valueOr(document.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:      valueOr(document.Limits.Sockets, defaultSockets),
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("key listen: %w", err)
@@ -169,76 +180,81 @@
 	if _, _, err := net.SplitHostPort(c.RegistryAddr); err != nil {
 		return nil, fmt.Errorf("key discovery: %w", err)
 	}
-	if d.Seed != "" {
-		seed, err := strconv.ParseUint(d.Seed, 16, 64)
+	if document.Seed != "" {
+		seed, err := strconv.ParseUint(document.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("key seed: %q is no hexadecimal number of 64 bits", d.Seed)
+			return nil, fmt.Errorf("key seed: %q is no hexadecimal number of 64 bits", document.Seed)
 		}
 		c.Seed = seed
 	}
 	switch {
 	case !(c.Cores > 0):
 		return nil, fmt.Errorf("key limits.cores: %v is not above 0", c.Cores)
-	case c.MemoryMB < leastMemoryMB:
-		return nil, fmt.Errorf("key limits.memory_mb: %d is under %d", c.MemoryMB, leastMemoryMB)
-	case c.Sockets < fewestSockets:
-		return nil, fmt.Errorf("key limits.sockets: %d is under %d", c.Sockets, fewestSockets)
-	case len(d.Settings) == 0:
+	case c.MemoryMB < minMemoryMB:
+		return nil, fmt.Errorf("key limits.memory_mb: %d is under %d", c.MemoryMB, minMemoryMB)
+	case c.Sockets < minSockets:
+		return nil, fmt.Errorf("key limits.sockets: %d is under %d", c.Sockets, minSockets)
+	case len(document.Settings) == 0:
 		return nil, errors.New("key settings is missing")
 	}
-	level, err := zerolog.ParseLevel(cmp.Or(d.LogLevel, getenv("NODE_LOG_LEVEL"), defaultLogLevel))
+	level, err := zerolog.ParseLevel(cmp.Or(document.LogLevel, getenv("NODE_LOG_LEVEL"), defaultLogLevel))
 	if err != nil {
 		return nil, fmt.Errorf("key log_level: %w", err)
 	}
 	c.LogLevel = level
-	s := fromJSON(d.Settings)
-	c.Rules = s.rules()
-	c.ServerIdleTimeout = Duration(MillisToMicros(s.numberOr("limits.idle_close", 0)))
-	c.AnswerSlack = MillisToMicros(s.numberOr("safety.answer_slack", 0))
-	c.MaxPendingOps = int(s.numberOr("limits.max_open", float64(c.Sockets)))
-	c.Names = Names{Categories: s.names("categories"), Tenants: s.names("tenants"),
-		Zones: s.list("failure_domains"), MachineTypes: s.list("kinds")}
-	s.check(c.Rules)
-	if s.flagOr("safety.gone_is_advice", false) {
+	set := settingsFromJSON(document.Settings)
+	c.Rules = set.rules()
+	c.ServerIdleTimeout = Duration(MillisToMicros(set.numberOr("limits.idle_close", 0)))
+	c.AnswerSlack = MillisToMicros(set.numberOr("safety.answer_slack", 0))
+	c.MaxPendingOps = int(set.numberOr("limits.max_open", float64(c.Sockets)))
+	c.Names = Names{
+		Categories:   set.objectNames("categories"),
+		Tenants:      set.objectNames("tenants"),
+		Zones:        set.stringList("failure_domains"),
+		MachineTypes: set.stringList("kinds"),
+	}
+	set.checkRules(c.Rules)
+	if set.booleanOr("safety.gone_is_advice", false) {
 		c.IgnoredSettings = append(c.IgnoredSettings, "safety.gone_is_advice")
 	}
-	if _, found := s.pairs["tenants.0.quota_rps"]; found {
+	if _, found := set.values["tenants.0.quota_rps"]; found {
 		c.IgnoredSettings = append(c.IgnoredSettings, "tenants.quota_rps")
 	}
-	if s.err != nil {
-		return c, s.err
+	if set.err != nil {
+		return c, set.err
 	}
-	if c.Fleet, err = parseFleet(d.Fleet); err == nil {
-		c.Store, err = parseStore(d.Store)
+	if c.Fleet, err = parseFleet(document.Fleet); err == nil {
+		c.Store, err = parseStore(document.Store)
 	}
 	return c, err
 }
 
-// check refuses values that no node could run with.
-func (s *settings) check(r *Rules) {
+// checkRules records an error for a value that no node could run with.
+func (s *settings) checkRules(rules *Rules) {
 	for _, rule := range []struct {
-		key string
-		bad bool
+		key     string
+		invalid bool
 	}{
-		{"tier", r.Topology.Tier < 0 || r.Topology.Tier >= r.Topology.Tiers},
-		{"fleet_size", r.Topology.Nodes < 1},
-		{"slot_no", r.Topology.Number < 0},
-		{"tick", r.Topology.Tick < 1},
-		{"limits.max_pushes", r.PushLimits.Max < 1},
-		{"limits.dial_timeout", r.PushLimits.Dial < policy.Millisecond},
+		{"tier", rules.Topology.Tier < 0 || rules.Topology.Tier >= rules.Topology.Tiers},
+		{"fleet_size", rules.Topology.Nodes < 1},
+		{"slot_no", rules.Topology.Number < 0},
+		{"tick", rules.Topology.Tick < 1},
+		{"limits.max_pushes", rules.PushLimits.Max < 1},
+		{"limits.dial_timeout", rules.PushLimits.Dial < policy.Millisecond},
 	} {
-		if rule.bad {
-			s.fail("setting %s is out of range: %q", rule.key, s.pairs[rule.key])
+		if rule.invalid {
+			s.recordError("setting %s is out of range: %q", rule.key, s.values[rule.key])
 		}
 	}
-	for i, c := range r.Categories {
-		if c.TTL <= 0 || c.Target <= 0 || c.Target > c.TTL {
-			s.fail("setting categories.%d.target_latency or ttl is out of range", i)
+	for i, category := range rules.Categories {
+		if category.TTL <= 0 || category.Target <= 0 || category.Target > category.TTL {
+			s.recordError("setting categories.%d.target_latency or ttl is out of range", i)
 		}
 	}
 }
 
-func orDefault[T any](value *T, fallback T) T {
+// valueOr returns the value, or fallback if there is none.
+func valueOr[T any](value *T, fallback T) T {
 	if value != nil {
 		return *value
 	}
