--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -91,7 +91,7 @@
 		Advertise:         c.Fleet.Advertise,
 		Incarnation:       incarnation,
 		MaxBytesPerSecond: c.Fleet.MaxBytesPerSecond,
-		SlowdownFactor:    int(clock.Real(1)),
+		SlowdownFactor:    int(clock.RealDuration(1)),
 	}, log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
@@ -106,7 +106,7 @@
 		f.transport.Handle(transport.ServerReports, f.receiveReports)
 	}
 	if c.Fleet.PeerMessages && c.Rules.Topology.Peers {
-		f.messenger = words.Start(f.transport, f.ownerAddr, n.Said)
+		f.messenger = words.Start(f.transport, f.ownerAddr, n.PeerMessagesReceived)
 	}
 	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Topology.Number, Addr: c.Fleet.Advertise}
 	f.members, err = members.Start(members.Options{
@@ -124,7 +124,7 @@
 	if c.Fleet.OutlierReports {
 		f.running.Go(f.reportLoop)
 	}
-	n.Peer(f)
+	n.SetPeers(f)
 	if f.control != nil {
 		f.control.serve()
 	}
@@ -138,7 +138,7 @@
 
 // Close disconnects the node from the fleet and discards the weights that follow from the reports of peers.
 func (f *Fleet) Close() {
-	f.node.Peer(nil)
+	f.node.SetPeers(nil)
 	f.stop()
 	f.log.Info().Msg("the node hears nobody any more")
 }
@@ -192,28 +192,28 @@
 }
 
 // Send sends a message to the node that owns a number. It implements node.Peers.
-func (f *Fleet) Tell(number int, message node.Word) {
+func (f *Fleet) Send(number int, message node.PeerMessage) {
 	if f.messenger != nil {
 		f.messenger.Send(number, message)
 	}
 }
 
 // PushSent records that a push was sent. It implements node.Peers.
-func (f *Fleet) Sent(server policy.ServerID, category policy.CategoryID) {
+func (f *Fleet) PushSent(server policy.ServerID, category policy.CategoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.PushSent(f.clock.Now(), server, category)
 }
 
 // PushEnded records the outcome of a push and the time it took. It implements node.Peers.
-func (f *Fleet) Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
+func (f *Fleet) PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.detector.PushEnded(f.clock.Now(), server, category, outcome, took)
 }
 
 // ListChanged sets the list of servers. It implements node.Peers.
-func (f *Fleet) Follow(list []policy.Entry) {
+func (f *Fleet) ListChanged(list []policy.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
@@ -251,7 +251,7 @@
 
 // reportLoop assesses and sends reports at each tick.
 func (f *Fleet) reportLoop() {
-	ticker := time.NewTicker(f.clock.Real(reportInterval))
+	ticker := time.NewTicker(f.clock.RealDuration(reportInterval))
 	defer ticker.Stop()
 	payload := make([]byte, 0, transport.MaxPayload)
 	welcomed := make(map[transport.IncarnationID]bool) // members that were sent all reports after they joined
@@ -264,7 +264,7 @@
 		}
 		reports, fractions, changed := f.updateReports()
 		if changed {
-			f.node.Weigh(fractions)
+			f.node.SetWeightFactors(fractions)
 		}
 		peers := f.members.AlivePeers()
 		if len(peers) == 0 {
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -94,16 +94,16 @@
 	config.Logger = stdlog.New(debugWriter{log}, "", 0)
 	config.UDPBufferSize = transport.MaxPayload
 	config.EnableCompression = false // the messages are short
-	config.ProbeInterval = clock.Real(probeInterval)
-	config.ProbeTimeout = clock.Real(200 * time.Millisecond)
+	config.ProbeInterval = clock.RealDuration(probeInterval)
+	config.ProbeTimeout = clock.RealDuration(200 * time.Millisecond)
 	config.SuspicionMult = 3
 	config.SuspicionMaxTimeoutMult = 2
 	config.AwarenessMaxMultiplier = maxAwareness
-	config.GossipInterval = clock.Real(100 * time.Millisecond)
-	config.PushPullInterval = clock.Real(baseExchangeInterval)
-	config.TCPTimeout = clock.Real(2 * time.Second)
-	config.GossipToTheDeadTime = clock.Real(config.GossipToTheDeadTime)
-	config.QueueCheckInterval = clock.Real(config.QueueCheckInterval)
+	config.GossipInterval = clock.RealDuration(100 * time.Millisecond)
+	config.PushPullInterval = clock.RealDuration(baseExchangeInterval)
+	config.TCPTimeout = clock.RealDuration(2 * time.Second)
+	config.GossipToTheDeadTime = clock.RealDuration(config.GossipToTheDeadTime)
+	config.QueueCheckInterval = clock.RealDuration(config.QueueCheckInterval)
 	gossip, err := memberlist.Create(config)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -132,15 +132,15 @@
 		broadcast := &leaveBroadcast{incarnation: m.options.Self.Incarnation, sent: make(chan struct{})}
 		m.leaveBroadcasts.QueueBroadcast(broadcast)
 		// Members of versions without leave messages read the announcement from the metadata.
-		if err := m.gossip.UpdateNode(m.clock.Real(leaveTimeout)); err != nil {
+		if err := m.gossip.UpdateNode(m.clock.RealDuration(leaveTimeout)); err != nil {
 			m.log.Debug().Err(err).Msg("updated metadata did not reach all members before leaving")
 		}
-		if err := m.gossip.Leave(m.clock.Real(leaveTimeout)); err != nil {
+		if err := m.gossip.Leave(m.clock.RealDuration(leaveTimeout)); err != nil {
 			m.log.Debug().Err(err).Msg("the departure did not reach all members")
 		}
 		select {
 		case <-broadcast.sent:
-		case <-time.After(m.clock.Real(leaveTimeout)):
+		case <-time.After(m.clock.RealDuration(leaveTimeout)):
 		}
 	})
 }
@@ -233,7 +233,7 @@
 		select {
 		case <-m.done:
 			return
-		case <-time.After(m.clock.Real(delay)):
+		case <-time.After(m.clock.RealDuration(delay)):
 		}
 		m.mu.Lock()
 		m.table.Expire(m.clock.Now())
--- a/internal/fleet/words/messenger.go
+++ b/internal/fleet/words/messenger.go
@@ -22,7 +22,7 @@
 	// maxNodeNumbers bounds the node numbers that messages can be sent to.
 	maxNodeNumbers = 1 << 13
 
-	messageSize   = len(node.Word{})
+	messageSize   = len(node.PeerMessage{})
 	formatVersion = 1
 )
 
@@ -41,7 +41,7 @@
 
 // queue is a ring buffer of the messages to one node number.
 type queue struct {
-	messages [maxQueued]node.Word
+	messages [maxQueued]node.PeerMessage
 	first    int
 	length   int
 }
@@ -85,7 +85,7 @@
 }
 
 // Send queues a message to the node that owns a number. It does not block.
-func (m *Messenger) Send(number int, message node.Word) {
+func (m *Messenger) Send(number int, message node.PeerMessage) {
 	if number < 0 || number >= maxNodeNumbers {
 		return
 	}
--- a/internal/fleet/words/messenger_test.go
+++ b/internal/fleet/words/messenger_test.go
@@ -43,11 +43,11 @@
 	sender := Start(senderTransport, func(number int) (netip.AddrPort, bool) { return receiverAddr, number == 7 }, nil)
 	defer sender.Close()
 	for i := range 100 {
-		sender.Send(8, node.Word{byte(i)}) // has no owner
-		sender.Send(7, node.Word{byte(i), 1, 2})
+		sender.Send(8, node.PeerMessage{byte(i)}) // has no owner
+		sender.Send(7, node.PeerMessage{byte(i), 1, 2})
 	}
-	sender.Send(-1, node.Word{})
-	sender.Send(maxNodeNumbers, node.Word{})
+	sender.Send(-1, node.PeerMessage{})
+	sender.Send(maxNodeNumbers, node.PeerMessage{})
 	select {
 	case messages := <-received:
 		if len(messages) != maxQueued*messageSize || messages[0] != 100-maxQueued || messages[len(messages)-messageSize] != 99 {
--- a/internal/registry/recovery_test.go
+++ b/internal/registry/recovery_test.go
@@ -141,7 +141,7 @@
 func outage(t *testing.T, fail func(*http.Request) (*http.Response, error), autoWatch bool, down time.Duration, seed uint64) (took time.Duration, calls int) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
-		client := New(Options{AutoWatch: autoWatch, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+		client := New(Options{AutoWatch: autoWatch, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewBudget(4), zerolog.Nop())
 		var mu sync.Mutex
 		client.httpClient.Transport = roundTrip(func(request *http.Request) (*http.Response, error) {
 			mu.Lock()
@@ -207,7 +207,7 @@
 		time.AfterFunc(down, func() { back.Store(true) })
 		for i := range nodes {
 			clients.Go(func() {
-				client := New(Options{Addr: listener.Addr().String(), AutoWatch: i%2 == 0, BaseRetryDelay: time.Second, Seed: uint64(i)}, sockets.NewPart(4), zerolog.Nop())
+				client := New(Options{Addr: listener.Addr().String(), AutoWatch: i%2 == 0, BaseRetryDelay: time.Second, Seed: uint64(i)}, sockets.NewBudget(4), zerolog.Nop())
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				ended, reported := make(chan struct{}), make(chan bool, 1)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -101,8 +101,8 @@
 }
 
 // New returns a client whose connections are taken from the given socket budget.
-func New(options Options, part *sockets.Part, log zerolog.Logger) *Client {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Part: part}
+func New(options Options, part *sockets.Budget, log zerolog.Logger) *Client {
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Budget: part}
 	c := &Client{
 		options:       options,
 		log:           log,
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -63,7 +63,7 @@
 	}))
 	defer server.Close()
 	defer close(releaseWatch)
-	socketShare := sockets.NewPart(4)
+	socketShare := sockets.NewBudget(4)
 	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, socketShare, zerolog.Nop())
 	if keepOpen {
 		client.maxSilence = 100 * time.Millisecond
@@ -190,7 +190,7 @@
 	down := httptest.NewServer(nil)
 	down.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	client := New(Options{Addr: "127.0.0.1:1"}, sockets.NewPart(4), zerolog.Nop())
+	client := New(Options{Addr: "127.0.0.1:1"}, sockets.NewBudget(4), zerolog.Nop())
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
@@ -223,7 +223,7 @@
 		fmt.Fprintln(w, listLine(7, true))
 	}))
 	defer server.Close()
-	socketShare := sockets.NewPart(4)
+	socketShare := sockets.NewBudget(4)
 	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, socketShare,
 		zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -257,7 +257,7 @@
 		for seed := range uint64(2) {
 			started := time.Now()
 			watches := 0
-			client := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+			client := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewBudget(4), zerolog.Nop())
 			client.httpClient.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
 				starts[seed] = append(starts[seed], time.Since(started))
 				if watches++; watches == answered {
@@ -298,7 +298,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	client := New(Options{Addr: listener.Addr().String(), AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace}, sockets.NewPart(4), zerolog.Nop())
+	client := New(Options{Addr: listener.Addr().String(), AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace}, sockets.NewBudget(4), zerolog.Nop())
 	lists := make(chan *node.List, 64)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	serverPool := servers.New(p.serverOptions(c), serverSockets, log.With().Str("part", "servers").Logger(), actor.Ended)
+	serverPool := servers.New(p.serverOptions(c), serverSockets, log.With().Str("part", "servers").Logger(), actor.PushEnded)
 	clientServer, err := clients.Listen(c.Listen, clientOptions(c, 0), clientSockets, actor, clock,
 		log.With().Str("part", "clients").Logger())
 	if err != nil {
@@ -141,7 +141,7 @@
 	actor.Start(serverPool, registryClient, cachedList)
 	actorEnded := make(chan error, 1)
 	go func() { actorEnded <- actor.Run(runCtx) }()
-	go registryClient.Run(runCtx, actor.Listed)
+	go registryClient.Run(runCtx, actor.ListReceived)
 	if err := p.startFleet(c); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -202,11 +202,11 @@
 		c.Rules.Topology.Peers = false
 	}
 	generation := &node.Generation{Options: node.Options{
-		MostOpen: min(p.maxPendingOps, c.MaxPendingOps),
-		Slack:    c.AnswerSlack,
+		MaxPendingOps: min(p.maxPendingOps, c.MaxPendingOps),
+		AnswerSlack:   c.AnswerSlack,
 	}}
 	if p.AdjustAnswerSlack != nil {
-		generation.Options.Slack = p.AdjustAnswerSlack(generation.Options.Slack)
+		generation.Options.AnswerSlack = p.AdjustAnswerSlack(generation.Options.AnswerSlack)
 	}
 	if p.NewDecider == nil {
 		generation.Module = c.Rules.NewNode(c.Seed)
@@ -220,18 +220,18 @@
 // serverOptions returns the options of the server pool under a configuration.
 func (p *process) serverOptions(c *config.Config) servers.Options {
 	return servers.Options{
-		Dial:      config.Duration(c.Rules.PushLimits.Dial),
-		IdleClose: c.ServerIdleTimeout,
-		MostOut:   p.maxOpsWithPushes * c.Rules.PushLimits.Max,
+		DialTimeout:       config.Duration(c.Rules.PushLimits.Dial),
+		ServerIdleTimeout: c.ServerIdleTimeout,
+		MaxInFlight:       p.maxOpsWithPushes * c.Rules.PushLimits.Max,
 	}
 }
 
 // clientOptions returns the options for clients under a configuration and its generation.
 func clientOptions(c *config.Config, generation int) clients.Options {
-	options := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
+	options := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
 	for _, category := range c.Rules.Categories {
-		options.Repeats = append(options.Repeats, category.Repeat)
-		options.Longest = max(options.Longest, config.Duration(category.TTL))
+		options.DeliverySemantics = append(options.DeliverySemantics, category.Repeat)
+		options.MaxTTL = max(options.MaxTTL, config.Duration(category.TTL))
 	}
 	return options
 }
@@ -302,19 +302,19 @@
 	if err != nil {
 		return err
 	}
-	generation.Apply = func() { p.serverPool.Use(p.serverOptions(next)) }
+	generation.Apply = func() { p.serverPool.SetOptions(p.serverOptions(next)) }
 	number, err := p.actor.Switch(generation)
 	if err != nil {
 		return err
 	}
 	p.registry.SetAutoWatch(!next.Rules.Registry.Ask, config.Duration(next.Rules.DrainGrace))
-	p.clientServer.Use(clientOptions(next, number))
+	p.clientServer.SetOptions(clientOptions(next, number))
 	return nil
 }
 
 // CheckConfig checks what config.Load does not: the cached server list.
 func CheckConfig(c *config.Config) error {
-	client := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewPart(1), zerolog.Nop())
+	client := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewBudget(1), zerolog.Nop())
 	_, err := client.LoadCached(c.CachedList)
 	return err
 }
--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -33,7 +33,7 @@
 		Log:    p.log.With().Str("part", "store").Logger(),
 		Install: func(c *config.Config) error {
 			err := p.install(c)
-			if errors.Is(err, node.ErrTooManySwitches) {
+			if errors.Is(err, node.ErrTooManyGenerations) {
 				err = errors.Join(apply.ErrBusy, err)
 			}
 			return err
