--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -39,7 +39,7 @@
 		"older news keeps fresher out":         {"judged/judged.go", "!b.makeRoom(k.at)", "true", "internal/fleet/judged", "TestBounds"},
 
 		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
-		"the kernel is not asked for the client":   {"../node/op.go", "if o.Client.Left() {", "if false {", "internal/node", "TestKeptBack"},
+		"the kernel is not asked for the client":   {"../node/op.go", "if o.Client.Disconnected() {", "if false {", "internal/node", "TestKeptBack"},
 		"a client counts as there for long":        {"../node/op.go", "askAfter = 10", "askAfter = 110", "internal/node", "TestKeptBack"},
 		"a hung call is waited for alone":          {"../registry/registry.go", "if out < 2 {", "if out < 1 {", "internal/registry", "TestToldOnceBack$"},
 		"nobody asks where the module does not":    {"../registry/registry.go", "case <-time.After(wait):\n\t\tr.Watch()", "case <-time.After(wait):\n\t\tif r.unasked.Load() {\n\t\t\tr.Watch()\n\t\t}", "internal/registry", "TestToldOnceBackOnSockets"},
@@ -52,7 +52,7 @@
 		"unsent pushes outlive their op":           {"../node/node.go", "if !push.ended {\n\t\t\tpush.keepBack()", "if false {\n\t\t\tpush.keepBack()", "internal/node", "TestKeptBack"},
 		"a drain calls nothing back":               {"../node/node.go", "n.callBack(before)\n", "_ = before\n", "internal/node", "TestKeptBack"},
 		"ops in hand outlive the process":          {"../node/node.go", "!op.settled {\n\t\t\tn.bound(op)", "!op.settled {\n\t\t\t_ = op", "internal/node", "TestKeptBack"},
-		"a push begins whatever it says":           {"../servers/conn.go", "!c.push.Begin()", "!c.push.Begin() && false", "internal/servers", "TestLeavesBeforeTheFirstByte"},
+		"a push begins whatever it says":           {"../servers/conn.go", "!c.push.TryBegin()", "!c.push.TryBegin() && false", "internal/servers", "TestLeavesBeforeTheFirstByte"},
 		"an answer before a break is not seen":     {"../servers/conn.go", "c.raw); unread {", "c.raw); unread && false {", "internal/servers", "TestAnsweredAndWriteFailsFirst"},
 		"what was answered counts as never run":    {"../servers/peer.go", "!c.replied() && (", "(", "internal/servers", "TestAnsweredBeforeTheWhole"},
 		"a client that left is taken":              {"../clients/clients.go", "h.ended || !c.take() {", "!c.take() {", "internal/clients", "TestLeftInBacklog"},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -82,7 +82,7 @@
 	f.book, f.own = judged.NewBook(judged.SourceID(life), zone), judged.NewLog()
 	var err error
 	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Life: life, Pace: c.Fleet.Pace,
-		Slow: int(clock.Real(1))},
+		Slow: int(clock.RealDuration(1))},
 		log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
@@ -97,7 +97,7 @@
 		f.transport.Handle(transport.Judgements, f.hear)
 	}
 	if c.Fleet.Words && c.Rules.Place.Peers {
-		f.words = words.Start(f.transport, f.holder, n.Said)
+		f.words = words.Start(f.transport, f.holder, n.PeerMessagesReceived)
 	}
 	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
 	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Place.Nodes, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
@@ -110,7 +110,7 @@
 	if c.Fleet.Judged {
 		f.over.Go(f.judge)
 	}
-	n.Peer(f)
+	n.SetPeers(f)
 	if f.control != nil {
 		f.control.serve()
 	}
@@ -124,7 +124,7 @@
 
 // Close ends it all: the node hears nobody, and what it was told of servers is forgotten.
 func (f *Fleet) Close() {
-	f.node.Peer(nil)
+	f.node.SetPeers(nil)
 	f.end()
 	f.log.Info().Msg("the node hears nobody any more")
 }
@@ -177,25 +177,25 @@
 }
 
 // Tell, Ended and Follow are node.Peers.
-func (f *Fleet) Tell(number int, word node.Word) {
+func (f *Fleet) Send(number int, word node.PeerMessage) {
 	if f.words != nil {
 		f.words.Tell(number, word)
 	}
 }
 
-func (f *Fleet) Sent(server policy.ServerID, category policy.CategoryID) {
+func (f *Fleet) PushSent(server policy.ServerID, category policy.CategoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.own.Sent(f.clock.Now(), server, category)
 }
 
-func (f *Fleet) Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
+func (f *Fleet) PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.own.Ended(f.clock.Now(), server, category, outcome, took)
 }
 
-func (f *Fleet) Follow(list []policy.Entry) {
+func (f *Fleet) ListChanged(list []policy.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
@@ -232,7 +232,7 @@
 
 // judge is the beat of judgements.
 func (f *Fleet) judge() {
-	ticker := time.NewTicker(f.clock.Real(judgeEvery))
+	ticker := time.NewTicker(f.clock.RealDuration(judgeEvery))
 	defer ticker.Stop()
 	payload := make([]byte, 0, transport.MostPayload)
 	told := make(map[transport.LifeID]bool) // those who were told all when they came
@@ -245,7 +245,7 @@
 		}
 		reports, parts, changed := f.beat()
 		if changed {
-			f.node.Weigh(parts)
+			f.node.SetWeightFactors(parts)
 		}
 		others := f.members.There()
 		if len(others) == 0 {
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -87,13 +87,13 @@
 	config.Logger = stdlog.New(quiet{log}, "", 0)
 	config.UDPBufferSize = transport.MostPayload
 	config.EnableCompression = false // what is told is short
-	config.ProbeInterval, config.ProbeTimeout = clock.Real(probeEvery), clock.Real(200*time.Millisecond)
+	config.ProbeInterval, config.ProbeTimeout = clock.RealDuration(probeEvery), clock.RealDuration(200*time.Millisecond)
 	config.SuspicionMult, config.SuspicionMaxTimeoutMult = 3, 2
 	config.AwarenessMaxMultiplier = mostAwareness
-	config.GossipInterval = clock.Real(100 * time.Millisecond)
-	config.PushPullInterval = clock.Real(exchangeEvery)
-	config.TCPTimeout = clock.Real(2 * time.Second)
-	config.GossipToTheDeadTime, config.QueueCheckInterval = clock.Real(config.GossipToTheDeadTime), clock.Real(config.QueueCheckInterval)
+	config.GossipInterval = clock.RealDuration(100 * time.Millisecond)
+	config.PushPullInterval = clock.RealDuration(exchangeEvery)
+	config.TCPTimeout = clock.RealDuration(2 * time.Second)
+	config.GossipToTheDeadTime, config.QueueCheckInterval = clock.RealDuration(config.GossipToTheDeadTime), clock.RealDuration(config.QueueCheckInterval)
 	list, err := memberlist.Create(config)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -119,15 +119,15 @@
 		m.leaves.Store(true)
 		word := &leaving{life: m.options.Own.Life, told: make(chan struct{})}
 		m.leaving.QueueBroadcast(word)
-		if err := m.list.UpdateNode(m.clock.Real(leaveWait)); err != nil { // members of versions that know no such word go by what it tells of itself
+		if err := m.list.UpdateNode(m.clock.RealDuration(leaveWait)); err != nil { // members of versions that know no such word go by what it tells of itself
 			m.log.Debug().Err(err).Msg("that the node leaves was not told to all")
 		}
-		if err := m.list.Leave(m.clock.Real(leaveWait)); err != nil {
+		if err := m.list.Leave(m.clock.RealDuration(leaveWait)); err != nil {
 			m.log.Debug().Err(err).Msg("leaving was not told to all")
 		}
 		select {
 		case <-word.told:
-		case <-time.After(m.clock.Real(leaveWait)):
+		case <-time.After(m.clock.RealDuration(leaveWait)):
 		}
 	})
 }
@@ -219,7 +219,7 @@
 		select {
 		case <-m.done:
 			return
-		case <-time.After(m.clock.Real(wait)):
+		case <-time.After(m.clock.RealDuration(wait)):
 		}
 		m.mu.Lock()
 		m.table.Forget(m.clock.Now())
--- a/internal/fleet/words/words.go
+++ b/internal/fleet/words/words.go
@@ -21,7 +21,7 @@
 	// mostNumbers is the highest number that words go to.
 	mostNumbers = 1 << 13
 
-	wordLen     = len(node.Word{})
+	wordLen     = len(node.PeerMessage{})
 	formVersion = 1
 )
 
@@ -40,7 +40,7 @@
 
 // queue holds the words for one number.
 type queue struct {
-	words [mostQueued]node.Word
+	words [mostQueued]node.PeerMessage
 	first int
 	n     int
 }
@@ -83,7 +83,7 @@
 }
 
 // Tell queues a word. It does not wait.
-func (s *Words) Tell(number int, word node.Word) {
+func (s *Words) Tell(number int, word node.PeerMessage) {
 	if number < 0 || number >= mostNumbers {
 		return
 	}
--- a/internal/fleet/words/words_test.go
+++ b/internal/fleet/words/words_test.go
@@ -42,11 +42,11 @@
 	s := Start(a, func(number int) (netip.AddrPort, bool) { return to, number == 7 }, nil)
 	defer s.Close()
 	for i := range 100 {
-		s.Tell(8, node.Word{byte(i)}) // nobody
-		s.Tell(7, node.Word{byte(i), 1, 2})
+		s.Tell(8, node.PeerMessage{byte(i)}) // nobody
+		s.Tell(7, node.PeerMessage{byte(i), 1, 2})
 	}
-	s.Tell(-1, node.Word{})
-	s.Tell(mostNumbers, node.Word{})
+	s.Tell(-1, node.PeerMessage{})
+	s.Tell(mostNumbers, node.PeerMessage{})
 	select {
 	case said := <-got:
 		if len(said) != mostQueued*wordLen || said[0] != 100-mostQueued || said[len(said)-wordLen] != 99 {
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -60,7 +60,7 @@
 			return p, err
 		}
 		r := registry.New(registry.Options{Addr: addr, Zones: words.Zones, Kinds: words.Kinds, Unasked: true, Again: time.Second, Grace: drainGrace, Seed: seed + uint64(i)},
-			sockets.NewPart(4), zerolog.Nop())
+			sockets.NewBudget(4), zerolog.Nop())
 		over.Go(func() {
 			r.Run(follow, func(l *node.List) {
 				now := time.Now()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -79,8 +79,8 @@
 }
 
 // New makes the actor.
-func New(options Options, part *sockets.Part, log zerolog.Logger) *Registry {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialWait}, Part: part}
+func New(options Options, part *sockets.Budget, log zerolog.Logger) *Registry {
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialWait}, Budget: part}
 	r := &Registry{options: options, log: log, names: newNames(options.Zones, options.Kinds),
 		asked: make(chan struct{}, 1), moved: make(chan string, 1), silence: mostSilence, hurry: hurry,
 		rng: rand.New(rand.NewSource(int64(options.Seed))),
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	pool := servers.New(r.toServers(c), forServers, log.With().Str("part", "servers").Logger(), actor.Ended)
+	pool := servers.New(r.toServers(c), forServers, log.With().Str("part", "servers").Logger(), actor.PushEnded)
 	front, err := clients.Listen(c.Listen, toClients(c, 0), forClients, actor, clock,
 		log.With().Str("part", "clients").Logger())
 	if err != nil {
@@ -113,7 +113,7 @@
 	actor.Start(pool, list, known)
 	worked := make(chan error, 1)
 	go func() { worked <- actor.Run(working) }()
-	go list.Run(working, actor.Listed)
+	go list.Run(working, actor.ListReceived)
 	if err := r.hearOthers(c); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -171,9 +171,9 @@
 		r.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
 		c.Rules.Place.Peers = false
 	}
-	g := &node.Generation{Options: node.Options{MostOpen: min(r.mostOpen, c.MostOpen), Slack: c.AnswerSlack}}
+	g := &node.Generation{Options: node.Options{MaxPendingOps: min(r.mostOpen, c.MostOpen), AnswerSlack: c.AnswerSlack}}
 	if r.Slack != nil {
-		g.Options.Slack = r.Slack(g.Options.Slack)
+		g.Options.AnswerSlack = r.Slack(g.Options.AnswerSlack)
 	}
 	if r.Decider == nil {
 		g.Module = c.Rules.NewNode(c.Seed)
@@ -185,14 +185,14 @@
 }
 
 func (r *running) toServers(c *config.Config) servers.Options {
-	return servers.Options{Dial: config.Duration(c.Rules.Push.Dial), IdleClose: c.IdleClose, MostOut: r.mostOut * c.Rules.Push.Max}
+	return servers.Options{DialTimeout: config.Duration(c.Rules.Push.Dial), ServerIdleTimeout: c.IdleClose, MaxInFlight: r.mostOut * c.Rules.Push.Max}
 }
 
 func toClients(c *config.Config, generation int) clients.Options {
-	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
+	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
 	for _, category := range c.Rules.Categories {
-		o.Repeats = append(o.Repeats, category.Repeat)
-		o.Longest = max(o.Longest, config.Duration(category.TTL))
+		o.DeliverySemantics = append(o.DeliverySemantics, category.Repeat)
+		o.MaxTTL = max(o.MaxTTL, config.Duration(category.TTL))
 	}
 	return o
 }
@@ -262,19 +262,19 @@
 	if err != nil {
 		return err
 	}
-	g.Apply = func() { r.pool.Use(r.toServers(next)) }
+	g.Apply = func() { r.pool.SetOptions(r.toServers(next)) }
 	number, err := r.actor.Switch(g)
 	if err != nil {
 		return err
 	}
 	r.list.Unasked(!next.Rules.Registry.Ask, config.Duration(next.Rules.Grace))
-	r.front.Use(toClients(next, number))
+	r.front.SetOptions(toClients(next, number))
 	return nil
 }
 
 // Check says what is wrong with a configuration beyond what reading it shows: the list that it starts with.
 func Check(c *config.Config) error {
-	list := registry.New(registry.Options{Zones: c.Names.Zones, Kinds: c.Names.Kinds}, sockets.NewPart(1), zerolog.Nop())
+	list := registry.New(registry.Options{Zones: c.Names.Zones, Kinds: c.Names.Kinds}, sockets.NewBudget(1), zerolog.Nop())
 	_, err := list.Known(c.Known)
 	return err
 }
