--- a/internal/node/generation.go
+++ b/internal/node/generation.go
@@ -9,71 +9,75 @@
 )
 
 const (
-	// mostGenerations stand at a time. Danger: settings that come faster than ops end would fill the memory.
-	mostGenerations = 16
-	// readWait is how long a generation stays for requests that are still being read by its categories.
-	readWait = 5 * policy.Second
+	// maxGenerations is how many generations may be in use at a time. Without a limit, settings that change faster than
+	// ops end would fill the memory.
+	maxGenerations = 16
+	// requestReadTimeout is how long a replaced generation is kept for requests that are being read with its categories.
+	requestReadTimeout = 5 * policy.Second
 )
 
-var errStopped = errors.New("the node ends")
+var errStopped = errors.New("node has stopped")
 
-// ErrTooManySwitches says that there is no room for other settings until ops of earlier ones have ended.
+// ErrTooManyGenerations means that the settings cannot change again until ops of earlier generations have ended.
 var ErrTooManyGenerations = errors.New("too many settings still have ops in hand")
 
-// Generation is the module as one set of settings made it. Ops end under the generation that took them: its
-// categories, its timers, its rules. The newest takes what comes; an older one gets lists and what ends, and goes
-// with its last op.
+// Generation is a module created from one set of settings. An op ends under the generation that admitted it, with that
+// generation's categories, timers and rules. The newest generation admits ops; an older one still receives server lists
+// and the ends of its pushes, and is removed after its last op.
 type Generation struct {
 	Options Options
 	Module  policy.Decider
-	Apply   func() // what else goes by these settings; the actor calls it at the switch
+	Apply   func() // switches everything else that uses these settings; called by the actor; may be nil
 
-	number int           // 0 is the one that the node began with
-	ops    int           // in hand
-	until  policy.Micros // it stays for requests being read; 0: it is the newest
-	over   bool
+	number      int           // 0 is the generation that the node started with
+	opCount     int           // ops that have not been removed
+	retainUntil policy.Micros // kept until then for requests being read; 0: it is the newest
+	retired     bool
 }
 
-type switched struct {
-	next *Generation
-	done chan switchedTo // holds one: the actor does not wait
+// switchRequest asks the actor to switch to another generation.
+type switchRequest struct {
+	next   *Generation
+	result chan switchResult // buffered, so that the actor does not block
 }
 
-type switchedTo struct {
+type switchResult struct {
 	number int
 	err    error
 }
 
-// Switch lets what comes from now on go by the next generation, and gives its number, which ops that were read by
-// its settings bear.
+// Switch makes next the generation that admits new ops and returns its number, which ops that are read with its settings
+// carry. It waits for the actor.
 func (n *Node) Switch(next *Generation) (number int, err error) {
-	m := switched{next, make(chan switchedTo, 1)}
-	n.send(m)
-	done := <-m.done
-	return done.number, done.err
+	request := switchRequest{next, make(chan switchResult, 1)}
+	n.post(request)
+	result := <-request.result
+	return result.number, result.err
 }
 
-func (n *Node) switchTo(m switched) {
-	n.retire()
-	if len(n.generations) >= mostGenerations {
-		m.done <- switchedTo{0, fmt.Errorf("%w: %d generations", ErrTooManyGenerations, len(n.generations))}
+// switchGeneration appends the requested generation, unless too many are in use, and gives it the full list.
+func (n *Node) switchGeneration(request switchRequest) {
+	n.retireGenerations()
+	if len(n.generations) >= maxGenerations {
+		request.result <- switchResult{0, fmt.Errorf("%w: %d generations", ErrTooManyGenerations, len(n.generations))}
 		return
 	}
-	n.newest().until = max(1, n.clock.Now()+readWait)
-	n.timers.set(n.newest().until, n.retire)
-	m.next.number = n.newest().number + 1
-	n.generations = append(n.generations, m.next)
-	if m.next.Apply != nil {
-		m.next.Apply()
+	n.newestGeneration().retainUntil = max(1, n.clock.Now()+requestReadTimeout)
+	n.timers.set(n.newestGeneration().retainUntil, n.retireGenerations)
+	request.next.number = n.newestGeneration().number + 1
+	n.generations = append(n.generations, request.next)
+	if request.next.Apply != nil {
+		request.next.Apply()
 	}
-	n.step(m.next, &policy.Input{Kind: policy.ListCame, Form: policy.ListCached, List: n.partly(n.list)})
-	n.log.Info().Int("generation", m.next.number).Int("in hand before", n.open).Msg("new settings")
-	m.done <- switchedTo{m.next.number, nil}
+	n.step(request.next, &policy.Input{Kind: policy.ListCame, Form: policy.ListCached, List: n.reweighted(n.list)})
+	n.log.Info().Int("generation", request.next.number).Int("in hand before", n.pendingOps).Msg("new settings")
+	request.result <- switchResult{request.next.number, nil}
 }
 
-func (n *Node) newest() *Generation { return n.generations[len(n.generations)-1] }
+func (n *Node) newestGeneration() *Generation { return n.generations[len(n.generations)-1] }
 
-// generation finds the one that read an op. A request that was read for longer than any may be finds none.
+// generation returns the generation with a number, or nil if it was removed, as for a request that took longer to read
+// than requestReadTimeout.
 func (n *Node) generation(number int) *Generation {
 	i := slices.IndexFunc(n.generations, func(g *Generation) bool { return g.number == number })
 	if i < 0 {
@@ -82,41 +86,41 @@
 	return n.generations[i]
 }
 
-// retire lets older generations go that have no op in hand and that no request may still come for.
-func (n *Node) retire() {
+// retireGenerations removes the older generations that have no op left and that no request can still refer to.
+func (n *Node) retireGenerations() {
 	n.generations = slices.DeleteFunc(n.generations, func(g *Generation) bool {
-		g.over = g.ops == 0 && g.until > 0 && n.clock.Now() >= g.until
-		if g.over {
+		g.retired = g.opCount == 0 && g.retainUntil > 0 && n.clock.Now() >= g.retainUntil
+		if g.retired {
 			n.log.Info().Int("generation", g.number).Msg("older settings are out of use")
 		}
-		return g.over
+		return g.retired
 	})
 }
 
-// keep holds the list as it now is, for the next generation. Danger: an old list may come again, whole, and would make a
-// cold server seem warm to a module that has not seen its start.
-func (n *Node) keep(list *List) {
+// mergeList updates the full list, which the next generation receives. A server keeps its latest start time: an outdated
+// full list may be received again, and would make a cold server look warm to a module that has not seen its restart.
+func (n *Node) mergeList(list *List) {
 	if list.Form == policy.ListFailed {
 		return
 	}
-	held := make(map[policy.ServerID]int, len(n.list))
+	indexes := make(map[policy.ServerID]int, len(n.list))
 	for i, e := range n.list {
-		held[e.Server] = i
+		indexes[e.Server] = i
 	}
-	var next []policy.Entry
+	var merged []policy.Entry
 	if list.Form == policy.ListChanges {
-		next = n.list
+		merged = n.list
 	}
 	for _, e := range list.Entries {
-		i, found := held[e.Server]
+		i, found := indexes[e.Server]
 		if found {
 			e.Started = max(e.Started, n.list[i].Started)
 		}
 		if found && list.Form == policy.ListChanges {
-			next[i] = e
+			merged[i] = e
 		} else {
-			next = append(next, e)
+			merged = append(merged, e)
 		}
 	}
-	n.list = slices.DeleteFunc(next, func(e policy.Entry) bool { return e.State == policy.Gone })
+	n.list = slices.DeleteFunc(merged, func(e policy.Entry) bool { return e.State == policy.Gone })
 }
--- a/internal/node/generation_test.go
+++ b/internal/node/generation_test.go
@@ -10,80 +10,89 @@
 	"canvasrouter/policy"
 )
 
-// An op ends under the settings that took it, what comes later goes by the new ones, and a drain binds both; the older
-// go once their last op has ended and no request that they read can still come.
+// TestSwitch checks that an op ends under the generation that admitted it, that later ops use the new one, and that both get
+// server lists. The older generation is removed once its last op has ended and no request can refer to it any more.
 func TestSwitch(t *testing.T) {
-	pushAll := func(in *policy.Input) []policy.Effect {
+	pushEveryOp := func(in *policy.Input) []policy.Effect {
 		if in.Kind == policy.OpArrived {
 			return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7}}
 		}
 		return nil
 	}
-	got := play(t, 10, pushAll, func(r *rig) {
+	got := runScenario(t, 10, pushEveryOp, func(r *harness) {
 		r.ListReceived(&List{Form: policy.ListWhole, Entries: []policy.Entry{{Server: 7, Started: 5}}, Addrs: []string{"a"}})
-		first := r.take()
-		next := &Generation{Options: Options{MaxPendingOps: 10, AnswerSlack: policy.Second}, Module: &module{
-			note: func(line string) { r.note("new: " + line) }, script: pushAll}}
+		first := r.submitOp()
+		next := &Generation{
+			Options: Options{MaxPendingOps: 10, AnswerSlack: policy.Second},
+			Module:  &fakeModule{record: func(line string) { r.record("new: " + line) }, script: pushEveryOp},
+		}
 		number, err := r.Switch(next)
 		if number != 1 || err != nil {
 			t.Errorf("switch: number %d, %v", number, err)
 		}
 		second := NewOp()
-		second.GenerationNumber, second.Deadline = 1, r.clock.Now()+policy.Second
+		second.GenerationNumber = 1
+		second.Deadline = r.clock.Now() + policy.Second
 		second.Body, _ = ReadPayload(strings.NewReader(""), -1)
 		r.Submit(second)
 		r.ListReceived(&List{Form: policy.ListChanges, Entries: []policy.Entry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
-		after(1)
-		r.end(0, policy.Acked)
-		r.end(1, policy.Acked)
-		r.answer(first)
-		r.answer(second)
-		after(6000)
-		third := r.take() // read by settings that nobody goes by any more
-		r.answer(third)
+		advance(1)
+		r.finishPush(0, policy.Acked)
+		r.finishPush(1, policy.Acked)
+		r.recordAnswer(first)
+		r.recordAnswer(second)
+		advance(6000)
+		third := r.submitOp() // read with settings of a removed generation
+		r.recordAnswer(third)
 	})
-	ended := "module: ended push 0 acked after 1 ms settled true"
+	firstEnded := "module: ended push 0 acked after 1 ms settled true"
 	want := []string{"module: list", "module: arrived", "new: module: list", "new: module: arrived", "module: list",
-		"new: module: list", ended, "new: " + ended, "client: acked fine", "client: acked fine", "client: nacked"}
+		"new: module: list", firstEnded, "new: " + firstEnded, "client: acked fine", "client: acked fine", "client: nacked"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Settings that come faster than ops end are refused; what stands goes on, and none is left over once the ops have ended.
-func TestTooManySwitches(t *testing.T) {
-	play(t, 10, func(*policy.Input) []policy.Effect { return nil }, func(r *rig) {
+// TestTooManyGenerations checks that settings that change faster than ops end are refused, and that only the newest generation
+// remains once the ops have ended.
+func TestTooManyGenerations(t *testing.T) {
+	runScenario(t, 10, func(*policy.Input) []policy.Effect { return nil }, func(r *harness) {
 		refused := 0
-		for range 3 * mostGenerations {
-			next := &Generation{Options: Options{MaxPendingOps: 10}, Module: &module{note: func(string) {},
-				script: func(*policy.Input) []policy.Effect { return nil }}}
+		for range 3 * maxGenerations {
+			next := &Generation{
+				Options: Options{MaxPendingOps: 10},
+				Module: &fakeModule{
+					record: func(string) {},
+					script: func(*policy.Input) []policy.Effect { return nil },
+				},
+			}
 			if _, err := r.Switch(next); err != nil {
 				refused++
 			}
 		}
-		if refused != 2*mostGenerations+1 {
-			t.Errorf("%d of %d refused", refused, 3*mostGenerations)
+		if refused != 2*maxGenerations+1 {
+			t.Errorf("%d of %d switches refused", refused, 3*maxGenerations)
 		}
-		after(6000)
+		advance(6000)
 		if len(r.generations) != 1 {
-			t.Errorf("%d generations are left", len(r.generations))
+			t.Errorf("%d generations remain", len(r.generations))
 		}
 	})
 }
 
-// A switch that comes behind the actor's end is told so; nobody waits for ever.
-func TestSwitchAtTheEnd(t *testing.T) {
-	n := New(Options{}, &module{}, NewClock(), zerolog.Nop())
+// TestSwitchAfterStop checks that a switch after the actor has stopped fails instead of blocking.
+func TestSwitchAfterStop(t *testing.T) {
+	n := New(Options{}, &fakeModule{}, NewClock(), zerolog.Nop())
 	n.stop()
 	if _, err := n.Switch(&Generation{}); err != errStopped {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v", err)
 	}
 }
 
-// Danger: the next generation gets the list in hand. An old list that comes again, whole, must not make a server that has started
-// since seem warm to it, and what left stays out.
-func TestKeep(t *testing.T) {
-	n := New(Options{}, &module{}, NewClock(), zerolog.Nop())
+// TestMergeList checks the list that the next generation receives. An outdated full list must not undo a server's restart,
+// which would make the cold server look warm, and removed servers stay removed.
+func TestMergeList(t *testing.T) {
+	n := New(Options{}, &fakeModule{}, NewClock(), zerolog.Nop())
 	entry := func(server, started int, state policy.ServerState) policy.Entry {
 		return policy.Entry{Server: policy.ServerID(server), Started: policy.Micros(started), State: state}
 	}
@@ -94,7 +103,7 @@
 		{Form: policy.ListChanges, Entries: []policy.Entry{entry(3, 0, policy.Draining), entry(9, 0, policy.Gone)}},
 		{Form: policy.ListWhole, Entries: []policy.Entry{entry(1, 0, policy.Ready), entry(4, 0, policy.Ready)}},
 	} {
-		n.keep(&list)
+		n.mergeList(&list)
 		want := [][]policy.Entry{
 			{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)},
 			{entry(1, 7, policy.Ready), entry(3, 0, policy.Ready)},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,9 @@
-// Package node is the module's actor: it alone calls Step and alone settles an op. It decides nothing.
+// Package node runs a node's actor, the one goroutine that calls the module (a policy.Decider) and settles ops. It keeps
+// the state that the module's decisions apply to and carries the decisions out; it makes no decision itself.
 //
-// Clients' and servers' sides write to its mailbox and may wait there; the actor never waits for them. An op's
-// answer has a place of its own, and pushes and watches are handed over without waiting.
+// The client side, the server side and the registry post messages to the actor's mailbox and block while it is full. The
+// actor never blocks on them: each op has a buffered channel for its answer, and pushes and registry watches are handed
+// over without waiting.
 package node
 
 import (
@@ -17,104 +19,115 @@
 	"canvasrouter/policy"
 )
 
-// mailbox is how many messages may stand before the actor. A writer that finds it full waits; it is a goroutine
-// of one op or one push, and holds up nothing else.
-const mailbox = 256
+// mailboxSize is the capacity of the actor's mailbox, in messages. A sender that finds the mailbox full blocks; it is the
+// goroutine of a single op or push, so nothing else is delayed.
+const mailboxSize = 256
 
 const (
-	late = 5 * policy.Millisecond // a timer due for longer says that the process had to wait
-	rest = time.Millisecond       // in which the other goroutines read what has come meanwhile
+	lateTimerThreshold = 5 * policy.Millisecond // a timer overdue by more means that the process was not scheduled
+	catchUpDelay       = time.Millisecond       // lets other goroutines read what arrived in the meantime
 )
 
-// Options are the actor's few settings.
+// Options are the settings of the actor.
 type Options struct {
-	MaxPendingOps int           // ops in hand and not settled
-	AnswerSlack   policy.Micros // past the client's wait, in which a final answer still counts
+	MaxPendingOps int           // ops not yet settled
+	AnswerSlack   policy.Micros // time after an op's deadline in which a final answer still counts
 }
 
-// Node is the actor.
+// Node is the actor of one node. All of its state belongs to the goroutine that calls Run, or to the caller of RunPending.
 type Node struct {
 	clock    *Clock
 	servers  Servers
 	registry Registry
 	log      zerolog.Logger
-	mail     chan any
+	mailbox  chan any
 	stopped  chan struct{}
 
-	generations []*Generation // the newest is last
-	list        []policy.Entry
-	peers       Peers                       // nil: the node hears nobody
-	parts       map[policy.ServerID]float64 // of servers' weights, by others' judgement; absent: whole
-
-	ops     map[policy.OpID]*Op
-	open    int           // of them not settled
-	excess  int           // nacked for want of sockets since that was
-	told    policy.Micros // in the log
-	until   policy.Micros // every op is answered by then; 0: the process goes on
-	last    policy.OpID
-	now     policy.Micros // of the last step
-	timers  timers
-	pending []policy.Input // that effects made; the module is not called inside its own effects
+	generations   []*Generation // oldest first
+	list          []policy.Entry
+	peers         Peers                       // nil: no peer messaging
+	weightFactors map[policy.ServerID]float64 // remaining fraction of a server's weight after the peers' reports; absent: 1
+
+	ops               map[policy.OpID]*Op
+	pendingOps        int // ops not yet settled
+	rejectedOps       int // nacked over the limit since the last log line about it
+	rejectionLoggedAt policy.Micros
+	shutdownDeadline  policy.Micros // every op is answered by then; 0: no shutdown is planned
+	lastOpID          policy.OpID
+	stepTime          policy.Micros // time of the latest step; never decreases
+	timers            timerQueue
+	pendingInputs     []policy.Input // produced by effects; delivered after them, so that the module is not reentered
 }
 
+// Messages to the actor. A *List is one too.
 type (
-	arrived struct{ op *Op }
-	left    struct{ op *Op }
-	endBy   struct{ at policy.Micros }
-	ended   struct {
+	opSubmitted         struct{ op *Op }
+	opAbandoned         struct{ op *Op }
+	shutdownDeadlineSet struct{ deadline policy.Micros }
+	pushEnded           struct {
 		push   *Push
 		result Result
 		at     policy.Micros
 	}
 )
 
-// New makes the actor. Start must follow before Run.
+// New returns an actor with one generation of settings. Call Start before Run or RunPending.
 func New(options Options, module policy.Decider, clock *Clock, log zerolog.Logger) *Node {
-	return &Node{generations: []*Generation{{Options: options, Module: module}}, clock: clock, log: log, mail: make(chan any, mailbox),
-		stopped: make(chan struct{}), ops: make(map[policy.OpID]*Op)}
+	return &Node{
+		generations: []*Generation{{Options: options, Module: module}},
+		clock:       clock,
+		log:         log,
+		mailbox:     make(chan any, mailboxSize),
+		stopped:     make(chan struct{}),
+		ops:         make(map[policy.OpID]*Op),
+	}
 }
 
-// Start names those that the actor hands over to, and gives the module its first list.
-func (n *Node) Start(servers Servers, registry Registry, known *List) {
-	n.servers, n.registry = servers, registry
-	n.listed(known)
+// Start sets the collaborators that the actor hands pushes and watches to, and passes the initial server list to the module.
+func (n *Node) Start(servers Servers, registry Registry, initial *List) {
+	n.servers = servers
+	n.registry = registry
+	n.applyList(initial)
 }
 
-// Arrive hands over an op. Its answer comes in any case.
-func (n *Node) Submit(op *Op) { n.send(arrived{op}) }
+// Submit hands an op to the actor. The op is always answered, also after the actor has stopped.
+func (n *Node) Submit(op *Op) { n.post(opSubmitted{op}) }
 
-// Abandon says that the op's client has left. The answer still comes, to be thrown away.
+// Abandon reports that the op's client has disconnected. The op is still answered; the caller discards that answer.
 //
-// Danger: the mailbox may be long, and what stands in it before this would be pushed for nobody.
+// The flag is set before the message is posted: otherwise messages that are ahead of it in a long mailbox would still
+// cause pushes for a client that is gone.
 func (n *Node) Abandon(op *Op) {
-	op.gone.Store(true)
-	n.send(left{op})
+	op.clientLeft.Store(true)
+	n.post(opAbandoned{op})
 }
 
-// EndBy says that the process ends soon: what is in hand, and what comes yet, is answered by then.
-func (n *Node) SetShutdownDeadline(at policy.Micros) { n.send(endBy{at}) }
+// SetShutdownDeadline announces that the process ends soon. Every op, including those submitted later, is answered by the
+// deadline.
+func (n *Node) SetShutdownDeadline(deadline policy.Micros) { n.post(shutdownDeadlineSet{deadline}) }
 
-// Ended ends a push.
-func (n *Node) PushEnded(push *Push, result Result) { n.send(ended{push, result, n.clock.Now()}) }
+// PushEnded reports how a push ended.
+func (n *Node) PushEnded(push *Push, result Result) { n.post(pushEnded{push, result, n.clock.Now()}) }
 
-// Listed hands over what the registry told.
-func (n *Node) ListReceived(list *List) { n.send(list) }
+// ListReceived hands over a server list, or changes to it, from the registry.
+func (n *Node) ListReceived(list *List) { n.post(list) }
 
-func (n *Node) send(message any) {
+// post sends a message to the actor. It blocks while the mailbox is full, until the actor has stopped.
+func (n *Node) post(message any) {
 	select {
-	case n.mail <- message:
+	case n.mailbox <- message:
 		select {
 		case <-n.stopped:
-			n.refuseAll() // it came behind the actor's back
+			n.rejectRemaining() // the actor stopped while the message was being posted
 		default:
 		}
 	case <-n.stopped:
-		refuse(message)
+		rejectMessage(message)
 	}
 }
 
-// Run works until ctx is done. A panic of the module ends it: what is in hand is dead-lettered, since nobody
-// knows any more what may be promised.
+// Run processes messages and timers until ctx is done. A panic of the module ends it with an error, and all pending ops are
+// dead-lettered, since it is no longer known whether they may be retried safely.
 func (n *Node) Run(ctx context.Context) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -131,29 +144,29 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case m := <-n.mail:
-			n.receive(m)
+		case m := <-n.mailbox:
+			n.handle(m)
 		case <-alarm.C:
 		}
-		n.drain()
-		if len(n.timers.heap) > 0 && n.clock.Now()-n.timers.heap[0].at > late {
-			// Danger: after a wait for the core, answers may have come that nobody has read yet; time-outs that
-			// go first would throw them away.
-			time.Sleep(rest)
-			n.drain()
+		n.drainMailbox()
+		if len(n.timers.heap) > 0 && n.clock.Now()-n.timers.heap[0].at > lateTimerThreshold {
+			// The process was not scheduled for a while, so answers may have arrived that no goroutine has read yet.
+			// Without this pause the overdue time-outs would fire first and discard them.
+			time.Sleep(catchUpDelay)
+			n.drainMailbox()
 		}
-		for t := n.timers.due(n.clock.Now()); t != nil; t = n.timers.due(n.clock.Now()) {
+		for t := n.timers.popDue(n.clock.Now()); t != nil; t = n.timers.popDue(n.clock.Now()) {
 			t.fire()
 		}
 	}
 }
 
-// Turn is one round of Run, without waiting: what has come and what is due by now. It gives the time of the next
-// timer, if one is set. It is for drivers in simulated time, which call it, and everything else of the node, from
+// RunPending handles the queued messages and the timers that are due, without waiting, and returns the time of the next
+// timer if one is set. It replaces Run in simulated time: a simulation calls it, and every other method of the node, from
 // one goroutine, after each message and at each timer.
 func (n *Node) RunPending() (next policy.Micros, set bool) {
-	n.drain()
-	for t := n.timers.due(n.clock.Now()); t != nil; t = n.timers.due(n.clock.Now()) {
+	n.drainMailbox()
+	for t := n.timers.popDue(n.clock.Now()); t != nil; t = n.timers.popDue(n.clock.Now()) {
 		t.fire()
 	}
 	if len(n.timers.heap) == 0 {
@@ -162,20 +175,20 @@
 	return n.timers.heap[0].at, true
 }
 
-// drain reads what has already come, a mailbox full at most: an answer in the mailbox goes before a time-out that
-// is due.
-func (n *Node) drain() {
-	for range mailbox {
+// drainMailbox handles the messages that are already queued, at most mailboxSize of them, so that an answer in the mailbox
+// takes effect before a time-out that is due.
+func (n *Node) drainMailbox() {
+	for range mailboxSize {
 		select {
-		case m := <-n.mail:
-			n.receive(m)
+		case m := <-n.mailbox:
+			n.handle(m)
 		default:
 			return
 		}
 	}
 }
 
-// stop answers everything in hand and in the mailbox; nobody waits for ever.
+// stop cancels all pushes and answers every pending op, including those in the mailbox, so that no caller waits forever.
 func (n *Node) stop() {
 	close(n.stopped)
 	for _, op := range n.ops {
@@ -184,145 +197,147 @@
 		}
 		n.settle(op, Answer{Verdict: DeadLettered})
 	}
-	n.refuseAll()
+	n.rejectRemaining()
 }
 
-// refuseAll refuses what the mailbox still holds once nobody reads it any more.
-func (n *Node) refuseAll() {
+// rejectRemaining rejects the messages that are left in the mailbox after the actor has stopped.
+func (n *Node) rejectRemaining() {
 	for {
 		select {
-		case m := <-n.mail:
-			refuse(m)
+		case m := <-n.mailbox:
+			rejectMessage(m)
 		default:
 			return
 		}
 	}
 }
 
-// refuse is all that a message comes to after the actor's end.
-func refuse(m any) {
-	switch m := m.(type) {
-	case arrived:
-		m.op.Answer(Answer{Verdict: DeadLettered})
-	case ended:
-		m.result.Body.Release()
-	case switched:
-		m.done <- switchedTo{0, errStopped}
+// rejectMessage releases the sender of a message that arrives after the actor has stopped.
+func rejectMessage(message any) {
+	switch message := message.(type) {
+	case opSubmitted:
+		message.op.Answer(Answer{Verdict: DeadLettered})
+	case pushEnded:
+		message.result.Body.Release()
+	case switchRequest:
+		message.result <- switchResult{0, errStopped}
 	}
 }
 
-func (n *Node) receive(m any) {
-	switch m := m.(type) {
-	case arrived:
-		n.arrive(m.op)
-	case left:
-		n.abandon(m.op, ClientLeft)
-	case endBy:
-		n.endAll(m.at)
-	case ended:
-		n.end(m.push, m.result, m.at-m.push.sent)
+// handle processes one message.
+func (n *Node) handle(message any) {
+	switch message := message.(type) {
+	case opSubmitted:
+		n.admit(message.op)
+	case opAbandoned:
+		n.abandon(message.op, ClientLeft)
+	case shutdownDeadlineSet:
+		n.applyShutdownDeadline(message.deadline)
+	case pushEnded:
+		n.endPush(message.push, message.result, message.at-message.push.sentAt)
 	case *List:
-		n.listed(m)
-	case switched:
-		n.switchTo(m)
-	case peering:
-		n.peer(m.peers)
-	case words:
-		n.hear(m)
-	case weighed:
-		n.weigh(m.parts)
+		n.applyList(message)
+	case switchRequest:
+		n.switchGeneration(message)
+	case peersSet:
+		n.setPeers(message.peers)
+	case peerMessages:
+		n.deliverPeerMessages(message)
+	case weightFactorsSet:
+		n.applyWeightFactors(message.factors)
 	}
 }
 
-// arrive gives an op its id and hands it to the module. What is in excess of the ops that can be open is
-// rejected before it reaches the module, as the wire's limits.max_open has it: nothing of it has run.
-func (n *Node) arrive(op *Op) {
-	n.open++
-	if n.open > n.newest().Options.MaxPendingOps {
+// admit gives an op its id and passes it to the module. An op over the limit on pending ops (limits.max_open) is nacked
+// before it reaches the module: nothing of it has run.
+func (n *Node) admit(op *Op) {
+	n.pendingOps++
+	if n.pendingOps > n.newestGeneration().Options.MaxPendingOps {
 		n.settle(op, Answer{Verdict: Nacked, OverLimit: true})
-		if n.excess++; n.now-n.told >= policy.Second {
-			n.log.Warn().Int("nacked", n.excess).Int("in hand", n.open).Msg("more ops than sockets allow")
-			n.excess, n.told = 0, n.now
+		if n.rejectedOps++; n.stepTime-n.rejectionLoggedAt >= policy.Second {
+			n.log.Warn().Int("nacked", n.rejectedOps).Int("in hand", n.pendingOps).Msg("more ops than sockets allow")
+			n.rejectedOps = 0
+			n.rejectionLoggedAt = n.stepTime
 		}
 		return
 	}
-	if op.of = n.generation(op.GenerationNumber); op.of == nil {
-		n.settle(op, Answer{Verdict: Nacked}) // nothing of it has run, and its category's number may be another's by now
+	if op.generation = n.generation(op.GenerationNumber); op.generation == nil {
+		n.settle(op, Answer{Verdict: Nacked}) // nothing has run, and its category number may mean another category by now
 		return
 	}
-	if !op.stays() {
-		n.settle(op, Answer{Verdict: ClientLeft}) // nobody waits for it, and the module never hears of it
+	if !op.clientConnected() {
+		n.settle(op, Answer{Verdict: ClientLeft}) // the module is not told of it
 		return
 	}
-	op.of.ops++
-	for n.last++; n.last == 0 || n.ops[n.last] != nil; n.last++ {
-		// 0 is the token of the module's own beat, and an id in hand is not given twice.
+	op.generation.opCount++
+	for n.lastOpID++; n.lastOpID == 0 || n.ops[n.lastOpID] != nil; n.lastOpID++ {
+		// 0 is the timer token of the module's control interval; an id that is still in use is skipped.
 	}
-	op.id = n.last
+	op.id = n.lastOpID
 	n.ops[op.id] = op
-	n.bound(op)
+	n.setAnswerTimer(op)
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).
-			Int64("left_ms", int64(op.Deadline-n.now)/int64(policy.Millisecond)).Msg("op")
+			Int64("left_ms", int64(op.Deadline-n.stepTime)/int64(policy.Millisecond)).Msg("op")
 	}
-	n.step(op.of, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
+	n.step(op.generation, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
 		NotAfter: op.Deadline, Repeated: op.ClientRetry})
 }
 
-// endAll gives every op in hand its end by a moment.
+// applyShutdownDeadline limits the answer time of every pending op to the deadline.
 //
-// Danger: the kill at a planned restart does not wait for long TTLs; what it finds unanswered is lost. And ops read
-// before the restart was asked for may arrive after it.
-func (n *Node) endAll(at policy.Micros) {
-	n.until = at
+// The kill at a planned restart does not wait for long TTLs, and an op that is unanswered by then is lost. The deadline is
+// kept for ops that are submitted later: they may have been read before the restart was requested.
+func (n *Node) applyShutdownDeadline(deadline policy.Micros) {
+	n.shutdownDeadline = deadline
 	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
 		if op := n.ops[id]; !op.settled {
-			n.bound(op)
+			n.setAnswerTimer(op)
 		}
 	}
 }
 
-// bound sets the end of an op's wait. The module answers well before, or when a push times out at the very end; this is for
-// the case that it ever does not, and for the process's end.
-func (n *Node) bound(op *Op) {
-	n.timers.stop(op.end)
-	if at := op.Deadline + op.of.Options.AnswerSlack; n.until == 0 || at <= n.until {
-		op.end = n.timers.set(at, func() {
+// setAnswerTimer sets the time by which an op is answered without the module. The module normally answers earlier, or when a
+// push times out at the op's deadline; the timer covers a module that does not, and the shutdown of the process.
+func (n *Node) setAnswerTimer(op *Op) {
+	n.timers.stop(op.answerTimer)
+	if deadline := op.Deadline + op.generation.Options.AnswerSlack; n.shutdownDeadline == 0 || deadline <= n.shutdownDeadline {
+		op.answerTimer = n.timers.set(deadline, func() {
 			n.log.Error().Uint32("op", uint32(op.id)).Msg("op overdue, dead-lettered")
 			n.abandon(op, DeadLettered)
 		})
 		return
 	}
-	op.end = n.timers.set(n.until, func() { n.cutShort(op) })
+	op.answerTimer = n.timers.set(n.shutdownDeadline, func() { n.settleAtShutdown(op) })
 }
 
-// cutShort nacks an op at the process's end where a new try surely does no harm, and dead-letters it otherwise.
-func (n *Node) cutShort(op *Op) {
+// settleAtShutdown nacks an op if nothing of it can have run, so that a retry is safe, and dead-letters it otherwise.
+func (n *Node) settleAtShutdown(op *Op) {
 	verdict := Nacked
 	for _, push := range op.pushes {
-		if !push.ended && !push.keepBack() {
-			op.ran = true
+		if !push.ended && !push.withdraw() {
+			op.mayHaveRun = true
 		}
 	}
-	if op.ran {
+	if op.mayHaveRun {
 		verdict = DeadLettered
 	}
 	n.abandon(op, verdict)
 }
 
-// abandon settles an op without the module and tells it.
+// abandon settles an op without a decision of the module, and then notifies the module.
 func (n *Node) abandon(op *Op, verdict Verdict) {
 	if op.settled {
 		return
 	}
 	n.settle(op, Answer{Verdict: verdict})
-	n.step(op.of, &policy.Input{Kind: policy.OpAbandoned, Op: op.id})
-	n.forget(op)
+	n.step(op.generation, &policy.Input{Kind: policy.OpAbandoned, Op: op.id})
+	n.removeIfFinished(op)
 }
 
-// end tells the module how a push ended, once. The first acked one is the op's answer; what comes later is
-// reported as settled and answers nobody.
-func (n *Node) end(push *Push, result Result, took policy.Micros) {
+// endPush reports the end of a push to the module, once. The first acked push becomes the op's answer; pushes that end
+// later are reported as belonging to a settled op, and their answers are discarded.
+func (n *Node) endPush(push *Push, result Result, took policy.Micros) {
 	if push.ended {
 		result.Body.Release()
 		return
@@ -330,24 +345,24 @@
 	op := push.op
 	switch result.Outcome {
 	case policy.TimedOut, policy.Cancelled:
-		// Danger: a push that never got its connection is no doubt about what ran; told as a time-out, it would keep an
-		// op that must not run twice from going on, or from being nacked.
-		switch called := push.Withdrawn(); {
-		case called || op.settled && push.keepBack():
+		// A push that never got its connection cannot have run. Reported as a time-out, it would prevent an at-most-once
+		// op from being pushed again or nacked.
+		switch withdrawn := push.Withdrawn(); {
+		case withdrawn || op.settled && push.withdraw():
 			result.Outcome = policy.Moot
-		case push.keepBack():
+		case push.withdraw():
 			result.Outcome = policy.ConnectFailed
 		}
 	}
 	push.ended = true
 	if !policy.NeverRan(result.Outcome) {
-		op.ran = true
+		op.mayHaveRun = true
 	}
-	if !op.stays() {
-		n.settle(op, Answer{Verdict: ClientLeft}) // or the module would push it again
+	if !op.clientConnected() {
+		n.settle(op, Answer{Verdict: ClientLeft}) // otherwise the module might push it again
 	}
-	op.out--
-	n.timers.stop(push.timeout)
+	op.inFlight--
+	n.timers.stop(push.timeoutTimer)
 	push.cancel()
 	if result.Outcome == policy.Acked && !op.settled {
 		n.settle(op, Answer{Verdict: Acked, Header: result.Header, Body: result.Body})
@@ -355,18 +370,19 @@
 		result.Body.Release()
 	}
 	if line := n.log.Debug(); line.Enabled() {
-		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.no)).Str("server", fmt.Sprintf("%012x", push.Server)).
+		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.number)).Str("server", fmt.Sprintf("%012x", push.Server)).
 			Stringer("outcome", result.Outcome).Int64("took_ms", int64(took/policy.Millisecond)).Msg("push ended")
 	}
 	if n.peers != nil {
 		n.peers.PushEnded(push.Server, op.Category, result.Outcome, max(0, took))
 	}
-	n.step(op.of, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no, Server: push.Server,
+	n.step(op.generation, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.number, Server: push.Server,
 		Outcome: result.Outcome, Took: max(0, took), Settled: op.settled})
-	n.forget(op)
+	n.removeIfFinished(op)
 }
 
-func (n *Node) listed(list *List) {
+// applyList updates the server list and passes it to the server side, the peers and every module.
+func (n *Node) applyList(list *List) {
 	if n.log.Debug().Enabled() {
 		for i, e := range list.Entries {
 			n.log.Debug().Str("server", fmt.Sprintf("%012x", e.Server)).Str("addr", list.Addrs[i]).Uint8("state", uint8(e.State)).
@@ -375,104 +391,108 @@
 		}
 	}
 	before := slices.Clone(n.list)
-	n.keep(list)
+	n.mergeList(list)
 	n.servers.UpdateList(list)
 	if n.peers != nil {
 		n.peers.ListChanged(n.list)
 	}
-	n.callBack(before)
-	for _, g := range n.generations { // a drain binds all that still have ops in hand
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: list.Form, List: n.partly(list.Entries)})
+	n.withdrawUnsent(before)
+	for _, g := range n.generations { // a drain concerns every generation that has ops left
+		n.step(g, &policy.Input{Kind: policy.ListCame, Form: list.Form, List: n.reweighted(list.Entries)})
 	}
 }
 
-// callBack keeps back what was pushed to servers that are no longer ready, or have started anew since the list before, and
-// has not been sent yet.
+// withdrawUnsent withdraws the pushes that have not been sent yet and whose server is no longer ready, or has restarted
+// since the previous list.
 //
-// Danger: a push may wait for its connection for as long as a dial takes, and would be sent to a draining server past the
-// grace. The module pushes to ready servers alone, so none of these is there on purpose.
-func (n *Node) callBack(before []policy.Entry) {
+// A push may wait for its connection for as long as a dial takes, and would reach a draining server after its drain grace.
+// The module pushes to ready servers only, so no such push is intended.
+func (n *Node) withdrawUnsent(before []policy.Entry) {
 	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
 		for _, push := range n.ops[id].pushes {
-			if !push.ended && !n.ready(push.Server, before) {
-				push.keepBack()
+			if !push.ended && !n.takesPushes(push.Server, before) {
+				push.withdraw()
 			}
 		}
 	}
 }
 
-// ready says whether the list in hand has a server that takes ops, and that has not started anew since the one before.
-func (n *Node) ready(id policy.ServerID, before []policy.Entry) bool {
-	is := func(e policy.Entry) bool { return e.Server == id }
-	at, was := slices.IndexFunc(n.list, is), slices.IndexFunc(before, is)
-	return at >= 0 && n.list[at].State == policy.Ready && (was < 0 || before[was].Started == n.list[at].Started)
+// takesPushes reports whether the server is ready in the current list and has not restarted since the previous one.
+func (n *Node) takesPushes(id policy.ServerID, before []policy.Entry) bool {
+	matches := func(e policy.Entry) bool { return e.Server == id }
+	current := slices.IndexFunc(n.list, matches)
+	previous := slices.IndexFunc(before, matches)
+	return current >= 0 && n.list[current].State == policy.Ready &&
+		(previous < 0 || before[previous].Started == n.list[current].Started)
 }
 
-// settle gives the op its one final answer.
+// settle gives an op its final answer and withdraws its unsent pushes. It releases the answer if the op is already settled.
 func (n *Node) settle(op *Op, answer Answer) {
 	if op.settled {
 		answer.Body.Release()
 		return
 	}
 	op.settled = true
-	n.open--
+	n.pendingOps--
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).Stringer("verdict", answer.Verdict).
 			Int("pushes", len(op.pushes)).Int64("left_ms", n.clock.Until(op.Deadline).Milliseconds()).Msg("answer")
 	}
-	n.timers.stop(op.end)
+	n.timers.stop(op.answerTimer)
 	for _, push := range op.pushes {
 		if !push.ended {
-			push.keepBack()
+			push.withdraw()
 		}
 	}
 	op.Answer(answer)
-	op.Body.Release() // pushes still out hold it for themselves
+	op.Body.Release() // pushes in flight hold references of their own
 }
 
-// forget lets an op go once it is settled and no push of it is out.
-func (n *Node) forget(op *Op) {
-	if _, held := n.ops[op.id]; held && op.settled && op.out == 0 {
+// removeIfFinished removes an op that is settled and has no push in flight.
+func (n *Node) removeIfFinished(op *Op) {
+	if _, held := n.ops[op.id]; held && op.settled && op.inFlight == 0 {
 		delete(n.ops, op.id)
-		if op.of.ops--; op.of.ops == 0 && op.of != n.newest() {
-			n.retire()
+		if op.generation.opCount--; op.generation.opCount == 0 && op.generation != n.newestGeneration() {
+			n.retireGenerations()
 		}
 	}
 }
 
-// step calls a module, and again for what its effects made, at a clock that never goes back.
+// step passes an input to a generation's module, and then the inputs that its effects produced. The time it passes never
+// goes back.
 func (n *Node) step(g *Generation, in *policy.Input) {
-	n.now = max(n.now, n.clock.Now())
+	n.stepTime = max(n.stepTime, n.clock.Now())
 	for {
-		for _, e := range g.Module.Step(n.now, in) {
-			n.effect(g, &e)
+		for _, e := range g.Module.Step(n.stepTime, in) {
+			n.applyEffect(g, &e)
 		}
-		if len(n.pending) == 0 {
+		if len(n.pendingInputs) == 0 {
 			return
 		}
-		next := n.pending[0]
-		n.pending = n.pending[1:]
+		next := n.pendingInputs[0]
+		n.pendingInputs = n.pendingInputs[1:]
 		in = &next
 	}
 }
 
-func (n *Node) effect(g *Generation, e *policy.Effect) {
+// applyEffect carries out one decision of a generation's module.
+func (n *Node) applyEffect(g *Generation, e *policy.Effect) {
 	switch e.Kind {
 	case policy.Push:
-		n.push(e)
+		n.startPush(e)
 	case policy.Nack:
-		n.answer(e.Op, Answer{Verdict: Nacked, RetryAfter: e.For})
+		n.answerOp(e.Op, Answer{Verdict: Nacked, RetryAfter: e.For})
 	case policy.DeadLetter:
-		n.answer(e.Op, Answer{Verdict: DeadLettered})
+		n.answerOp(e.Op, Answer{Verdict: DeadLettered})
 	case policy.Cancel:
-		// Its end comes from the server's side, as cancelled unless an answer was already there.
+		// The server side reports the end of the push: cancelled, unless it already has an answer.
 		if op := n.ops[e.Op]; op != nil && int(e.Push) < len(op.pushes) {
 			op.pushes[e.Push].cancel()
 		}
 	case policy.Wake:
 		token := e.Token
 		n.timers.set(e.At, func() {
-			if !g.over {
+			if !g.retired {
 				n.step(g, &policy.Input{Kind: policy.Woken, Token: token})
 			}
 		})
@@ -489,43 +509,51 @@
 	}
 }
 
-// answer carries out the module's answer to an op.
-func (n *Node) answer(id policy.OpID, answer Answer) {
+// answerOp settles an op with the answer that the module decided on.
+func (n *Node) answerOp(id policy.OpID, answer Answer) {
 	if op := n.ops[id]; op != nil {
 		n.settle(op, answer)
-		n.forget(op)
+		n.removeIfFinished(op)
 	}
 }
 
-func (n *Node) push(e *policy.Effect) {
+// startPush creates a push and hands it to the server side. A push that must not be sent ends as moot; the module is notified
+// after the other effects of the same step.
+func (n *Node) startPush(e *policy.Effect) {
 	op := n.ops[e.Op]
 	if op == nil {
-		n.log.Error().Uint32("op", uint32(e.Op)).Msg("push of an op that is not in hand")
+		n.log.Error().Uint32("op", uint32(e.Op)).Msg("module pushed an unknown op")
 		return
 	}
-	push := &Push{Request: &op.Request, Server: e.Server, op: op, no: policy.PushNo(len(op.pushes)), sent: n.now,
-		made: time.Now()}
+	push := &Push{
+		Request:   &op.Request,
+		Server:    e.Server,
+		op:        op,
+		number:    policy.PushNo(len(op.pushes)),
+		sentAt:    n.stepTime,
+		createdAt: time.Now(),
+	}
 	push.Context, push.cancel = context.WithCancel(context.Background())
 	op.pushes = append(op.pushes, push)
-	op.out++
-	push.Timeout = op.Deadline - n.now
+	op.inFlight++
+	push.Timeout = op.Deadline - n.stepTime
 	if e.For > 0 {
 		push.Timeout = min(push.Timeout, e.For)
 	}
-	if op.settled || !op.stays() || push.Timeout <= 0 {
-		// Danger: an op that is over, or out of time, would run for nobody.
+	if op.settled || !op.clientConnected() || push.Timeout <= 0 {
+		// The op is settled or out of time, or its client has left: it would run although no client waits for it.
 		push.ended = true
-		op.out--
+		op.inFlight--
 		push.cancel()
-		n.pending = append(n.pending, policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no,
+		n.pendingInputs = append(n.pendingInputs, policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.number,
 			Server: push.Server, Outcome: policy.Moot, Settled: op.settled})
 		return
 	}
-	push.timeout = n.timers.set(n.now+push.Timeout, func() {
-		n.end(push, Result{Outcome: policy.TimedOut}, n.clock.Now()-push.sent)
+	push.timeoutTimer = n.timers.set(n.stepTime+push.Timeout, func() {
+		n.endPush(push, Result{Outcome: policy.TimedOut}, n.clock.Now()-push.sentAt)
 	})
 	if line := n.log.Debug(); line.Enabled() {
-		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.no)).Str("server", fmt.Sprintf("%012x", push.Server)).
+		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.number)).Str("server", fmt.Sprintf("%012x", push.Server)).
 			Int64("for_ms", int64(push.Timeout/policy.Millisecond)).Msg("push")
 	}
 	push.Body = op.Body.NewReader()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,92 +17,99 @@
 	"canvasrouter/policy"
 )
 
-// module is a stand-in for the decisions: it writes down what it is told and answers from a script.
-type module struct {
-	note   func(string)
-	script func(in *policy.Input) []policy.Effect
-	last   policy.Micros
+// fakeModule records its inputs and responds with a script.
+type fakeModule struct {
+	record   func(string)
+	script   func(in *policy.Input) []policy.Effect
+	lastTime policy.Micros
 }
 
-var kinds = [...]string{"arrived", "ended", "abandoned", "began", "woken", "probed", "list", "said"}
+// inputKindNames are indexed by policy.InputKind.
+var inputKindNames = [...]string{"arrived", "ended", "abandoned", "began", "timer", "probed", "list", "message"}
 
-func (m *module) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	if now < m.last {
-		m.note("the clock went back")
+// Step implements policy.Decider.
+func (m *fakeModule) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+	if now < m.lastTime {
+		m.record("time went back")
 	}
-	m.last = now
-	line := "module: " + kinds[in.Kind]
+	m.lastTime = now
+	line := "module: " + inputKindNames[in.Kind]
 	if in.Kind == policy.PushEnded {
 		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Took/1000, in.Settled)
 	}
-	m.note(line)
+	m.record(line)
 	if m.script == nil {
 		return nil
 	}
 	return m.script(in)
 }
 
-// servers is a stand-in: pushes wait in it until a test ends them.
-type servers struct {
-	pushes []*Push
-	closed []policy.ServerID
-	late   bool // connections don't come up
+// fakeServers implements Servers and Registry. Pushes stay in it until a test ends them.
+type fakeServers struct {
+	pushes             []*Push
+	closedIdle         []policy.ServerID
+	connectionsPending bool // pushes do not begin by themselves
 }
 
-func (s *servers) UpdateList(*List) {}
-func (s *servers) Push(p *Push) {
+func (s *fakeServers) UpdateList(*List) {}
+
+func (s *fakeServers) Push(p *Push) {
 	s.pushes = append(s.pushes, p)
-	if !s.late {
+	if !s.connectionsPending {
 		p.TryBegin()
 	}
 }
-func (s *servers) Watch()                       {}
-func (s *servers) CloseIdle(id policy.ServerID) { s.closed = append(s.closed, id) }
 
+func (s *fakeServers) Watch()                       {}
+func (s *fakeServers) CloseIdle(id policy.ServerID) { s.closedIdle = append(s.closedIdle, id) }
+
+// pushFor is the effect of pushing the first op with a time-out in milliseconds.
 func pushFor(ms int) policy.Effect {
 	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, For: policy.Micros(ms) * policy.Millisecond}
 }
 
-type rig struct {
+// harness runs an actor with fake collaborators and records the events.
+type harness struct {
 	*Node
-	servers
-	mu    sync.Mutex
-	trace []string
-	stop  context.CancelFunc
-	ended chan error
+	fakeServers
+	mu        sync.Mutex
+	events    []string
+	stop      context.CancelFunc
+	runResult chan error
 }
 
-// play runs the actor inside a bubble of time with script, and do against it.
-func play(t *testing.T, most int, script func(*policy.Input) []policy.Effect, do func(*rig)) []string {
+// runScenario runs an actor whose module follows script in a synctest bubble, calls do, and returns the recorded events.
+func runScenario(t *testing.T, maxPending int, script func(*policy.Input) []policy.Effect, do func(*harness)) []string {
 	t.Helper()
-	var trace []string
+	var events []string
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{ended: make(chan error, 1)}
-		r.Node = New(Options{MaxPendingOps: most, AnswerSlack: 20 * policy.Millisecond}, &module{note: r.note, script: script},
+		r := &harness{runResult: make(chan error, 1)}
+		r.Node = New(Options{MaxPendingOps: maxPending, AnswerSlack: 20 * policy.Millisecond}, &fakeModule{record: r.record, script: script},
 			NewClock(), zerolog.Nop())
-		r.Start(&r.servers, &r.servers, &List{Form: policy.ListCached})
+		r.Start(&r.fakeServers, &r.fakeServers, &List{Form: policy.ListCached})
 		var ctx context.Context
 		ctx, r.stop = context.WithCancel(t.Context())
-		go func() { r.ended <- r.Run(ctx) }()
+		go func() { r.runResult <- r.Run(ctx) }()
 		do(r)
 		r.stop()
-		<-r.ended
+		<-r.runResult
 		for _, p := range r.pushes {
 			p.Body.Close()
 		}
-		trace = r.trace
+		events = r.events
 	})
-	return trace[1:] // the first list
+	return events[1:] // without the initial list
 }
 
-func (r *rig) note(line string) {
+// record adds a line to the events.
+func (r *harness) record(line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.trace = append(r.trace, line)
+	r.events = append(r.events, line)
 }
 
-// take hands over an op that its client waits 1 s for, and writes down its answer.
-func (r *rig) take() *Op {
+// submitOp submits an op with a deadline in 1 s.
+func (r *harness) submitOp() *Op {
 	op := NewOp()
 	op.Body, _ = ReadPayload(strings.NewReader("body"), -1)
 	op.Deadline = r.clock.Now() + policy.Second
@@ -111,7 +118,8 @@
 	return op
 }
 
-func (r *rig) answer(op *Op) {
+// recordAnswer records the op's answer, or that there is none yet.
+func (r *harness) recordAnswer(op *Op) {
 	select {
 	case a := <-op.Answered():
 		line := "client: " + a.Verdict.String()
@@ -119,13 +127,14 @@
 			line += " " + string(a.Body.Bytes())
 			a.Body.Release()
 		}
-		r.note(line)
+		r.record(line)
 	default:
-		r.note("client: nothing")
+		r.record("client: no answer")
 	}
 }
 
-func (r *rig) end(push int, outcome policy.Outcome) {
+// finishPush reports the end of a push.
+func (r *harness) finishPush(push int, outcome policy.Outcome) {
 	result := Result{Outcome: outcome}
 	if outcome == policy.Acked {
 		result.Body, _ = ReadPayload(strings.NewReader("fine"), -1)
@@ -134,24 +143,26 @@
 	synctest.Wait()
 }
 
-func after(ms int) {
+// advance lets the fake time advance by some milliseconds.
+func advance(ms int) {
 	time.Sleep(time.Duration(ms) * time.Millisecond)
 	synctest.Wait()
 }
 
-// once answers the first input of a kind with effects.
-func once(kind policy.InputKind, effects ...policy.Effect) func(*policy.Input) []policy.Effect {
-	done := false
+// respondOnce returns a script that responds to the first input of a kind with effects.
+func respondOnce(kind policy.InputKind, effects ...policy.Effect) func(*policy.Input) []policy.Effect {
+	responded := false
 	return func(in *policy.Input) []policy.Effect {
-		if in.Kind != kind || done {
+		if in.Kind != kind || responded {
 			return nil
 		}
-		done = true
+		responded = true
 		return effects
 	}
 }
 
-func chain(scripts ...func(*policy.Input) []policy.Effect) func(*policy.Input) []policy.Effect {
+// combine returns a script with the effects of all scripts.
+func combine(scripts ...func(*policy.Input) []policy.Effect) func(*policy.Input) []policy.Effect {
 	return func(in *policy.Input) (out []policy.Effect) {
 		for _, s := range scripts {
 			out = append(out, s(in)...)
@@ -160,16 +171,17 @@
 	}
 }
 
+// Effects on the first op.
 var (
 	nack       = policy.Effect{Kind: policy.Nack, Op: 1}
 	deadLetter = policy.Effect{Kind: policy.DeadLetter, Op: 1}
 	cancel     = policy.Effect{Kind: policy.Cancel, Op: 1}
 )
 
-// Answers, time-outs, leaving and cancelling come in any order: the client gets one answer, and the module is
-// told the end of each push once.
+// TestOneAnswer checks that answers, time-outs, disconnects and cancellations in any order give the client one answer, and the
+// module one end of each push.
 func TestOneAnswer(t *testing.T) {
-	pushed := func(in *policy.Input) []policy.Effect { // each case's own, so that it can be shared
+	pushOnSubmit := func(in *policy.Input) []policy.Effect { // without state, so that cases can share it
 		if in.Kind != policy.OpArrived {
 			return nil
 		}
@@ -177,53 +189,82 @@
 	}
 	for name, c := range map[string]struct {
 		script func(*policy.Input) []policy.Effect
-		do     func(*rig, *Op)
+		do     func(*harness, *Op)
 		want   []string
 	}{
-		"acked": {pushed, func(r *rig, op *Op) { after(20); r.end(0, policy.Acked); r.answer(op) },
+		"acked": {pushOnSubmit, func(r *harness, op *Op) {
+			advance(20)
+			r.finishPush(0, policy.Acked)
+			r.recordAnswer(op)
+		},
 			[]string{"module: ended push 0 acked after 20 ms settled true", "client: acked fine"}},
-		"nacked": {once(policy.OpArrived, nack), func(r *rig, op *Op) { r.answer(op) }, []string{"client: nacked"}},
-		"timed out, then answered": {chain(pushed, once(policy.PushEnded, deadLetter)),
-			func(r *rig, op *Op) { after(301); r.answer(op); r.end(0, policy.Acked); r.answer(op) },
-			[]string{"module: ended push 0 timed out after 300 ms settled false", "client: dead-lettered", "client: nothing"}},
-		"answered by the second, then by the first": {chain(pushed, once(policy.PushEnded, pushFor(300))),
-			func(r *rig, op *Op) {
-				after(301)
-				r.end(1, policy.Acked)
-				r.answer(op)
-				r.end(0, policy.Acked)
-				r.answer(op)
+		"nacked": {respondOnce(policy.OpArrived, nack), func(r *harness, op *Op) { r.recordAnswer(op) }, []string{"client: nacked"}},
+		"timed out, then answered": {combine(pushOnSubmit, respondOnce(policy.PushEnded, deadLetter)),
+			func(r *harness, op *Op) {
+				advance(301)
+				r.recordAnswer(op)
+				r.finishPush(0, policy.Acked)
+				r.recordAnswer(op)
+			},
+			[]string{"module: ended push 0 timed out after 300 ms settled false", "client: dead-lettered", "client: no answer"}},
+		"second push answers, then the first": {combine(pushOnSubmit, respondOnce(policy.PushEnded, pushFor(300))),
+			func(r *harness, op *Op) {
+				advance(301)
+				r.finishPush(1, policy.Acked)
+				r.recordAnswer(op)
+				r.finishPush(0, policy.Acked)
+				r.recordAnswer(op)
 			},
 			[]string{"module: ended push 0 timed out after 300 ms settled false",
-				"module: ended push 1 acked after 1 ms settled true", "client: acked fine", "client: nothing"}},
-		"left, then answered": {pushed,
-			func(r *rig, op *Op) { r.Abandon(op); synctest.Wait(); r.end(0, policy.Acked); r.answer(op) },
+				"module: ended push 1 acked after 1 ms settled true", "client: acked fine", "client: no answer"}},
+		"client leaves, then answered": {pushOnSubmit,
+			func(r *harness, op *Op) {
+				r.Abandon(op)
+				synctest.Wait()
+				r.finishPush(0, policy.Acked)
+				r.recordAnswer(op)
+			},
 			[]string{"module: abandoned", "module: ended push 0 acked after 0 ms settled true", "client: left"}},
-		"answered, then left": {pushed,
-			func(r *rig, op *Op) { r.end(0, policy.Acked); r.Abandon(op); synctest.Wait(); r.answer(op) },
+		"answered, then client leaves": {pushOnSubmit,
+			func(r *harness, op *Op) {
+				r.finishPush(0, policy.Acked)
+				r.Abandon(op)
+				synctest.Wait()
+				r.recordAnswer(op)
+			},
 			[]string{"module: ended push 0 acked after 0 ms settled true", "client: acked fine"}},
-		"left and cancelled": {chain(pushed, once(policy.OpAbandoned, cancel)),
-			func(r *rig, op *Op) {
+		"client leaves, push is cancelled": {combine(pushOnSubmit, respondOnce(policy.OpAbandoned, cancel)),
+			func(r *harness, op *Op) {
 				r.Abandon(op)
 				<-r.pushes[0].Context.Done()
-				r.end(0, policy.Cancelled)
-				r.answer(op)
+				r.finishPush(0, policy.Cancelled)
+				r.recordAnswer(op)
 			},
 			[]string{"module: abandoned", "module: ended push 0 cancelled after 0 ms settled true", "client: left"}},
-		"a time-out is cut to the client's wait": {once(policy.OpArrived, pushFor(5000)),
-			func(r *rig, op *Op) { after(1001); r.answer(op); after(20); r.answer(op) },
-			[]string{"module: ended push 0 timed out after 1000 ms settled false", "client: nothing", "module: abandoned",
+		"push time-out limited to the op's deadline": {respondOnce(policy.OpArrived, pushFor(5000)),
+			func(r *harness, op *Op) {
+				advance(1001)
+				r.recordAnswer(op)
+				advance(20)
+				r.recordAnswer(op)
+			},
+			[]string{"module: ended push 0 timed out after 1000 ms settled false", "client: no answer", "module: abandoned",
 				"client: dead-lettered"}},
-		"no answer of the module": {nil, func(r *rig, op *Op) { after(1019); r.answer(op); after(2); r.answer(op) },
-			[]string{"client: nothing", "module: abandoned", "client: dead-lettered"}},
-		"pushed when it is over": {once(policy.OpArrived, nack, pushFor(300)), func(r *rig, op *Op) { r.answer(op) },
+		"module never answers": {nil, func(r *harness, op *Op) {
+			advance(1019)
+			r.recordAnswer(op)
+			advance(2)
+			r.recordAnswer(op)
+		},
+			[]string{"client: no answer", "module: abandoned", "client: dead-lettered"}},
+		"pushed after the op is settled": {respondOnce(policy.OpArrived, nack, pushFor(300)), func(r *harness, op *Op) { r.recordAnswer(op) },
 			[]string{"client: nacked"}},
-		"pushed with no time left": {once(policy.OpArrived, pushFor(-1)),
-			func(r *rig, op *Op) { r.answer(op) }, []string{"client: nothing"}},
+		"pushed with no time left": {respondOnce(policy.OpArrived, pushFor(-1)),
+			func(r *harness, op *Op) { r.recordAnswer(op) }, []string{"client: no answer"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := play(t, 9, c.script, func(r *rig) {
-				op := r.take()
+			got := runScenario(t, 9, c.script, func(r *harness) {
+				op := r.submitOp()
 				c.do(r, op)
 			})
 			if diff := cmp.Diff(append([]string{"module: arrived"}, c.want...), got); diff != "" {
@@ -233,14 +274,14 @@
 	}
 }
 
-// A push that could no longer be carried ends as moot, after the effects that made it, and is not sent.
+// TestMoot checks that a push of a settled op is not sent and ends as moot, after the effects that it was created with.
 func TestMoot(t *testing.T) {
-	got := play(t, 9, chain(once(policy.OpArrived, pushFor(300)), once(policy.OpAbandoned, pushFor(300))), func(r *rig) {
-		op := r.take()
+	got := runScenario(t, 9, combine(respondOnce(policy.OpArrived, pushFor(300)), respondOnce(policy.OpAbandoned, pushFor(300))), func(r *harness) {
+		op := r.submitOp()
 		r.Abandon(op)
 		synctest.Wait()
 		if len(r.pushes) != 1 {
-			r.note("sent")
+			r.record("push was sent")
 		}
 	})
 	if diff := cmp.Diff([]string{"module: arrived", "module: abandoned", "module: ended push 1 moot after 0 ms settled true"},
@@ -249,15 +290,16 @@
 	}
 }
 
-// Danger: beyond the sockets an op would wait unseen. What is in excess is nacked before the module sees it,
-// and what was settled makes room.
-func TestExcess(t *testing.T) {
-	got := play(t, 1, once(policy.OpArrived, pushFor(300)), func(r *rig) {
-		first, second := r.take(), r.take()
-		r.answer(second)
-		r.end(0, policy.Acked)
-		r.answer(first)
-		r.take()
+// TestPendingLimit checks that an op over the limit on pending ops is nacked before the module sees it, and that settled ops
+// make room. Without sockets, such an op would wait unnoticed.
+func TestPendingLimit(t *testing.T) {
+	got := runScenario(t, 1, respondOnce(policy.OpArrived, pushFor(300)), func(r *harness) {
+		first := r.submitOp()
+		second := r.submitOp()
+		r.recordAnswer(second)
+		r.finishPush(0, policy.Acked)
+		r.recordAnswer(first)
+		r.submitOp()
 	})
 	if diff := cmp.Diff([]string{"module: arrived", "client: nacked", "module: ended push 0 acked after 0 ms settled true",
 		"client: acked fine", "module: arrived"}, got); diff != "" {
@@ -265,9 +307,9 @@
 	}
 }
 
-// Danger: a process that had to wait finds time-outs due and answers unread, both at once; answers go first.
+// TestStall checks that answers take effect before time-outs that are due when a process that was not scheduled continues.
 func TestStall(t *testing.T) {
-	got := play(t, 9, func(in *policy.Input) []policy.Effect {
+	got := runScenario(t, 9, func(in *policy.Input) []policy.Effect {
 		switch {
 		case in.Kind == policy.OpArrived && in.Op == 1:
 			return []policy.Effect{pushFor(300)}
@@ -275,14 +317,14 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		return nil
-	}, func(r *rig) {
-		op := r.take()
-		go r.take()
-		after(400) // it is read within half a millisecond of the stall's end
-		time.Sleep(rest / 2)
-		r.end(0, policy.Acked)
-		after(1)
-		r.answer(op)
+	}, func(r *harness) {
+		op := r.submitOp()
+		go r.submitOp()
+		advance(400) // the answer is read within half a millisecond after the stall
+		time.Sleep(catchUpDelay / 2)
+		r.finishPush(0, policy.Acked)
+		advance(1)
+		r.recordAnswer(op)
 	})
 	if diff := cmp.Diff([]string{"module: arrived", "module: arrived", "module: ended push 0 acked after 400 ms settled true",
 		"client: acked fine"}, got); diff != "" {
@@ -290,23 +332,24 @@
 	}
 }
 
-// A panic of the module promises nothing: everything in hand and all that comes is dead-lettered.
+// TestPanic checks that a panic of the module dead-letters all pending ops and all later ones.
 func TestPanic(t *testing.T) {
-	got := play(t, 9, func(in *policy.Input) []policy.Effect {
+	got := runScenario(t, 9, func(in *policy.Input) []policy.Effect {
 		if in.Op == 2 {
 			panic("broken")
 		}
 		return nil
-	}, func(r *rig) {
-		first, second := r.take(), r.take()
-		if err := <-r.ended; err == nil || !strings.Contains(err.Error(), "broken") {
-			r.note(fmt.Sprint(err))
+	}, func(r *harness) {
+		first := r.submitOp()
+		second := r.submitOp()
+		if err := <-r.runResult; err == nil || !strings.Contains(err.Error(), "broken") {
+			r.record(fmt.Sprint(err))
 		}
-		r.ended <- nil
-		third := r.take()
-		r.answer(first)
-		r.answer(second)
-		r.answer(third)
+		r.runResult <- nil
+		third := r.submitOp()
+		r.recordAnswer(first)
+		r.recordAnswer(second)
+		r.recordAnswer(third)
 	})
 	if diff := cmp.Diff([]string{"module: arrived", "module: arrived", "client: dead-lettered", "client: dead-lettered",
 		"client: dead-lettered"}, got); diff != "" {
@@ -314,30 +357,32 @@
 	}
 }
 
-// Timers are due in order, those of one moment in the order they were set; a stopped one is not.
+// TestTimers checks that timers fire in the order of their times, and those of equal times in the order in which they were
+// set; stopped timers do not fire.
 func TestTimers(t *testing.T) {
-	var all timers
+	var queue timerQueue
 	var got []int
-	entry := func(at policy.Micros, name int) *timer { return all.set(at, func() { got = append(got, name) }) }
-	entry(30, 1)
-	stopped := entry(20, 2)
-	entry(20, 3)
-	entry(20, 4)
-	late := entry(99, 5)
-	all.stop(stopped)
-	all.stop(stopped)
-	for due := all.due(40); due != nil; due = all.due(40) {
+	setTimer := func(at policy.Micros, name int) *timer { return queue.set(at, func() { got = append(got, name) }) }
+	setTimer(30, 1)
+	stopped := setTimer(20, 2)
+	setTimer(20, 3)
+	setTimer(20, 4)
+	late := setTimer(99, 5)
+	queue.stop(stopped)
+	queue.stop(stopped)
+	for due := queue.popDue(40); due != nil; due = queue.popDue(40) {
 		due.fire()
 	}
 	if diff := cmp.Diff([]int{3, 4, 1}, got); diff != "" {
 		t.Error(diff)
 	}
-	if len(all.heap) != 1 || all.heap[0] != late {
-		t.Errorf("%d timers left", len(all.heap))
+	if len(queue.heap) != 1 || queue.heap[0] != late {
+		t.Errorf("%d timers remain", len(queue.heap))
 	}
 }
 
-// Danger: a buffer given back while a push still reads it would send another op's bytes.
+// TestPayload checks that a buffer is not returned to the pool while a reader is open, which would make a push send the bytes
+// of another op.
 func TestPayload(t *testing.T) {
 	p, err := ReadPayload(strings.NewReader("body"), -1)
 	if err != nil {
@@ -350,11 +395,11 @@
 	}
 	reader.Close()
 	reader.Close()
-	if p.buffer != nil || p.holders.Load() != 0 {
-		t.Errorf("%d hold it", p.holders.Load())
+	if p.buffer != nil || p.references.Load() != 0 {
+		t.Errorf("%d references remain", p.references.Load())
 	}
 	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MaxBodyBytes+1)), -1); !errors.Is(err, ErrBodyTooLong) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v", err)
 	}
 	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MaxBodyBytes)), -1); err != nil {
 		t.Error(err)
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -10,210 +10,226 @@
 	"canvasrouter/policy"
 )
 
-// ErrTooLong says that a body is longer than MostBody.
+// ErrBodyTooLong means that a body is longer than MaxBodyBytes.
 var ErrBodyTooLong = errors.New("body is too long")
 
-// Clock is the one clock of a process: monotonic, counted from Unix time at its start, in the module's unit.
+// Clock is the clock of a process, in the module's unit. It is monotonic and starts at the Unix time of its creation.
 type Clock struct {
-	start time.Time
-	base  policy.Micros
-	still bool // simulated time: base moves by Set alone
-	slow  int  // how much longer a span of this clock takes in real time
+	start     time.Time
+	base      policy.Micros
+	simulated bool // only Set changes the time, which is base
+	slowdown  int  // real duration of one unit of this clock's time
 }
 
+// NewClock returns a clock that runs in real time.
 func NewClock() *Clock { return NewSlowedClock(1) }
 
-// NewSlowedClock makes a clock on which a second takes so many. Many nodes in one process may need more than the machine's
-// cores in real time; all that waits by the clock (Until, Real) then waits longer by the same factor.
-func NewSlowedClock(slow int) *Clock {
+// NewSlowedClock returns a clock on which one second takes slowdown seconds of real time. Many nodes in one process may need
+// more CPU than the machine has in real time; every wait that uses the clock (Until, RealDuration) is longer by the same
+// factor.
+func NewSlowedClock(slowdown int) *Clock {
 	now := time.Now()
-	return &Clock{start: now, base: policy.Micros(now.UnixMicro()), slow: max(1, slow)}
+	return &Clock{start: now, base: policy.Micros(now.UnixMicro()), slowdown: max(1, slowdown)}
 }
 
-// NewSimulatedClock makes a clock that stands at a moment until Set.
-func NewSimulatedClock(at policy.Micros) *Clock { return &Clock{base: at, still: true, slow: 1} }
+// NewSimulatedClock returns a clock whose time only changes by Set.
+func NewSimulatedClock(now policy.Micros) *Clock {
+	return &Clock{base: now, simulated: true, slowdown: 1}
+}
 
-// Set moves a simulated clock. The caller's goroutine is the only one that may read it.
-func (c *Clock) Set(at policy.Micros) { c.base = at }
+// Set sets the time of a simulated clock. Only the goroutine that calls Set may read the clock.
+func (c *Clock) Set(now policy.Micros) { c.base = now }
 
+// Now returns the current time of the clock.
 func (c *Clock) Now() policy.Micros {
-	if c.still {
+	if c.simulated {
 		return c.base
 	}
-	return c.base + policy.Micros(time.Since(c.start).Microseconds()/int64(c.slow))
+	return c.base + policy.Micros(time.Since(c.start).Microseconds()/int64(c.slowdown))
 }
 
-// Until is the real time left to a moment of the module's.
+// Until returns the real duration until a time of this clock; it is negative for a time in the past.
 func (c *Clock) Until(at policy.Micros) time.Duration {
 	return c.RealDuration(time.Duration(at-c.Now()) * time.Microsecond)
 }
 
-// Real is how long a span of this clock takes in real time.
-func (c *Clock) RealDuration(span time.Duration) time.Duration { return span * time.Duration(c.slow) }
+// RealDuration returns how long a duration of this clock takes in real time.
+func (c *Clock) RealDuration(duration time.Duration) time.Duration {
+	return duration * time.Duration(c.slowdown)
+}
 
-// Request is what goes on to a server, as it came.
+// Request is a client's request as it was received, to be forwarded to servers.
 type Request struct {
-	Method, Target, Host string // Target is the path and query, byte for byte
+	Method, Target, Host string // Target is the path and query, unchanged byte for byte
 	Header               http.Header
 	Body                 *Payload
 }
 
-// Verdict is how an op ended.
+// Verdict is the kind of an op's final answer.
 type Verdict uint8
 
+// The verdicts.
 const (
 	Acked        Verdict = iota
-	Nacked               // trying again does no harm
-	DeadLettered         // no promise
-	ClientLeft           // the client went first: nobody to answer
+	Nacked               // not run; a retry is safe
+	DeadLettered         // unknown whether it has run
+	ClientLeft           // the client left before an answer
 )
 
+// String returns the name of the verdict in logs.
 func (v Verdict) String() string { return [...]string{"acked", "nacked", "dead-lettered", "left"}[v] }
 
-// Answer is an op's one final answer. Who takes it releases its body.
+// Answer is the one final answer to an op. Its receiver releases the body.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter policy.Micros
-	OverLimit  bool // nacked for want of sockets: the client's is wanted back
+	RetryAfter policy.Micros // how long the client should wait before a retry; 0: not told
+	OverLimit  bool          // nacked because of the limit on pending ops; the client's connection is to be closed
 	Header     http.Header
 	Body       *Payload
 }
 
-// Client is an op's client. Left asks whether it has left, though nobody may have noticed yet; it does not wait.
+// Client is the client of an op. Disconnected asks the kernel whether the client has left, which the HTTP library may not
+// have noticed yet. It does not block.
 type Client interface{ Disconnected() bool }
 
-// Op is one op in hand. Its fields are set by the client's side before Arrive; what is unexported belongs to
-// the module's actor.
+// Op is one op from submission to its final answer. The client side sets the exported fields before Submit; the actor owns
+// the unexported ones, except for the atomic fields.
 type Op struct {
 	Request
 	Category    policy.CategoryID
 	Tenant      policy.TenantID
-	Deadline    policy.Micros
-	ClientRetry bool
-	// Generation is the number of the one whose settings the op was read by.
+	Deadline    policy.Micros // the client waits until then
+	ClientRetry bool          // the client has sent the op before
+	// GenerationNumber is the number of the generation whose settings the request was read with.
 	GenerationNumber int
-	Client           Client // nil: it can't be asked
-
-	answer  chan Answer  // holds one: the actor never waits for a client
-	made    time.Time    // when its client was there
-	there   atomic.Int64 // nanoseconds past made when the client was there still, as far as anybody has asked
-	gone    atomic.Bool  // the client has left; known before the actor reads of it
-	of      *Generation
-	id      policy.OpID
-	settled bool
-	pushes  []*Push
-	out     int
-	ran     bool   // it may have, by the pushes that have ended
-	end     *timer // by then it is answered, by whoever
+	Client           Client // nil: always counts as connected
+
+	answer      chan Answer  // buffered, so that the actor never waits for a client
+	createdAt   time.Time    // the client was connected then
+	lastSeen    atomic.Int64 // nanoseconds after createdAt: latest check that found the client connected
+	clientLeft  atomic.Bool  // set before the actor handles the message about it
+	generation  *Generation
+	id          policy.OpID
+	settled     bool
+	pushes      []*Push
+	inFlight    int    // pushes that have not ended
+	mayHaveRun  bool   // according to the pushes that have ended
+	answerTimer *timer // settles the op if the module has not
 }
 
-// NewOp makes an op that can be waited for. Its client was there a moment ago.
-func NewOp() *Op { return &Op{answer: make(chan Answer, 1), made: time.Now()} }
+// NewOp returns an op whose answer can be waited for. Its client counts as connected at this moment.
+func NewOp() *Op { return &Op{answer: make(chan Answer, 1), createdAt: time.Now()} }
 
-// Answer gives the op its answer. Only the module's actor calls it, once.
+// Answer delivers the final answer. Only the actor calls it, once.
 func (o *Op) Answer(a Answer) { o.answer <- a }
 
-// Answered gives the final answer, once.
+// Answered returns the channel that delivers the final answer, once.
 func (o *Op) Answered() <-chan Answer { return o.answer }
 
-// Push is one push of an op. The server's side carries it, closes its body and ends it with Node.Ended, once.
+// Push is one attempt to run an op on a server. The server side sends it, closes its body and reports its end with
+// Node.PushEnded, once.
 type Push struct {
 	*Request
-	Body    *Reader         // holds the op's body for as long as this push reads it
-	Context context.Context // done when the push is given up
+	Body    *Reader         // keeps the op's body in memory until closed
+	Context context.Context // done when the push is cancelled, withdrawn or has ended
 	Server  policy.ServerID
-	Timeout policy.Micros // how long the node will wait
-
-	op      *Op
-	no      policy.PushNo
-	fate    atomic.Uint32 // whether its first byte may be written
-	made    time.Time     // zero: For counts from whenever it is asked
-	cancel  context.CancelFunc
-	sent    policy.Micros
-	ended   bool // told to the module
-	timeout *timer
+	Timeout policy.Micros // counted from createdAt
+
+	op           *Op
+	number       policy.PushNo
+	state        atomic.Uint32 // pushUnsent, pushBegun or pushWithdrawn
+	createdAt    time.Time     // zero: TimeLeft is always the whole Timeout
+	cancel       context.CancelFunc
+	sentAt       policy.Micros // step time at which the push was created
+	ended        bool          // reported to the module
+	timeoutTimer *timer
 }
 
-// Left is how long the node will wait yet. Any goroutine may ask.
+// TimeLeft returns how much longer the node waits for this push. It is safe for concurrent use.
 func (p *Push) TimeLeft() policy.Micros {
-	if p.made.IsZero() {
+	if p.createdAt.IsZero() {
 		return p.Timeout
 	}
-	return max(0, p.Timeout-policy.Micros(time.Since(p.made).Microseconds()))
+	return max(0, p.Timeout-policy.Micros(time.Since(p.createdAt).Microseconds()))
 }
 
-// What becomes of a push's first byte. From unsent there is one way on, so that who writes and who keeps back agree.
+// States of a push. Once it has left pushUnsent it never changes again, so that the goroutine that writes the push and the
+// one that withdraws it cannot both succeed.
 const (
-	unsent uint32 = iota
-	begun
-	keptBack
+	pushUnsent uint32 = iota
+	pushBegun
+	pushWithdrawn
 )
 
-// askAfter is how long a client counts as being there without being asked for again. Each asking is a system call.
+// clientCheckInterval is how long a client counts as connected after a check; each check is a system call.
 //
-// Danger: an attempt that begins more than 0.1 s after its client's close runs for nobody, and that time holds all that comes
-// between: the close's way here, a timer that is late, a push that was made a moment ago for an op that has waited for long.
-const askAfter = 10 * time.Millisecond
-
-// stays says whether the op's client is there still, as known less than askAfter ago. Any goroutine may ask.
-func (o *Op) stays() bool {
-	if o.Client != nil && !o.gone.Load() {
-		if now := int64(time.Since(o.made)); now-o.there.Load() >= int64(askAfter) {
+// A push must not begin more than 0.1 s after its client has closed the connection. That time has to cover the delay until
+// the close is received, a late timer, and a push that was created just before for an op that has waited long.
+const clientCheckInterval = 10 * time.Millisecond
+
+// clientConnected reports whether the op's client is still connected, as of at most clientCheckInterval ago. It is safe for
+// concurrent use.
+func (o *Op) clientConnected() bool {
+	if o.Client != nil && !o.clientLeft.Load() {
+		if elapsed := int64(time.Since(o.createdAt)); elapsed-o.lastSeen.Load() >= int64(clientCheckInterval) {
 			if o.Client.Disconnected() {
-				o.gone.Store(true)
+				o.clientLeft.Store(true)
 			} else {
-				o.there.Store(now)
+				o.lastSeen.Store(elapsed)
 			}
 		}
 	}
-	return !o.gone.Load()
+	return !o.clientLeft.Load()
 }
 
-// Begin is asked by who carries the push, right before its first byte is written. Once it has said yes the push may have
-// run; once it has said no, nothing of it is ever written.
+// TryBegin must be called right before the first byte of the push is written. If it returns true the push may have run from
+// then on; if it returns false nothing of the push may ever be written.
 //
-// Danger: a push waits for its connection, its socket or its turn, and its client leaves meanwhile; written then, it
-// would run for nobody. The actor may not have read of the leaving yet, nor the client's side have seen it.
+// The client may leave while the push waits for a socket, a connection or its turn, and the push would then run although no
+// client waits for it. TryBegin checks the client itself, because neither the actor nor the client side may have noticed yet.
 func (p *Push) TryBegin() bool {
-	if p.op != nil && p.fate.Load() == unsent && !p.op.stays() {
-		p.fate.CompareAndSwap(unsent, keptBack)
+	if p.op != nil && p.state.Load() == pushUnsent && !p.op.clientConnected() {
+		p.state.CompareAndSwap(pushUnsent, pushWithdrawn)
 	}
-	return p.fate.CompareAndSwap(unsent, begun) || p.fate.Load() == begun
+	return p.state.CompareAndSwap(pushUnsent, pushBegun) || p.state.Load() == pushBegun
 }
 
-// KeptBack says that nothing of the push was written, nor ever will be, since nobody waits for it.
-func (p *Push) Withdrawn() bool { return p.fate.Load() == keptBack }
+// Withdrawn reports that nothing of the push was written or ever will be.
+func (p *Push) Withdrawn() bool { return p.state.Load() == pushWithdrawn }
 
-// keepBack calls a push back of which nothing has been written, also where cancelling is not allowed: it was not sent.
-// It says whether it could.
-func (p *Push) keepBack() bool {
-	if !p.fate.CompareAndSwap(unsent, keptBack) && !p.Withdrawn() {
+// withdraw prevents a push of which nothing has been written from being sent, and reports whether it succeeded. It is
+// allowed where cancelling is not, since the push was never sent.
+func (p *Push) withdraw() bool {
+	if !p.state.CompareAndSwap(pushUnsent, pushWithdrawn) && !p.Withdrawn() {
 		return false
 	}
 	p.cancel()
 	return true
 }
 
-// Result is how the server's side saw a push end. Body and Header only come with Acked.
+// Result is the end of a push as the server side saw it. Header and Body are only set if the outcome is Acked.
 type Result struct {
 	Outcome policy.Outcome
 	Header  http.Header
 	Body    *Payload
 }
 
-// List is what the registry told, with each entry's address beside it.
+// List is a server list or a set of changes from the registry. Addrs[i] is the address of Entries[i].
 type List struct {
 	Form    policy.ListForm
 	Entries []policy.Entry
 	Addrs   []string
 }
 
-// Servers carry pushes. The calls come from the module's actor and must not wait.
+// Servers sends pushes to servers. The actor calls its methods, which must not block.
 type Servers interface {
+	// UpdateList applies a server list or changes to it.
 	UpdateList(*List)
+	// Push sends a push and later reports its end.
 	Push(*Push)
-	CloseIdle(policy.ServerID) // connections that rest
+	// CloseIdle closes the idle connections to a server.
+	CloseIdle(policy.ServerID)
 }
 
-// Registry is asked for changes. The call comes from the module's actor and must not wait.
+// Registry starts a watch for changes of the server list. The actor calls Watch, which must not block.
 type Registry interface{ Watch() }
--- a/internal/node/payload.go
+++ b/internal/node/payload.go
@@ -7,29 +7,28 @@
 	"sync/atomic"
 )
 
-// MostBody is the most bytes that a body may have, of an op or of an answer.
+// MaxBodyBytes is the maximum length of a body, of a request or of an answer.
 const MaxBodyBytes = 64 << 10
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// Payload is a body as it came, in a pooled buffer. It is shared by those who hold it, and the last to let go
-// gives the buffer back.
+// Payload is a body in a pooled buffer with a reference count. The last Release returns the buffer to the pool.
 //
-// Danger: http.Transport may still read a request's body after RoundTrip has returned; a buffer given back by
-// then would send another op's bytes. So each reader holds the payload until it is closed.
+// http.Transport may still read a request's body after RoundTrip has returned; a buffer that was back in the pool by then
+// would send the bytes of another op. So each Reader holds a reference until it is closed.
 type Payload struct {
-	buffer  *bytes.Buffer
-	holders atomic.Int32
+	buffer     *bytes.Buffer // nil once it is back in the pool
+	references atomic.Int32
 }
 
-// ReadPayload reads r to its end, of which size is known or negative; the caller holds the payload. Over MostBody
-// it fails with ErrTooLong.
+// ReadPayload reads r to its end and returns a payload with one reference, the caller's. The size is the expected length, or
+// negative if it is not known. A body longer than MaxBodyBytes fails with ErrBodyTooLong.
 func ReadPayload(r io.Reader, size int64) (*Payload, error) {
-	p := &Payload{buffer: buffers.Get().(*bytes.Buffer)}
-	p.holders.Store(1)
+	p := &Payload{buffer: bufferPool.Get().(*bytes.Buffer)}
+	p.references.Store(1)
 	p.buffer.Reset()
 	if size > 0 && size <= MaxBodyBytes {
-		p.buffer.Grow(int(size) + bytes.MinRead) // once, rather than doubling past what is needed
+		p.buffer.Grow(int(size) + bytes.MinRead) // one allocation instead of repeated doubling
 	}
 	n, err := p.buffer.ReadFrom(io.LimitReader(r, MaxBodyBytes+1))
 	if err == nil && n > MaxBodyBytes {
@@ -42,50 +41,52 @@
 	return p, nil
 }
 
-// Bytes are valid while the payload is held.
+// Bytes returns the content. It is valid while the caller holds a reference.
 func (p *Payload) Bytes() []byte { return p.buffer.Bytes() }
 
-// Release lets go of the payload. A nil one has nothing to let go of.
+// Release gives up one reference. It does nothing on a nil payload.
 func (p *Payload) Release() {
-	if p != nil && p.holders.Add(-1) == 0 {
-		buffers.Put(p.buffer)
+	if p != nil && p.references.Add(-1) == 0 {
+		bufferPool.Put(p.buffer)
 		p.buffer = nil
 	}
 }
 
-// Reader reads the payload and holds it until closed.
+// NewReader returns a reader of the content, which holds a reference until it is closed.
 func (p *Payload) NewReader() *Reader {
-	p.holders.Add(1)
+	p.references.Add(1)
 	r := &Reader{payload: p}
-	r.left.Store(int64(len(p.Bytes())))
+	r.remaining.Store(int64(len(p.Bytes())))
 	return r
 }
 
-// Reader is one reading of a payload.
+// Reader reads the content of a payload once.
 type Reader struct {
-	payload *Payload
-	left    atomic.Int64
-	once    sync.Once
+	payload   *Payload
+	remaining atomic.Int64
+	closeOnce sync.Once
 }
 
+// Read implements io.Reader.
 func (r *Reader) Read(b []byte) (int, error) {
-	left := r.left.Load()
-	if left == 0 {
+	remaining := r.remaining.Load()
+	if remaining == 0 {
 		return 0, io.EOF
 	}
-	all := r.payload.Bytes()
-	n := copy(b, all[len(all)-int(left):])
-	r.left.Add(-int64(n))
+	content := r.payload.Bytes()
+	n := copy(b, content[len(content)-int(remaining):])
+	r.remaining.Add(-int64(n))
 	return n, nil
 }
 
-// Again is another reading of the same payload, from its start. The reader must not be closed yet.
+// NewReader returns another reader of the same payload, from its start. The receiver must not be closed yet.
 func (r *Reader) NewReader() *Reader { return r.payload.NewReader() }
 
-// Left is how many bytes nobody has read yet.
-func (r *Reader) Remaining() int { return int(r.left.Load()) }
+// Remaining returns the number of unread bytes.
+func (r *Reader) Remaining() int { return int(r.remaining.Load()) }
 
+// Close releases the reader's reference. It may be called more than once.
 func (r *Reader) Close() error {
-	r.once.Do(r.payload.Release)
+	r.closeOnce.Do(r.payload.Release)
 	return nil
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -1,40 +1,40 @@
 package node
 
-import (
-	"canvasrouter/policy"
-)
+import "canvasrouter/policy"
 
-// Word is what one module tells another, in its form.
+// PeerMessage is an encoded message from one node's module to another's.
 type PeerMessage = [3]byte
 
-// Peers are the other nodes. The calls come from the module's actor and must not wait.
+// Peers are the other nodes of the fleet. The actor calls the methods, which must not block.
 type Peers interface {
-	Send(number int, word PeerMessage)
-	// Sent tells that a push goes out.
+	// Send sends a message to the node with a number.
+	Send(number int, message PeerMessage)
+	// PushSent records that a push is handed over to be sent.
 	PushSent(server policy.ServerID, category policy.CategoryID)
-	// Ended tells how a push ended and how long it took.
+	// PushEnded records the outcome of a push and how long it took.
 	PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros)
-	// Follow tells the list as it now is. It is read during the call only.
+	// ListChanged passes the current full server list, which is only read during the call.
 	ListChanged(list []policy.Entry)
 }
 
+// Messages to the actor.
 type (
-	peering struct{ peers Peers }
-	words   []byte
-	weighed struct{ parts map[policy.ServerID]float64 }
+	peersSet         struct{ peers Peers }
+	peerMessages     []byte
+	weightFactorsSet struct{ factors map[policy.ServerID]float64 }
 )
 
-// Peer says who the other nodes are from now on: nil, and the node hears nobody; what they judged is forgotten.
-func (n *Node) SetPeers(peers Peers) { n.send(peering{peers}) }
+// SetPeers sets the other nodes. With nil there is no peer messaging, and the weight factors are dropped.
+func (n *Node) SetPeers(peers Peers) { n.post(peersSet{peers}) }
 
-// Said hands over words that have come, one behind the other. It does not wait: where ops fill the mailbox, words are lost,
-// which it tells.
-func (n *Node) PeerMessagesReceived(said []byte) bool {
+// PeerMessagesReceived hands over received messages, encoded one after another. It does not block: if the mailbox is full the
+// messages are dropped and the result is false.
+func (n *Node) PeerMessagesReceived(messages []byte) bool {
 	select {
-	case n.mail <- words(said):
+	case n.mailbox <- peerMessages(messages):
 		select {
 		case <-n.stopped:
-			n.refuseAll()
+			n.rejectRemaining()
 		default:
 		}
 		return true
@@ -43,37 +43,43 @@
 	}
 }
 
-// Weigh says what part of servers' weights others' judgement leaves; who is absent has all. The map is the node's from now on.
-func (n *Node) SetWeightFactors(parts map[policy.ServerID]float64) { n.send(weighed{parts}) }
+// SetWeightFactors sets the fraction of each server's weight that remains after the peers' reports on it; a server that is
+// absent keeps its whole weight. The node takes over the map.
+func (n *Node) SetWeightFactors(factors map[policy.ServerID]float64) {
+	n.post(weightFactorsSet{factors})
+}
 
-func (n *Node) peer(peers Peers) {
+// setPeers replaces the peers and gives the new ones the server list.
+func (n *Node) setPeers(peers Peers) {
 	n.peers = peers
 	if peers == nil {
-		n.weigh(nil)
+		n.applyWeightFactors(nil)
 		return
 	}
 	peers.ListChanged(n.list)
 }
 
-// hear gives words to the newest generation: those before end what they have.
-func (n *Node) hear(said words) {
-	for length := len(PeerMessage{}); len(said) >= length; said = said[length:] {
-		n.step(n.newest(), &policy.Input{Kind: policy.PeerSaid, Said: said[:length]})
+// deliverPeerMessages passes messages to the newest generation; the older ones only finish their ops.
+func (n *Node) deliverPeerMessages(messages peerMessages) {
+	for length := len(PeerMessage{}); len(messages) >= length; messages = messages[length:] {
+		n.step(n.newestGeneration(), &policy.Input{Kind: policy.PeerSaid, Said: messages[:length]})
 	}
 }
 
-// weigh tells the modules of the servers whose part differs. Danger: only servers that are listed as ready; a judgement must
-// not bring back one that drains, and nothing here may look like a list that came.
-func (n *Node) weigh(parts map[policy.ServerID]float64) {
+// applyWeightFactors passes the servers whose factor has changed to the modules. It is limited to servers that are listed as
+// ready, since a report must not bring back a draining server, and it has a list form of its own, since the modules must
+// not take it for a list from the registry.
+func (n *Node) applyWeightFactors(factors map[policy.ServerID]float64) {
 	var changed []policy.Entry
 	for _, e := range n.list {
-		was, is := part(n.parts, e.Server), part(parts, e.Server)
-		if e.State == policy.Ready && was != is {
-			e.Weight *= is
+		before := weightFactor(n.weightFactors, e.Server)
+		after := weightFactor(factors, e.Server)
+		if e.State == policy.Ready && before != after {
+			e.Weight *= after
 			changed = append(changed, e)
 		}
 	}
-	n.parts = parts
+	n.weightFactors = factors
 	if len(changed) == 0 {
 		return
 	}
@@ -82,22 +88,23 @@
 	}
 }
 
-func part(of map[policy.ServerID]float64, server policy.ServerID) float64 {
-	if p, found := of[server]; found {
-		return p
+// weightFactor returns the factor of a server, which is 1 if it has none.
+func weightFactor(factors map[policy.ServerID]float64, server policy.ServerID) float64 {
+	if factor, found := factors[server]; found {
+		return factor
 	}
 	return 1
 }
 
-// partly is a list with the weights that judgement leaves.
-func (n *Node) partly(list []policy.Entry) []policy.Entry {
-	if len(n.parts) == 0 {
+// reweighted returns a list with the weight factors applied.
+func (n *Node) reweighted(list []policy.Entry) []policy.Entry {
+	if len(n.weightFactors) == 0 {
 		return list
 	}
-	out := make([]policy.Entry, len(list))
+	weighted := make([]policy.Entry, len(list))
 	for i, e := range list {
-		e.Weight *= part(n.parts, e.Server)
-		out[i] = e
+		e.Weight *= weightFactor(n.weightFactors, e.Server)
+		weighted[i] = e
 	}
-	return out
+	return weighted
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -11,55 +11,59 @@
 	"canvasrouter/policy"
 )
 
-// others is a stand-in for the other nodes.
-type others struct{ note func(string) }
+// fakePeers records the calls.
+type fakePeers struct{ record func(string) }
 
-func (o *others) Send(number int, w PeerMessage)              { o.note(fmt.Sprintf("told %d %v", number, w)) }
-func (o *others) PushSent(policy.ServerID, policy.CategoryID) { o.note("sent") }
-func (o *others) ListChanged(list []policy.Entry)             { o.note(fmt.Sprintf("follows %d", len(list))) }
-func (o *others) PushEnded(_ policy.ServerID, _ policy.CategoryID, how policy.Outcome, _ policy.Micros) {
-	o.note("ended " + how.String())
+func (o *fakePeers) Send(number int, message PeerMessage) {
+	o.record(fmt.Sprintf("sent to %d %v", number, message))
 }
 
-// What others hear and what comes from them: words out and in, ends of pushes, parts of weights of servers that are ready
-// and of no others, also in lists that come later; with nobody to hear, all weights are whole again.
+func (o *fakePeers) PushSent(policy.ServerID, policy.CategoryID) { o.record("push sent") }
+func (o *fakePeers) ListChanged(list []policy.Entry)             { o.record(fmt.Sprintf("list of %d", len(list))) }
+
+func (o *fakePeers) PushEnded(_ policy.ServerID, _ policy.CategoryID, outcome policy.Outcome, _ policy.Micros) {
+	o.record("push ended " + outcome.String())
+}
+
+// TestPeers checks messages in both directions, the reports on pushes, and the weight factors: they apply to ready servers
+// only, also in later lists, and are dropped without peers.
 func TestPeers(t *testing.T) {
-	var lists []string
-	got := play(t, 10, func(in *policy.Input) []policy.Effect {
+	var inputs []string
+	got := runScenario(t, 10, func(in *policy.Input) []policy.Effect {
 		switch in.Kind {
 		case policy.ListCame:
 			line := fmt.Sprint("form ", in.Form)
 			for _, e := range in.List {
 				line += fmt.Sprintf(", %d: %g", e.Server, e.Weight)
 			}
-			lists = append(lists, line)
+			inputs = append(inputs, line)
 		case policy.PeerSaid:
-			lists = append(lists, fmt.Sprint("said ", in.Said))
+			inputs = append(inputs, fmt.Sprint("message ", in.Said))
 		case policy.OpArrived:
 			return []policy.Effect{pushFor(100), {Kind: policy.Tell, Peer: 3, Said: [3]byte{1, 2, 3}}}
 		}
 		return nil
-	}, func(r *rig) {
-		lists = nil
+	}, func(r *harness) {
+		inputs = nil
 		entries := []policy.Entry{{Server: 7, Weight: 2}, {Server: 8, Weight: 2, State: policy.Draining}, {Server: 9, Weight: 1}}
 		r.ListReceived(&List{Form: policy.ListWhole, Entries: entries, Addrs: make([]string, 3)})
-		r.SetPeers(&others{r.note})
-		parts := map[policy.ServerID]float64{7: 0.25, 8: 0.25, 99: 0.25}
-		r.SetWeightFactors(parts)
-		r.SetWeightFactors(parts) // the same again is nothing new
+		r.SetPeers(&fakePeers{r.record})
+		factors := map[policy.ServerID]float64{7: 0.25, 8: 0.25, 99: 0.25}
+		r.SetWeightFactors(factors)
+		r.SetWeightFactors(factors) // unchanged factors are not passed on
 		r.ListReceived(&List{Form: policy.ListChanges, Entries: entries[:1], Addrs: make([]string, 1)})
 		r.PeerMessagesReceived([]byte{1, 1, 1, 2, 2, 2, 3})
 		synctest.Wait()
-		r.take()
+		r.submitOp()
 		r.PushEnded(r.pushes[0], Result{Outcome: policy.Reset})
 		r.SetPeers(nil)
 		synctest.Wait()
 	})
-	want := []string{"form 1, 7: 2, 8: 2, 9: 1", "form 4, 7: 0.5", "form 0, 7: 0.5", "said [1 1 1]", "said [2 2 2]", "form 4, 7: 2"}
-	if diff := cmp.Diff(want, lists); diff != "" {
+	want := []string{"form 1, 7: 2, 8: 2, 9: 1", "form 4, 7: 0.5", "form 0, 7: 0.5", "message [1 1 1]", "message [2 2 2]", "form 4, 7: 2"}
+	if diff := cmp.Diff(want, inputs); diff != "" {
 		t.Error(diff)
 	}
-	for _, line := range []string{"follows 3", "sent", "told 3 [1 2 3]", "ended reset"} {
+	for _, line := range []string{"list of 3", "push sent", "sent to 3 [1 2 3]", "push ended reset"} {
 		if !strings.Contains(strings.Join(got, "\n"), line) {
 			t.Errorf("no %q in %v", line, got)
 		}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -6,55 +6,68 @@
 	"canvasrouter/policy"
 )
 
-// timer is one entry of the actor's only heap.
+// timer is an entry of a timerQueue.
 type timer struct {
-	at    policy.Micros
-	order uint64 // of equal times, the first set is due first
-	place int    // in the heap, -1 outside
-	fire  func()
+	at       policy.Micros
+	sequence uint64 // timers due at the same time fire in the order in which they were set
+	index    int    // position in the heap, or -1
+	fire     func()
 }
 
-type timers struct {
-	heap []*timer
-	next uint64
+// timerQueue holds the actor's timers, ordered by due time. It implements heap.Interface for its own use.
+type timerQueue struct {
+	heap         []*timer
+	nextSequence uint64
 }
 
-func (t *timers) Len() int { return len(t.heap) }
-func (t *timers) Less(i, j int) bool {
+// Len implements heap.Interface.
+func (t *timerQueue) Len() int { return len(t.heap) }
+
+// Less implements heap.Interface.
+func (t *timerQueue) Less(i, j int) bool {
 	a, b := t.heap[i], t.heap[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
-func (t *timers) Swap(i, j int) {
+
+// Swap implements heap.Interface.
+func (t *timerQueue) Swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.heap[i].place, t.heap[j].place = i, j
+	t.heap[i].index = i
+	t.heap[j].index = j
 }
-func (t *timers) Push(x any) {
-	x.(*timer).place = len(t.heap)
+
+// Push implements heap.Interface.
+func (t *timerQueue) Push(x any) {
+	x.(*timer).index = len(t.heap)
 	t.heap = append(t.heap, x.(*timer))
 }
-func (t *timers) Pop() any {
+
+// Pop implements heap.Interface.
+func (t *timerQueue) Pop() any {
 	last := t.heap[len(t.heap)-1]
 	t.heap[len(t.heap)-1] = nil
 	t.heap = t.heap[:len(t.heap)-1]
-	last.place = -1
+	last.index = -1
 	return last
 }
 
-func (t *timers) set(at policy.Micros, fire func()) *timer {
-	t.next++
-	entry := &timer{at: at, order: t.next, fire: fire}
+// set adds a timer that calls fire when it is due.
+func (t *timerQueue) set(at policy.Micros, fire func()) *timer {
+	t.nextSequence++
+	entry := &timer{at: at, sequence: t.nextSequence, fire: fire}
 	heap.Push(t, entry)
 	return entry
 }
 
-func (t *timers) stop(entry *timer) {
-	if entry != nil && entry.place >= 0 {
-		heap.Remove(t, entry.place)
+// stop removes a timer. It does nothing if the timer is nil, has fired or was stopped before.
+func (t *timerQueue) stop(entry *timer) {
+	if entry != nil && entry.index >= 0 {
+		heap.Remove(t, entry.index)
 	}
 }
 
-// due takes out the first timer if it is due.
-func (t *timers) due(now policy.Micros) *timer {
+// popDue removes and returns the first timer if it is due, or returns nil.
+func (t *timerQueue) popDue(now policy.Micros) *timer {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return nil
 	}
