--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -20,312 +20,335 @@
 )
 
 const (
-	// mostHead is the most bytes of an answer's head.
-	mostHead = 16 << 10
-	// stallDials is how long an answer that has begun may bring nothing, in dial times: the settings' figure for what
-	// the network needs.
-	stallDials = 2
-	// rest is how long a connection stands after an answer before it is used again or closed: what a server sends
-	// behind its answer has come by then, and the transport has handed the answer on.
-	rest = 2 * time.Millisecond
-	// unknown is the length of an answer whose end the head does not tell.
-	unknown = -1
+	// maxHeadBytes is the maximum length of an answer's status line and headers.
+	maxHeadBytes = 16 << 10
+	// stallTimeoutFactor times the dial time-out, the setting for what the network needs, is how long an answer that has
+	// begun may bring nothing.
+	stallTimeoutFactor = 2
+	// minIdleTime is how long a connection is idle after an answer before it is used again or closed. By then, excess bytes
+	// that the server sent after its answer have arrived, and the transport has handed the answer on.
+	minIdleTime = 2 * time.Millisecond
+	// unknownLength is the body length of an answer whose head does not tell where the body ends.
+	unknownLength = -1
 )
 
 var (
-	errNotAsked = errors.New("the connection brought what belongs to no push")
-	errSpoilt   = errors.New("the answer can't be read")
-	proto       = []byte("HTTP/1.")
+	errUnsolicitedBytes = errors.New("received bytes that belong to no push")
+	errMalformedAnswer  = errors.New("malformed answer")
+	protocolPrefix      = []byte("HTTP/1.")
 )
 
-// What the last write on a connection came to, since its push began.
+// How much of the last write on a connection was accepted, since its push was assigned.
 const (
-	nothing int32 = iota
-	short         // it failed before its end
-	whole         // it was taken to the end, or is under way
+	writtenNothing int32 = iota
+	writtenPartly        // the write failed before its end
+	writtenFully         // the write was accepted completely, or is in progress
 )
 
-// phase is what a connection waits for.
-type phase uint8
+// connState tells which part of an answer a connection expects next.
+type connState uint8
 
+// The states of a connection.
 const (
-	idle phase = iota // no push is out on it
-	head              // of an answer; some may have come
-	body
-	spent // it is of no further use: no push may begin on it
+	stateIdle     connState = iota // no push is in flight on the connection
+	stateHead                      // the head of an answer; part of it may have been received
+	stateBody                      // the body of an answer
+	stateUnusable                  // the connection must not be used for another push
 )
 
-// conn guards one connection. It remembers how its writes went, follows where each answer ends, and lets the transport
-// see no byte beyond.
+// conn is a connection to a server. It records how much of each push was written, determines where each answer ends, and
+// does not pass on any byte beyond that end.
 //
-// Danger: http.Transport looks for bytes behind an answer only once the connection is idle, and a push that takes it in
-// between reads them as its own answer; a client would be served another's.
+// http.Transport detects bytes after an answer only once the connection is idle. A push that gets the connection before
+// that would read them as its own answer, and its client would be sent the answer to another request.
 type conn struct {
 	*sockets.Conn
-	of    *peer
-	in    *keep
-	raw   syscall.RawConn // nil where the kernel can't be asked
-	stall time.Duration
-	wrote atomic.Int32 // since its push began
+	owner        *serverActor
+	openConns    *connSet
+	rawConn      syscall.RawConn // nil if the connection is not a socket
+	stallTimeout time.Duration   // how long an answer that has begun may bring nothing
+	written      atomic.Int32    // writtenNothing, writtenPartly or writtenFully
 
-	mu     sync.Mutex
-	push   *node.Push // that has the connection, until it begins
-	fresh  bool       // it has written nothing yet
-	at     phase      // what comes next
-	since  time.Time  // idle
-	served bool       // it has brought an answer
-	head   []byte     // so far
-	left   int        // of the body, or unknown
-	came   bool       // some of the answer to the present push
-	broken bool       // by the other side
-	shed   bool       // closed here, as it stood idle
+	mu              sync.Mutex // guards the fields below
+	push            *node.Push // the push that the connection is assigned to, until its first write
+	unwritten       bool       // the assigned push has written nothing yet
+	state           connState  // what is expected next
+	idleSince       time.Time  // start of the current idle time
+	hasServed       bool       // at least one answer was received
+	headBuffer      []byte     // the part of the head received so far
+	bodyLeft        int        // unread bytes of the body, or unknownLength
+	answerStarted   bool       // part of the answer to the current push was received
+	brokenByServer  bool       // ended or reset by the server
+	closedWhileIdle bool       // closed by closeIfIdle
 }
 
+// Close closes the connection and removes it from the open connections.
 func (c *conn) Close() error {
-	c.in.remove(c)
+	c.openConns.remove(c)
 	return c.Conn.Close()
 }
 
-// unrested says how long the connection has to stand yet before a push. A new one has brought nothing.
-func (c *conn) unrested() time.Duration {
+// idleTimeNeeded returns how much longer the connection has to be idle before a push may be written. A new connection has
+// received nothing and needs no idle time.
+func (c *conn) idleTimeNeeded() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.served {
+	if !c.hasServed {
 		return 0
 	}
-	return rest - time.Since(c.since)
+	return minIdleTime - time.Since(c.idleSince)
 }
 
-// begin is told of each push that gets the connection.
-func (c *conn) begin(push *node.Push) {
+// assign records the push that gets the connection.
+func (c *conn) assign(push *node.Push) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote.Store(nothing)
-	c.push, c.fresh, c.came = push, true, false
+	c.written.Store(writtenNothing)
+	c.push = push
+	c.unwritten = true
+	c.answerStarted = false
 }
 
-// spoilt says that an answer came that can't be read, on a connection that holds.
-func (c *conn) spoilt() bool {
+// answerMalformed reports whether an answer was received that can't be parsed, on a connection that the server has not broken.
+func (c *conn) answerMalformed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came && !c.broken
+	return c.answerStarted && !c.brokenByServer
 }
 
-// replied says that some of an answer to the present push has come.
-func (c *conn) replied() bool {
+// hasAnswerStarted reports whether part of the answer to the current push was received.
+func (c *conn) hasAnswerStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	return c.answerStarted
 }
 
-// dropped says that the connection was closed here before the push that got it had written anything.
-func (c *conn) dropped() bool {
+// wasClosedWhileIdle reports whether this process closed the connection while it was idle. A push that it was assigned to at
+// the same moment has written nothing.
+func (c *conn) wasClosedWhileIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shed
+	return c.closedWhileIdle
 }
 
-// stirred says that bytes or an end have come that nobody has read yet.
-func (c *conn) stirred() bool {
-	_, stirred := sockets.Peek(c.raw)
-	return stirred
+// hasUnread reports whether bytes, an end or a reset were received that have not been read yet.
+func (c *conn) hasUnread() bool {
+	_, unread := sockets.Peek(c.rawConn)
+	return unread
 }
 
+// Write writes part of a request. Before the first byte of a push it waits until the connection has been idle long enough,
+// and it fails if the connection or the push can no longer be used.
 func (c *conn) Write(b []byte) (int, error) {
-	time.Sleep(c.unrested())
-	if !c.fit() {
-		return 0, errNotAsked
+	time.Sleep(c.idleTimeNeeded())
+	if !c.beginWrite() {
+		return 0, errUnsolicitedBytes
 	}
-	c.wrote.Store(whole)
+	c.written.Store(writtenFully)
 	n, err := c.Conn.Write(b)
 	if n < len(b) {
-		// Danger: the server may have answered before it had read the whole, and broken then. The write learns of the break
-		// before anybody has read the answer, and the connection is closed on it.
-		if unread, _ := sockets.Peek(c.raw); unread {
+		// The server may have answered before it had read the whole request, and then broken the connection. The failed
+		// write closes the connection before the answer is read, so the unread answer has to be noticed here.
+		if unread, _ := sockets.Peek(c.rawConn); unread {
 			c.mu.Lock()
-			c.came, c.broken = true, true
+			c.answerStarted = true
+			c.brokenByServer = true
 			c.mu.Unlock()
 		}
-		c.wrote.Store(short)
+		c.written.Store(writtenPartly)
 	}
 	return n, err
 }
 
-// fit says whether a push may be written: before its first byte the connection must be as the last answer left it.
-func (c *conn) fit() bool {
+// beginWrite reports whether the current push may be written. Before the first byte of a push, nothing may have been received
+// on the connection since the last answer.
+func (c *conn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fresh {
+	if !c.unwritten {
 		return true
 	}
-	if c.at != idle || c.stirred() {
-		c.at = spent
+	if c.state != stateIdle || c.hasUnread() {
+		c.state = stateUnusable
 		return false
 	}
-	// Danger: the wait for a connection, or for it to have rested, may have been long.
+	// The push may have waited long for a connection, or for the connection's idle time.
 	if c.push != nil && !c.push.TryBegin() {
-		c.at = spent
+		c.state = stateUnusable
 		return false
 	}
-	c.push, c.fresh, c.at, c.head = nil, false, head, c.head[:0]
+	c.push = nil
+	c.unwritten = false
+	c.state = stateHead
+	c.headBuffer = c.headBuffer[:0]
 	return true
 }
 
-// Read gives the transport the bytes of the answer that is waited for, and no others. Danger: an answer that begins and
-// never goes on would cost its push all the time it has.
+// Read passes the bytes of the expected answer to the transport, and no others. It fails if an answer that has begun brings
+// nothing for stallTimeout: otherwise the push would wait for its whole time-out.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.receive(b)
-		if errors.Is(err, os.ErrDeadlineExceeded) && c.stirred() {
-			c.SetReadDeadline(time.Now().Add(c.stall)) // bytes are there: it was this process that had to wait
+		if errors.Is(err, os.ErrDeadlineExceeded) && c.hasUnread() {
+			c.SetReadDeadline(time.Now().Add(c.stallTimeout)) // bytes have arrived: this process was late, not the server
 			continue
 		}
 		return n, err
 	}
 }
 
-// receiveAnyhow is receive where the two steps can't be one.
-func (c *conn) receiveAnyhow(b []byte) (int, error) {
+// readThenTrack does the work of receive in two separate steps, where they can't be combined.
+func (c *conn) readThenTrack(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follow(b[:n], err)
+	return c.track(b[:n], err)
 }
 
-// follow takes what was read and says how much of it belongs to the answer that is waited for. The caller holds mu.
-func (c *conn) follow(b []byte, err error) (int, error) {
+// track processes what was read and returns how many of the bytes belong to the expected answer. The caller holds mu.
+func (c *conn) track(b []byte, err error) (int, error) {
 	switch {
 	case err != nil:
-		c.broken = !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed)
+		c.brokenByServer = !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed)
 		return len(b), err
-	case c.at == idle || c.at == spent:
-		c.at = spent
-		return 0, errNotAsked
+	case c.state == stateIdle || c.state == stateUnusable:
+		c.state = stateUnusable
+		return 0, errUnsolicitedBytes
 	}
-	c.came = true
+	c.answerStarted = true
 	used := 0
-	for used < len(b) && (c.at == head || c.at == body) {
-		n, ok := len(b)-used, true
+	for used < len(b) && (c.state == stateHead || c.state == stateBody) {
+		n := len(b) - used
+		ok := true
 		switch {
-		case c.at == head:
-			n, ok = c.readHead(b[used:])
-		case c.left != unknown:
-			n = min(n, c.left)
-			c.left -= n
+		case c.state == stateHead:
+			n, ok = c.parseHead(b[used:])
+		case c.bodyLeft != unknownLength:
+			n = min(n, c.bodyLeft)
+			c.bodyLeft -= n
 		}
 		if !ok {
-			c.at = spent
-			return 0, errSpoilt
+			c.state = stateUnusable
+			return 0, errMalformedAnswer
 		}
 		used += n
-		if c.at == body && c.left == 0 {
-			c.at, c.since, c.served = idle, time.Now(), true
+		if c.state == stateBody && c.bodyLeft == 0 {
+			c.state = stateIdle
+			c.idleSince = time.Now()
+			c.hasServed = true
 		}
 	}
 	if used < len(b) {
-		// An end right behind the answer: the transport never gives such a connection to another push.
-		c.at = spent
+		// Excess bytes: report an end right after the answer, so that the transport does not reuse the connection.
+		c.state = stateUnusable
 		return used, io.EOF
 	}
-	var until time.Time // none: the answer is whole, or was an interim one, and the next may take its time
-	if c.at == body || c.at == head && len(c.head) > 0 {
-		until = time.Now().Add(c.stall)
+	// There is no deadline after a complete answer, nor after an interim one, which the final one may follow late.
+	var deadline time.Time
+	if c.state == stateBody || c.state == stateHead && len(c.headBuffer) > 0 {
+		deadline = time.Now().Add(c.stallTimeout)
 	}
-	c.SetReadDeadline(until)
+	c.SetReadDeadline(deadline)
 	return used, nil
 }
 
-// readHead takes the head's part of b, and at the head's end learns from the library what follows. It is not ok if no
-// answer can begin or end so. Danger: of a length and chunks together the library takes the chunks, and one of the two
-// is not true.
-func (c *conn) readHead(b []byte) (used int, ok bool) {
-	before, all := len(c.head), b
-	if before > 0 {
-		c.head = append(c.head, b...)
-		all = c.head
+// parseHead consumes the bytes of b that belong to the head, and at the end of the head determines the length of the body.
+// It is not ok for bytes that are no head of an answer, and for a head with both a length and chunked encoding: the library
+// would use the chunks, and one of the two must be wrong.
+func (c *conn) parseHead(b []byte) (used int, ok bool) {
+	buffered := len(c.headBuffer)
+	head := b
+	if buffered > 0 {
+		c.headBuffer = append(c.headBuffer, b...)
+		head = c.headBuffer
 	}
-	if n := min(len(all), len(proto)); !bytes.Equal(all[:n], proto[:n]) {
+	if n := min(len(head), len(protocolPrefix)); !bytes.Equal(head[:n], protocolPrefix[:n]) {
 		return 0, false
 	}
-	end := headEnd(all)
-	if end < 0 {
-		if before == 0 {
-			c.head = append(c.head, b...)
+	length := headLength(head)
+	if length < 0 {
+		if buffered == 0 {
+			c.headBuffer = append(c.headBuffer, b...)
 		}
-		return len(b), len(all) <= mostHead
+		return len(b), len(head) <= maxHeadBytes
 	}
-	all = all[:end]
-	answer, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(all), end), nil)
-	if err != nil || len(answer.TransferEncoding) > 0 && bytes.Contains(bytes.ToLower(all), []byte("\ncontent-length:")) {
+	head = head[:length]
+	answer, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(head), length), nil)
+	if err != nil || len(answer.TransferEncoding) > 0 && bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:")) {
 		return 0, false
 	}
-	c.head = c.head[:0]
+	c.headBuffer = c.headBuffer[:0]
 	switch code := answer.StatusCode; {
 	case code == http.StatusSwitchingProtocols:
-		c.at, c.left = body, unknown
+		c.state = stateBody
+		c.bodyLeft = unknownLength
 	case code >= 200:
-		c.at, c.left = body, int(answer.ContentLength)
+		c.state = stateBody
+		c.bodyLeft = int(answer.ContentLength)
 	}
-	return end - before, true
+	return length - buffered, true
 }
 
-// headEnd is where the first empty line ends, or -1.
-func headEnd(b []byte) int {
-	end := -1
+// headLength returns the length of the head, up to the end of the first empty line, or -1.
+func headLength(b []byte) int {
+	length := -1
 	for _, empty := range []string{"\n\r\n", "\n\n"} {
-		if i := bytes.Index(b, []byte(empty)); i >= 0 && (end < 0 || i+len(empty) < end) {
-			end = i + len(empty)
+		if i := bytes.Index(b, []byte(empty)); i >= 0 && (length < 0 || i+len(empty) < length) {
+			length = i + len(empty)
 		}
 	}
-	return end
+	return length
 }
 
-// keep holds the connections of all peers, so that idle ones can be closed when sockets run short.
+// connSet holds the connections to all servers, so that idle ones can be closed when sockets run short.
 //
-// Danger: the transport counts a connection as idle before it has handed on an answer without a body; its own
-// CloseIdleConnections would cut that answer off. So a connection is only closed here once it has rested.
-type keep struct {
-	part  *sockets.Budget
-	mu    sync.Mutex
-	conns map[*conn]bool
+// The transport counts a connection as idle before it has handed on an answer without a body, and its own
+// CloseIdleConnections would lose that answer. So connections are closed here, and only after minIdleTime.
+type connSet struct {
+	budget *sockets.Budget
+	mu     sync.Mutex // guards conns
+	conns  map[*conn]bool
 }
 
-func (k *keep) add(c *conn) *conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	c.since = time.Now()
+// add registers a new connection.
+func (s *connSet) add(c *conn) *conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.idleSince = time.Now()
 	if socket, ok := c.Conn.Conn.(syscall.Conn); ok {
-		c.raw, _ = socket.SyscallConn()
+		c.rawConn, _ = socket.SyscallConn()
 	}
-	k.conns[c] = true
+	s.conns[c] = true
 	return c
 }
 
-func (k *keep) remove(c *conn) {
-	if k == nil {
+// remove removes a connection that is being closed. It does nothing on a nil set.
+func (s *connSet) remove(c *conn) {
+	if s == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.conns, c)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
 }
 
-// stood is how long no push has been out on the connection; negative while one is.
-func (c *conn) stood() time.Duration {
+// idleTime returns how long no push has been in flight on the connection; it is negative while one is.
+func (c *conn) idleTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at != idle || c.fresh {
+	if c.state != stateIdle || c.unwritten {
 		return -1
 	}
-	return time.Since(c.since)
+	return time.Since(c.idleSince)
 }
 
-// closeRested closes the connection unless a push has just got it.
-func (c *conn) closeRested() {
+// closeIfIdle closes the connection if it has been idle for minIdleTime and is not assigned to a push.
+func (c *conn) closeIfIdle() {
 	c.mu.Lock()
-	free := c.at == idle && !c.fresh && time.Since(c.since) >= rest
+	free := c.state == stateIdle && !c.unwritten && time.Since(c.idleSince) >= minIdleTime
 	if free {
-		c.at, c.shed = spent, true
+		c.state = stateUnusable
+		c.closedWhileIdle = true
 	}
 	c.mu.Unlock()
 	if free {
@@ -333,33 +356,35 @@
 	}
 }
 
-// shed closes the connection that has been idle longest. If none has rested, it looks again soon for who still waits.
-func (k *keep) shed() {
-	k.mu.Lock()
+// closeLongestIdle closes the connection that has been idle longest. If none has been idle for minIdleTime, the budget checks
+// again after that time whether a socket is still needed.
+func (s *connSet) closeLongestIdle() {
+	s.mu.Lock()
 	var oldest *conn
-	most := time.Duration(-1)
-	for c := range k.conns {
-		if stood := c.stood(); stood > most {
-			oldest, most = c, stood
+	longest := time.Duration(-1)
+	for c := range s.conns {
+		if idleTime := c.idleTime(); idleTime > longest {
+			oldest = c
+			longest = idleTime
 		}
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	switch {
-	case most >= rest:
-		oldest.closeRested()
+	case longest >= minIdleTime:
+		oldest.closeIfIdle()
 	case oldest != nil:
-		time.AfterFunc(rest, k.part.NotifyIdle)
+		time.AfterFunc(minIdleTime, s.budget.NotifyIdle)
 	}
 }
 
-// closeIdle closes what is idle of a peer that gets no new push.
-func (k *keep) closeIdle(of *peer) {
-	k.mu.Lock()
-	conns := slices.Collect(maps.Keys(k.conns))
-	k.mu.Unlock()
+// closeIdleOf closes the idle connections of one server actor.
+func (s *connSet) closeIdleOf(owner *serverActor) {
+	s.mu.Lock()
+	conns := slices.Collect(maps.Keys(s.conns))
+	s.mu.Unlock()
 	for _, c := range conns {
-		if c.of == of {
-			c.closeRested()
+		if c.owner == owner {
+			c.closeIfIdle()
 		}
 	}
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -1,4 +1,4 @@
-// Package servers carries pushes to servers: an actor with a mailbox for each, over http.Transport.
+// Package servers sends pushes to servers over HTTP. Each server has an actor with a mailbox and an http.Transport of its own.
 package servers
 
 import (
@@ -12,33 +12,39 @@
 	"canvasrouter/policy"
 )
 
-// Options are what the settings say of connections to servers.
+// Options are the settings of connections to servers.
 type Options struct {
-	DialTimeout       time.Duration // a connection not open within this has failed
-	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long; 0: not told
-	MaxInFlight       int           // pushes that can be out together
+	DialTimeout       time.Duration // limit for opening a connection, including the wait for a socket
+	ServerIdleTimeout time.Duration // a server closes connections that were idle for this long; 0: not known
+	MaxInFlight       int           // maximum number of pushes in flight at a time
 }
 
-// Pool holds the actors of the servers on the list. Its methods are for the module's actor alone; they never
-// wait.
+// Pool holds an actor for each server on the list. It implements node.Servers: its methods are called by the node's actor
+// only, and they do not block.
 type Pool struct {
-	options Options
-	part    *sockets.Budget
-	log     zerolog.Logger
-	end     func(*node.Push, node.Result)
-	peers   map[policy.ServerID]*peer
-	kept    *keep
+	options   Options
+	budget    *sockets.Budget
+	log       zerolog.Logger
+	onPushEnd func(*node.Push, node.Result)
+	actors    map[policy.ServerID]*serverActor
+	openConns *connSet
 }
 
-// New makes a pool that ends each push it was given with end, once.
-func New(options Options, part *sockets.Budget, log zerolog.Logger, end func(*node.Push, node.Result)) *Pool {
-	p := &Pool{options: options, part: part, log: log, end: end, peers: make(map[policy.ServerID]*peer),
-		kept: &keep{part: part, conns: make(map[*conn]bool)}}
-	part.OnExhausted(p.kept.shed)
+// New returns an empty pool. It calls onPushEnd once for each push that it was given.
+func New(options Options, budget *sockets.Budget, log zerolog.Logger, onPushEnd func(*node.Push, node.Result)) *Pool {
+	p := &Pool{
+		options:   options,
+		budget:    budget,
+		log:       log,
+		onPushEnd: onPushEnd,
+		actors:    make(map[policy.ServerID]*serverActor),
+		openConns: &connSet{budget: budget, conns: make(map[*conn]bool)},
+	}
+	budget.OnExhausted(p.openConns.closeLongestIdle)
 	return p
 }
 
-// Follow takes over a list: new servers get an actor, those that left give theirs back after their last push.
+// UpdateList applies a server list: new servers get an actor, and the actors of removed servers end after their last push.
 func (p *Pool) UpdateList(list *node.List) {
 	if list.Form == policy.ListFailed {
 		return
@@ -50,75 +56,75 @@
 			continue
 		}
 		listed[e.Server] = true
-		if old := p.peers[e.Server]; old != nil {
-			// Danger: a server that has started again, or elsewhere, knows nothing of the connections kept to
-			// it; a write on one would be a reset.
-			if old.addr == list.Addrs[i] && old.started == e.Started {
+		if old := p.actors[e.Server]; old != nil {
+			// A server that has restarted, or moved to another address, does not know the connections that were kept
+			// open to it, and a push written on one of them would be reset.
+			if old.addr == list.Addrs[i] && old.startedAt == e.Started {
 				continue
 			}
 			p.retire(e.Server)
 		}
-		p.peers[e.Server] = p.start(e.Server, list.Addrs[i], e.Started)
+		p.actors[e.Server] = p.startActor(e.Server, list.Addrs[i], e.Started)
 	}
 	if list.Form == policy.ListChanges {
 		return
 	}
-	for id := range p.peers {
+	for id := range p.actors {
 		if !listed[id] {
 			p.retire(id)
 		}
 	}
 }
 
-// Use lets pushes from now on go by other options. Connections kept under the old ones close; what is out ends on its
-// own.
+// SetOptions makes later pushes use other options. Idle connections that were opened under the old ones are closed, and
+// pushes in flight end normally.
 func (p *Pool) SetOptions(options Options) {
 	if options == p.options {
 		return
 	}
 	p.options = options
-	for id, old := range p.peers {
+	for id, old := range p.actors {
 		p.retire(id)
-		p.peers[id] = p.start(id, old.addr, old.started)
+		p.actors[id] = p.startActor(id, old.addr, old.startedAt)
 	}
 }
 
-// CloseIdle closes the connections to a server that no push is out on.
+// CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(id policy.ServerID) {
-	if peer := p.peers[id]; peer != nil {
-		p.kept.closeIdle(peer)
+	if actor := p.actors[id]; actor != nil {
+		p.openConns.closeIdleOf(actor)
 	}
 }
 
-// Push hands a push to its server's actor. Danger: the module's actor must not wait here. The mailbox has room
-// for every push that can be out, so a full one means that this bound is wrong; the push then ends as never
-// connected, which it is.
+// Push hands a push to its server's actor. It must not block, because it runs in the node's actor. The mailbox has room for
+// every push that can be in flight, so a full mailbox means that MaxInFlight is wrong; the push then ends as not connected.
 func (p *Pool) Push(push *node.Push) {
-	if peer := p.peers[push.Server]; peer != nil {
+	if actor := p.actors[push.Server]; actor != nil {
 		select {
-		case peer.mail <- push:
+		case actor.mailbox <- push:
 			return
 		default:
-			p.log.Error().Str("server", peer.addr).Msg("mailbox of a server is full")
+			p.log.Error().Str("server", actor.addr).Msg("mailbox of a server is full")
 		}
 	}
 	go func() {
 		push.Body.Close()
-		p.end(push, node.Result{Outcome: policy.ConnectFailed})
+		p.onPushEnd(push, node.Result{Outcome: policy.ConnectFailed})
 	}()
 }
 
-func (p *Pool) start(id policy.ServerID, addr string, started policy.Micros) *peer {
+// startActor starts an actor for a server.
+func (p *Pool) startActor(id policy.ServerID, addr string, startedAt policy.Micros) *serverActor {
 	log := p.log.With().Str("server", fmt.Sprintf("%012x", id)).Logger()
-	peer := newPeer(addr, started, p.options, p.part, p.kept, log, p.end)
-	go peer.run()
-	return peer
+	actor := newServerActor(addr, startedAt, p.options, p.budget, p.openConns, log, p.onPushEnd)
+	go actor.run()
+	return actor
 }
 
-// retire closes the mailbox; the actor ends with its last push.
+// retire removes a server's actor, which ends after its last push.
 func (p *Pool) retire(id policy.ServerID) {
-	if peer := p.peers[id]; peer != nil {
-		close(peer.mail)
-		delete(p.peers, id)
+	if actor := p.actors[id]; actor != nil {
+		close(actor.mailbox)
+		delete(p.actors, id)
 	}
 }
--- a/internal/sockets/peek_other.go
+++ b/internal/sockets/peek_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Peek can't tell here.
-func Peek(syscall.RawConn) (bytes, stirred bool) { return false, false }
+// Peek always reports false: unread data can't be detected on this platform.
+func Peek(syscall.RawConn) (unreadBytes, unreadAny bool) { return false, false }
--- a/internal/sockets/peek_unix.go
+++ b/internal/sockets/peek_unix.go
@@ -8,16 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peek says whether bytes have come on a connection that nobody has read yet, and whether anything has: bytes, an end or a break.
-// It takes nothing out and does not wait, also while somebody else waits to read. Without raw nothing is told.
-func Peek(raw syscall.RawConn) (bytes, stirred bool) {
+// Peek reports whether a connection has unread bytes, and whether anything unread was received at all: bytes, an end or an
+// error. It consumes nothing and does not block, also while another goroutine is reading. With a nil raw both are false.
+func Peek(raw syscall.RawConn) (unreadBytes, unreadAny bool) {
 	if raw == nil {
 		return false, false
 	}
 	err := raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		bytes, stirred = n > 0 && err == nil, err != unix.EAGAIN && err != unix.EINTR
+		unreadBytes = n > 0 && err == nil
+		unreadAny = err != unix.EAGAIN && err != unix.EINTR
 	})
-	return bytes, stirred || err != nil
+	return unreadBytes, unreadAny || err != nil
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,4 +1,4 @@
-// Package sockets is the one budget of a process's sockets: clients, servers and the registry draw on it.
+// Package sockets divides the sockets that a process may open among clients, servers and the registry.
 package sockets
 
 import (
@@ -11,94 +11,97 @@
 )
 
 const (
-	// reserve is kept for the runtime's own files: standard streams, the poller, the listener, files being read.
-	reserve = 24
-	// registryShare is kept for the registry: a watch, a whole list, and one of each being given up.
-	registryShare = 4
+	// reservedFiles are the file descriptors kept for the process itself: standard streams, the poller, the listener and
+	// files being read.
+	reservedFiles = 24
+	// registrySockets are the sockets for the registry: a watch, a request for the full list, and one of each that is being
+	// closed.
+	registrySockets = 4
 )
 
-// Part is a share of the budget. What a part holds never exceeds it, so that no side can starve another: clients
-// in number can't take the sockets that answer them.
+// Budget limits the number of open sockets for one purpose. Separate budgets keep one side from starving another: many clients
+// can't take the sockets to the servers that answer them.
 type Budget struct {
-	room    *semaphore.Weighted
-	shed    func() // gives idle connections back; called when the part runs short
-	size    int
-	waiting atomic.Int32
+	slots     *semaphore.Weighted
+	closeIdle func() // closes an idle connection; called when no slot is free
+	size      int
+	waiters   atomic.Int32 // callers of Acquire that are waiting
 }
 
-// Split divides the limit of a process among clients, servers and the registry, and says how many ops may be in
-// hand at once: each holds a client's socket and one to a server.
+// Split divides the file descriptor limit of a process among clients, servers and the registry, and returns how many ops may
+// be pending at a time. Each op needs a client's socket and one to a server.
 //
-// Danger: an op whose connection waits in the backlog has been taken, and is lost at its deadline. So clients
-// have room beyond the ops in hand, in which one more is read and answered at once. Danger: a node's own
-// shortage would look like servers that can't be reached. So servers have room for second pushes and for
-// connections that are just being closed.
+// An op whose connection waits in the listener's backlog counts as taken, and would be lost at its deadline. So clients get
+// more sockets than there may be pending ops, and excess ops are read and nacked at once. A shortage in this process would
+// look like servers that can't be reached. So servers get more sockets than there may be pending ops, for second pushes and
+// for connections that are being closed.
 func Split(limit int) (clients, servers, registry *Budget, ops int) {
-	rest := limit - reserve - registryShare
-	forServers := rest * 15 / 32
-	return NewBudget(rest - forServers), NewBudget(forServers), NewBudget(registryShare), rest * 13 / 32
+	available := limit - reservedFiles - registrySockets
+	serverSockets := available * 15 / 32
+	return NewBudget(available - serverSockets), NewBudget(serverSockets), NewBudget(registrySockets), available * 13 / 32
 }
 
-// NewPart makes a part of so many sockets.
+// NewBudget returns a budget of size sockets.
 func NewBudget(size int) *Budget {
-	return &Budget{room: semaphore.NewWeighted(int64(size)), shed: func() {}, size: size}
+	return &Budget{slots: semaphore.NewWeighted(int64(size)), closeIdle: func() {}, size: size}
 }
 
-// Size is how many sockets the part may hold.
-func (p *Budget) Size() int { return p.size }
+// Size returns the number of sockets in the budget.
+func (b *Budget) Size() int { return b.size }
 
-// OnShort names what gives idle connections back. It must be called before the part is used.
-func (p *Budget) OnExhausted(shed func()) { p.shed = shed }
+// OnExhausted sets the function that closes an idle connection. It must be called before the budget is used.
+func (b *Budget) OnExhausted(closeIdle func()) { b.closeIdle = closeIdle }
 
-// Take takes room for one socket; when there is none, idle connections go first and Take waits until ctx is
-// done.
-func (p *Budget) Acquire(ctx context.Context) error {
-	if p.room.TryAcquire(1) {
+// Acquire acquires a slot for one socket. If no slot is free, it asks for an idle connection to be closed and waits for a slot
+// until ctx is done.
+func (b *Budget) Acquire(ctx context.Context) error {
+	if b.slots.TryAcquire(1) {
 		return nil
 	}
-	p.waiting.Add(1)
-	defer p.waiting.Add(-1)
-	p.shed()
-	return p.room.Acquire(ctx, 1)
+	b.waiters.Add(1)
+	defer b.waiters.Add(-1)
+	b.closeIdle()
+	return b.slots.Acquire(ctx, 1)
 }
 
-// Waiting is how many wait for room.
-func (p *Budget) Waiters() int { return int(p.waiting.Load()) }
+// Waiters returns how many callers of Acquire are waiting.
+func (b *Budget) Waiters() int { return int(b.waiters.Load()) }
 
-// Idle says that a connection has fallen idle. Danger: one that does so while somebody waits for room would keep
-// it, and the one that waits would wait as long as it stays idle.
-func (p *Budget) NotifyIdle() {
-	if p.Waiters() > 0 {
-		p.shed()
+// NotifyIdle reports that a connection has become idle. If a caller of Acquire is waiting, an idle connection is closed;
+// otherwise that caller would wait for as long as the connections stay idle.
+func (b *Budget) NotifyIdle() {
+	if b.Waiters() > 0 {
+		b.closeIdle()
 	}
 }
 
-// Give gives the room of one socket back that never opened.
-func (p *Budget) Release() { p.room.Release(1) }
+// Release releases the slot of a socket that was not opened.
+func (b *Budget) Release() { b.slots.Release(1) }
 
-// Own makes conn the owner of the room taken for it, until it is closed.
-func (p *Budget) Wrap(conn net.Conn) *Conn { return &Conn{Conn: conn, part: p} }
+// Wrap returns a connection that releases the slot acquired for conn when it is closed.
+func (b *Budget) Wrap(conn net.Conn) *Conn { return &Conn{Conn: conn, budget: b} }
 
-// Conn gives its room back when it is closed, once.
+// Conn is a connection that releases its slot when it is closed.
 type Conn struct {
 	net.Conn
-	part *Budget
-	once sync.Once
+	budget      *Budget
+	releaseOnce sync.Once
 }
 
+// Close closes the connection. The first call releases the slot.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.part.Release)
+	c.releaseOnce.Do(c.budget.Release)
 	return err
 }
 
-// Dialer opens connections within a part.
+// Dialer opens connections within a budget.
 type Dialer struct {
 	net.Dialer
 	Budget *Budget
 }
 
-// Dial opens a connection within the dialer's Timeout, the wait for room included.
+// Dial opens a connection. The dialer's Timeout includes the wait for a slot.
 func (d *Dialer) Dial(ctx context.Context, network, addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
