--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -1,4 +1,5 @@
-// Package clients takes ops from clients over net/http and gives each its one final answer.
+// Package clients is the HTTP server for clients: it reads ops from requests, submits them to the node's actor and writes
+// each op's one final answer.
 package clients
 
 import (
@@ -22,122 +23,132 @@
 )
 
 const (
-	readyPath       = "/-/ready"
-	idHeader        = "X-Txn"
-	keyHeader       = "Idempotency-Key"
-	remainingHeader = "X-Remaining-Ms"
-	repeatedHeader  = "X-Resent"
+	readyPath = "/-/ready" // readiness check
+
+	idHeader        = "X-Txn"           // id of the op
+	keyHeader       = "Idempotency-Key" // lets servers drop duplicates of an op
+	remainingHeader = "X-Remaining-Ms"  // how long the client still waits, in milliseconds
+	retryHeader     = "X-Resent"        // "1" if the client has sent the op before
 	tenantHeader    = "X-Org"
-	labelsHeader    = "X-Labels"
+	labelsHeader    = "X-Labels" // comma-separated key=value pairs
 	tenantLabel     = "org"
 
-	headerWait     = 2 * time.Second         // for a request's header, once it has begun; for the first from connecting
-	wholeWait      = 2500 * time.Millisecond // for a whole request, counted likewise
-	leastWait      = 500 * time.Millisecond  // of it, for the body; and for what still comes after a refusal
-	idleWait       = 4 * time.Second         // between two requests
-	writeWait      = 2 * time.Second         // for an answer, past the client's own wait
-	mostHeader     = 16 << 10
-	complainEvery  = time.Second // between two log lines on bad requests
-	longestWait    = time.Hour
-	killAfter      = 700 * time.Millisecond // a planned restart may be cut short this long after the longest TTL,
-	killTTL        = 3 * time.Second        // which counts for no more than this
-	exitTime       = 200 * time.Millisecond // of it, to close what is open and to exit
-	coarse         = 10 * time.Millisecond  // the kernel tells times in steps of some milliseconds
-	lookEvery      = 50 * time.Millisecond  // for a client that has left unread
-	statusLeft     = -1                     // nobody to answer
-	statusNack     = http.StatusServiceUnavailable
-	statusDead     = http.StatusBadGateway
-	statusInternal = http.StatusInternalServerError
+	headerTimeout  = 2 * time.Second         // for reading a header; for the first one since the connection was accepted
+	requestTimeout = 2500 * time.Millisecond // for reading a whole request, counted likewise
+	minBodyTimeout = 500 * time.Millisecond  // minimum of requestTimeout for the body; also for reading on after a refusal
+	idleTimeout    = 4 * time.Second         // between two requests of a connection
+	writeTimeout   = 2 * time.Second         // for writing an answer, after the op's deadline
+	maxHeaderBytes = 16 << 10                // of a request's header
+	maxRemaining   = time.Hour               // largest value of remainingHeader
+
+	badRequestLogInterval   = time.Second           // minimum between two log lines about bad requests
+	tcpInfoGranularity      = 10 * time.Millisecond // the kernel reports times in steps of some milliseconds
+	disconnectCheckInterval = 50 * time.Millisecond // between checks for a disconnect that the library can't notice
+
+	killDelay   = 700 * time.Millisecond // the kill at a planned restart comes at the earliest this long after the longest TTL
+	maxKillTTL  = 3 * time.Second        // longer TTLs count as this one, because the kill does not wait for them
+	exitReserve = 200 * time.Millisecond // part of killDelay that is left to close connections and to exit
+
+	statusClientLeft    = -1 // no response: the client has left
+	statusNacked        = http.StatusServiceUnavailable
+	statusDeadLettered  = http.StatusBadGateway
+	statusInternalError = http.StatusInternalServerError
 )
 
-// Actor is the module's actor, as a client's side sees it.
+// Actor is the part of the node's actor that the client side uses.
 type Actor interface {
 	Submit(*node.Op)
 	Abandon(*node.Op)
 	SetShutdownDeadline(policy.Micros)
 }
 
-// Options are what the settings say of clients.
+// Options are the settings of the client side.
 type Options struct {
-	Categories, Tenants []string
-	DeliverySemantics   []policy.Repeat // of each category
-	MaxTTL              time.Duration   // TTL of any category: no op is in hand for longer
-	GenerationNumber    int             // of the settings that say so
+	Categories, Tenants []string        // names, by number
+	DeliverySemantics   []policy.Repeat // of each category, by its number
+	MaxTTL              time.Duration   // longest TTL of all categories; no op is pending for longer
+	GenerationNumber    int             // the generation of these settings
 }
 
-// drainTimes are how long after SIGTERM connections that clients have kept are served, and when the last answer must be
-// out; a third of the longest TTL lies between. Danger: the kill does not wait for longer TTLs.
-func (o *Options) drainTimes() (stay, last time.Duration) {
-	longest := min(o.MaxTTL, killTTL)
-	last = longest + killAfter - exitTime
-	return last - longest/3, last
+// drainTimes returns, as durations after SIGTERM, how long kept connections are served and when the last answer must be
+// written. A third of the longest TTL lies between the two. TTLs count for at most maxKillTTL, because the kill does not
+// wait for longer ones.
+func (o *Options) drainTimes() (serveKept, lastAnswer time.Duration) {
+	longest := min(o.MaxTTL, maxKillTTL)
+	lastAnswer = longest + killDelay - exitReserve
+	return lastAnswer - longest/3, lastAnswer
 }
 
-// Server takes ops.
+// Server accepts client connections and serves ops.
 type Server struct {
-	options  atomic.Pointer[Options]
-	actor    Actor
-	clock    *node.Clock
-	log      zerolog.Logger
-	sampled  zerolog.Logger // for what bad clients cause
-	http     *http.Server
-	listener *listener
-	idle     idlers
-	ids      ids
-	conns    conns
-	drain    atomic.Pointer[drain] // nil until a planned restart
+	options    atomic.Pointer[Options]
+	actor      Actor
+	clock      *node.Clock
+	log        zerolog.Logger
+	sampledLog zerolog.Logger // rate-limited log for errors that bad clients cause
+	http       *http.Server
+	listener   *listener
+	idleConns  idleConnList
+	opIDs      opIDSet // of the pending ops
+	openConns  openConnSet
+	drain      atomic.Pointer[drainState] // nil until a planned restart begins
 }
 
-// drain is a planned restart: when it began, and when the last answer must be out.
-type drain struct {
-	begun time.Time
-	end   policy.Micros
+// drainState is the state of a planned restart.
+type drainState struct {
+	startedAt time.Time
+	deadline  policy.Micros // the last answer must be written by then
 }
 
-// Listen opens the listener; Serve answers on it.
-func Listen(addr string, options Options, part *sockets.Budget, actor Actor, clock *node.Clock,
+// Listen opens the listener and returns a server that answers on it once Serve is called.
+func Listen(addr string, options Options, budget *sockets.Budget, actor Actor, clock *node.Clock,
 	log zerolog.Logger) (*Server, error) {
-	l, err := net.Listen("tcp", addr)
+	tcpListener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	// Danger: bad clients come at full speed, and a line for each would cost more than they do.
-	sampled := log.Sample(&zerolog.BurstSampler{Burst: 1, Period: complainEvery})
-	s := &Server{actor: actor, clock: clock, log: log, sampled: sampled,
-		listener: newListener(l.(*net.TCPListener), part)}
+	// Bad clients may send requests at full speed, and a log line for each would cost more than the requests themselves.
+	sampledLog := log.Sample(&zerolog.BurstSampler{Burst: 1, Period: badRequestLogInterval})
+	s := &Server{
+		actor:      actor,
+		clock:      clock,
+		log:        log,
+		sampledLog: sampledLog,
+		listener:   newListener(tcpListener.(*net.TCPListener), budget),
+	}
 	s.SetOptions(options)
-	part.OnExhausted(s.idle.shed)
+	budget.OnExhausted(s.idleConns.closeLongestIdle)
 	s.http = &http.Server{
 		Handler:                      s,
-		ReadHeaderTimeout:            headerWait,
-		IdleTimeout:                  idleWait,
-		MaxHeaderBytes:               mostHeader,
+		ReadHeaderTimeout:            headerTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ErrorLog:                     stdlog.New(sampled.With().Str("from", "net/http").Logger(), "", 0),
+		ErrorLog:                     stdlog.New(sampledLog.With().Str("from", "net/http").Logger(), "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
 		ConnState: func(c net.Conn, state http.ConnState) {
-			s.idle.set(c, state)
-			s.conns.set(c, state)
+			s.idleConns.stateChanged(c, state)
+			s.openConns.stateChanged(c, state)
 			if state == http.StateIdle {
-				part.NotifyIdle()
+				budget.NotifyIdle()
 			}
 		},
 	}
 	return s, nil
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the key of the connection in a request's context.
 type connKey struct{}
 
-// connOf is the connection that a request came on.
+// connOf returns the connection of a request.
 func connOf(r *http.Request) (*conn, bool) {
 	c, ok := r.Context().Value(connKey{}).(*conn)
 	return c, ok
 }
 
-// Serve answers until Drain has closed the listener.
+// Serve accepts and serves connections until Drain has closed the listener.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
@@ -146,74 +157,77 @@
 	return err
 }
 
-// Use reads requests that begin from now on by other settings.
+// SetOptions applies other settings to requests that begin from now on.
 func (s *Server) SetOptions(options Options) { s.options.Store(&options) }
 
-// Drain loses nothing taken: new connections are taken and served for a while, with answers that close them,
-// then the listener closes and ops in hand are finished. Serve must be over, or end by it. With stay, connections that
-// clients have kept are served for as long as the time to the kill allows.
-func (s *Server) Drain(served <-chan error, stay bool) {
-	begun := time.Now()
-	until, last := s.options.Load().drainTimes()
-	// Danger: the last answers are made at the end that ops are given, and a close in the same moment would cut them off.
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(last+exitTime/2))
+// Drain ends the server for a planned restart without losing an op. For a while, new connections are still accepted and
+// served, with answers that close them; then the listener closes and the pending ops are finished. The channel delivers the
+// result of Serve, which ends by the drain if it has not ended before. With keepServing, connections that clients have kept
+// open are served for as long as the time until the kill allows.
+func (s *Server) Drain(served <-chan error, keepServing bool) {
+	startedAt := time.Now()
+	serveKept, lastAnswer := s.options.Load().drainTimes()
+	// The last answers are written at the deadline that ops are given, and closing connections at the same moment would cut
+	// them off.
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(lastAnswer+exitReserve/2))
 	defer cancel()
-	end := s.clock.Now() + policy.Micros(last/time.Microsecond)
-	s.drain.Store(&drain{begun: begun, end: end})
-	s.actor.SetShutdownDeadline(end)
+	deadline := s.clock.Now() + policy.Micros(lastAnswer/time.Microsecond)
+	s.drain.Store(&drainState{startedAt: startedAt, deadline: deadline})
+	s.actor.SetShutdownDeadline(deadline)
 	s.listener.drain()
 	<-served
-	if stay {
-		s.stay(begun.Add(until))
-	}
-	// Danger: what bad clients have begun and never end would hold the restart up for seconds, and the next node may
-	// go down meanwhile. What holds no whole request, and on which nothing comes any more, is closed.
-	over := make(chan error, 1)
-	go func() { over <- s.http.Shutdown(ctx) }()
-	look := time.NewTicker(leastWait / 10)
-	defer look.Stop()
+	if keepServing {
+		s.serveKeptConns(startedAt.Add(serveKept))
+	}
+	// Requests that bad clients have begun and never finish would delay the restart by seconds, and the next node may go
+	// down in the meantime. So connections without a complete request, on which nothing arrives any more, are closed.
+	shutdown := make(chan error, 1)
+	go func() { shutdown <- s.http.Shutdown(ctx) }()
+	ticker := time.NewTicker(minBodyTimeout / 10)
+	defer ticker.Stop()
 	for {
 		select {
-		case err := <-over:
+		case err := <-shutdown:
 			if err != nil {
 				s.http.Close()
 			}
 			return
-		case <-look.C:
-			s.conns.closeHalf(leastWait)
+		case <-ticker.C:
+			s.openConns.closeIncomplete(minBodyTimeout)
 		}
 	}
 }
 
-// stay serves the connections that clients have kept. Danger: the next node may be in a planned restart itself, and clients
-// that are sent away from here at once find none.
-func (s *Server) stay(until time.Time) {
-	look := time.NewTicker(quietWindow)
-	defer look.Stop()
-	for now := range look.C {
-		if s.conns.none() || now.After(until) {
+// serveKeptConns waits until the deadline, or until all connections are closed, while kept connections are served. The next
+// node may be in a planned restart itself, and clients that are sent away from this one at once would find no node.
+func (s *Server) serveKeptConns(deadline time.Time) {
+	ticker := time.NewTicker(backlogQuietTime)
+	defer ticker.Stop()
+	for now := range ticker.C {
+		if s.openConns.empty() || now.After(deadline) {
 			return
 		}
 	}
 }
 
-// closes says that a connection came after a planned restart began: its client is to go elsewhere.
-func (s *Server) closes(r *http.Request) bool {
-	d := s.drain.Load()
+// arrivedDuringDrain reports whether a request's connection was accepted after a planned restart had begun, so that its
+// client has to be sent to another node.
+func (s *Server) arrivedDuringDrain(r *http.Request) bool {
+	drain := s.drain.Load()
 	c, ok := connOf(r)
-	return d != nil && ok && c.came.After(d.begun)
+	return drain != nil && ok && c.acceptedAt.After(drain.startedAt)
 }
 
-// ServeHTTP takes one op. There is no mux: it would clean paths and redirect.
+// ServeHTTP serves one op. There is no http.ServeMux, because it would clean paths and redirect.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.closes(r) {
+	if s.arrivedDuringDrain(r) {
 		w.Header().Set("Connection", "close")
 	}
-	// Danger: the library clears neither deadline between requests, and reads on after an answer to the end of a
-	// body that may never come.
+	// The library clears neither deadline between requests, and after an answer it reads to the end of a body that may
+	// never come.
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(writeWait))
-	control.SetWriteDeadline(time.Now().Add(2 * writeWait))
+	control.SetReadDeadline(time.Now().Add(writeTimeout))
+	control.SetWriteDeadline(time.Now().Add(2 * writeTimeout))
 	var op *node.Op
 	defer func() {
 		switch v := recover(); v {
@@ -221,56 +235,56 @@
 		case http.ErrAbortHandler:
 			panic(v)
 		default:
-			// Danger: the library would end the connection, and the op would be lost.
+			// The library would close the connection without an answer, and the op would be lost.
 			s.log.Error().Interface("panic", v).Msg("client's side")
 			if op != nil {
 				s.actor.Abandon(op)
 			}
-			w.WriteHeader(statusInternal)
+			w.WriteHeader(statusInternalError)
 		}
 	}()
 	if r.URL.Path == readyPath {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	op, status, reason := s.read(w, r)
-	if status == statusLeft {
-		panic(http.ErrAbortHandler) // nobody to answer
+	op, status, reason := s.readOp(w, r)
+	if status == statusClientLeft {
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	if op == nil {
-		// Danger: behind what can't be used stands more of the same, or a request hidden in it. The connection
-		// closes; what still comes is read for a while, or a reset would wipe out the answer.
-		s.sampled.Warn().Int("status", status).Str("reason", reason).Msg("bad request")
-		control.SetReadDeadline(time.Now().Add(leastWait))
+		// A bad request may be followed by more of the same, or by a request hidden in its body, so the connection is
+		// closed. Bytes that still arrive are read for a while, because a reset would discard the answer.
+		s.sampledLog.Warn().Int("status", status).Str("reason", reason).Msg("bad request")
+		control.SetReadDeadline(time.Now().Add(minBodyTimeout))
 		w.Header().Set("Connection", "close")
 		http.Error(w, reason, status)
 		return
 	}
-	defer s.ids.give(op.Header.Get(idHeader))
+	defer s.opIDs.release(op.Header.Get(idHeader))
 	s.actor.Submit(op)
-	s.write(w, s.answer(r, op))
+	s.writeAnswer(w, s.awaitAnswer(r, op))
 }
 
-// answer waits for the op's answer, or for its client to leave.
-func (s *Server) answer(r *http.Request, op *node.Op) node.Answer {
-	var look <-chan time.Time
+// awaitAnswer waits for the op's answer. If the client disconnects first, it abandons the op.
+func (s *Server) awaitAnswer(r *http.Request, op *node.Op) node.Answer {
+	var check <-chan time.Time
 	c, ok := connOf(r)
 	if ok {
-		if c.look == nil {
-			c.look = time.NewTimer(lookEvery)
+		if c.disconnectTimer == nil {
+			c.disconnectTimer = time.NewTimer(disconnectCheckInterval)
 		}
-		c.look.Reset(lookEvery)
-		defer c.look.Stop()
-		look = c.look.C
+		c.disconnectTimer.Reset(disconnectCheckInterval)
+		defer c.disconnectTimer.Stop()
+		check = c.disconnectTimer.C
 	}
 	for {
 		select {
 		case answer := <-op.Answered():
 			return answer
 		case <-r.Context().Done():
-		case <-look:
-			if !c.leftUnread() {
-				c.look.Reset(lookEvery)
+		case <-check:
+			if !c.disconnectedUnnoticed() {
+				c.disconnectTimer.Reset(disconnectCheckInterval)
 				continue
 			}
 			s.log.Debug().Msg("client left unread")
@@ -280,31 +294,31 @@
 	}
 }
 
-// read takes an op out of a request, or says what is wrong with it.
-func (s *Server) read(w http.ResponseWriter, r *http.Request) (op *node.Op, status int, reason string) {
-	options := s.options.Load() // the settings may change while the request is being read
+// readOp reads an op from a request. If the request is unusable the op is nil, with the status and reason to answer.
+func (s *Server) readOp(w http.ResponseWriter, r *http.Request) (op *node.Op, status int, reason string) {
+	options := s.options.Load() // one set of settings for the whole request, which may change while it is read
 	if !r.ProtoAtLeast(1, 1) || len(r.TransferEncoding) > 0 {
-		// Danger: of a length and chunks together the library takes the chunks and drops the length; a server that
-		// does the opposite would find another request in the body. Clients always say the length.
+		// Given both a length and chunked encoding, the library uses the chunks and drops the length. A server that does the
+		// opposite would find another request in the body. Clients always send the length.
 		return nil, http.StatusLengthRequired, "HTTP/1.1 and a Content-Length are needed"
 	}
 	category, found := options.category(r.RequestURI)
 	if !found {
 		return nil, http.StatusNotFound, "no such category"
 	}
-	id, err := single(r.Header, idHeader)
+	id, err := singleHeader(r.Header, idHeader)
 	if err != nil {
 		return nil, http.StatusBadRequest, err.Error()
 	}
-	wait, err := single(r.Header, remainingHeader)
+	remainingText, err := singleHeader(r.Header, remainingHeader)
 	if err != nil {
 		return nil, http.StatusBadRequest, err.Error()
 	}
-	remaining, err := strconv.ParseInt(wait, 10, 64)
-	if err != nil || remaining < 0 || remaining > longestWait.Milliseconds() {
+	remaining, err := strconv.ParseInt(remainingText, 10, 64)
+	if err != nil || remaining < 0 || remaining > maxRemaining.Milliseconds() {
 		return nil, http.StatusBadRequest, remainingHeader + " is not a time in whole milliseconds"
 	}
-	if status, reason := fits(r, options.DeliverySemantics[category]); status != 0 {
+	if status, reason := checkForm(r, options.DeliverySemantics[category]); status != 0 {
 		return nil, status, reason
 	}
 	tenant, err := options.tenant(r.Header)
@@ -315,58 +329,62 @@
 		return nil, http.StatusRequestEntityTooLarge, "body is too long"
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(bodyDeadline(r)) // a body that never comes
+	control.SetReadDeadline(bodyDeadline(r)) // the body may never come
 	body, err := node.ReadPayload(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, http.StatusBadRequest, "body is cut short"
 	}
-	if !s.ids.take(id) {
-		// Danger: two pushes of one id are two runs of one op to a server.
+	if !s.opIDs.reserve(id) {
+		// Two ops with one id would be two runs of the same op to a server.
 		body.Release()
 		return nil, http.StatusConflict, idHeader + " is that of an op in hand"
 	}
-	// The op's time begins at its last byte. Danger: a node that had to wait for its core reads it later, and would
-	// answer after the client has gone.
+	// The op's remaining time counts from the arrival of its last byte. A process that was not scheduled reads the request
+	// later, and would answer after the client has given up.
 	now := s.clock.Now()
 	if c, ok := connOf(r); ok {
-		h := received(c.tcp)
-		if h.ended || !c.take() {
-			// Danger: the op waited in the backlog, for a socket or for this process's core, and its client has left
-			// meanwhile, or the connection was closed here; the library would notice after it has been pushed.
-			s.ids.give(id)
+		state := readTCPState(c.tcp)
+		if state.clientClosed || !c.claimRequest() {
+			// While the op waited in the backlog, for a socket or for a CPU, its client has left or this process has closed
+			// the connection. The library would notice only after the op has been pushed.
+			s.opIDs.release(id)
 			body.Release()
-			return nil, statusLeft, ""
+			return nil, statusClientLeft, ""
 		}
-		if h.since > coarse {
-			now -= min(policy.Micros(h.since/time.Microsecond), policy.Micros(remaining)*policy.Millisecond)
+		if state.sinceLastByte > tcpInfoGranularity {
+			now -= min(policy.Micros(state.sinceLastByte/time.Microsecond), policy.Micros(remaining)*policy.Millisecond)
 		}
 	}
-	control.SetReadDeadline(time.Time{}) // or it would look as if the client had left
-	control.SetWriteDeadline(time.Now().Add(time.Duration(remaining)*time.Millisecond + writeWait))
+	control.SetReadDeadline(time.Time{}) // otherwise a timed-out read would look like a client that has left
+	control.SetWriteDeadline(time.Now().Add(time.Duration(remaining)*time.Millisecond + writeTimeout))
 	op = node.NewOp()
 	op.Request = node.Request{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body}
-	op.Category, op.Tenant, op.GenerationNumber = category, tenant, options.GenerationNumber
+	op.Category = category
+	op.Tenant = tenant
+	op.GenerationNumber = options.GenerationNumber
 	op.Deadline = now + policy.Micros(remaining)*policy.Millisecond
-	if d := s.drain.Load(); d != nil {
-		op.Deadline = min(op.Deadline, d.end) // Danger: what the kill finds unanswered is lost
+	if drain := s.drain.Load(); drain != nil {
+		op.Deadline = min(op.Deadline, drain.deadline) // an op that is unanswered at the kill is lost
 	}
-	op.ClientRetry = r.Header.Get(repeatedHeader) == "1"
+	op.ClientRetry = r.Header.Get(retryHeader) == "1"
 	if c, ok := connOf(r); ok {
 		op.Client = c
 	}
 	return op, 0, ""
 }
 
-// bodyDeadline ends the wait for a body. On a new connection it counts from connecting.
+// bodyDeadline returns when the body of a request must have been read. For the first request of a connection it counts from
+// the time at which the connection was accepted.
 func bodyDeadline(r *http.Request) time.Time {
-	begun := time.Now()
-	if c, ok := connOf(r); ok && !c.asked {
-		c.asked = true
-		return later(c.came.Add(wholeWait), begun.Add(leastWait))
+	now := time.Now()
+	if c, ok := connOf(r); ok && !c.hadRequest {
+		c.hadRequest = true
+		return later(c.acceptedAt.Add(requestTimeout), now.Add(minBodyTimeout))
 	}
-	return begun.Add(wholeWait)
+	return now.Add(requestTimeout)
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -374,8 +392,8 @@
 	return b
 }
 
-// single is a header that must be there once.
-func single(header http.Header, name string) (string, error) {
+// singleHeader returns the value of a header that must occur exactly once and must not be empty.
+func singleHeader(header http.Header, name string) (string, error) {
 	values := header.Values(name)
 	if len(values) != 1 || values[0] == "" {
 		return "", fmt.Errorf("%s is not there once", name)
@@ -383,11 +401,12 @@
 	return values[0], nil
 }
 
-// fits refuses a request whose form does not belong to what a second run of its op does. Danger: a server can't drop
-// the repeats of an op without a key, and one that passes over a GET's body reads it as a request of its own.
-func fits(r *http.Request, repeat policy.Repeat) (status int, reason string) {
+// checkForm refuses a request whose method, body or key does not match its category's delivery semantics. A server can't
+// drop duplicates of an op without a key, and a server that ignores the body of a GET would read the body as a request of
+// its own.
+func checkForm(r *http.Request, semantics policy.Repeat) (status int, reason string) {
 	method := http.MethodPost
-	if repeat == policy.Redeliverable {
+	if semantics == policy.Redeliverable {
 		method = http.MethodGet
 	}
 	switch {
@@ -395,46 +414,47 @@
 		return http.StatusMethodNotAllowed, "this category goes by " + method
 	case method == http.MethodGet && r.ContentLength != 0:
 		return http.StatusBadRequest, "a GET has no body"
-	case repeat == policy.Deduplicated:
-		if _, err := single(r.Header, keyHeader); err != nil {
+	case semantics == policy.Deduplicated:
+		if _, err := singleHeader(r.Header, keyHeader); err != nil {
 			return http.StatusBadRequest, err.Error()
 		}
 	}
 	return 0, ""
 }
 
-// category is named by the first part of the path.
+// category returns the category that the first path segment names.
 func (o *Options) category(target string) (policy.CategoryID, bool) {
-	rest, found := strings.CutPrefix(target, "/")
-	if end := strings.IndexAny(rest, "/?"); end >= 0 {
-		rest = rest[:end]
+	name, found := strings.CutPrefix(target, "/")
+	if end := strings.IndexAny(name, "/?"); end >= 0 {
+		name = name[:end]
 	}
-	i := slices.Index(o.Categories, rest)
+	i := slices.Index(o.Categories, name)
 	return policy.CategoryID(max(i, 0)), found && i >= 0
 }
 
-// tenant is named, or numbered as in the settings, by a header of its own or among the labels.
+// tenant returns the tenant of a request, which the tenant header or a label gives by name or by its number in the settings.
 func (o *Options) tenant(header http.Header) (policy.TenantID, error) {
-	word := header.Get(tenantHeader)
+	name := header.Get(tenantHeader)
 	for label := range strings.SplitSeq(header.Get(labelsHeader), ",") {
-		if name, value, _ := strings.Cut(strings.TrimSpace(label), "="); word == "" && name == tenantLabel {
-			word = value
+		if key, value, _ := strings.Cut(strings.TrimSpace(label), "="); name == "" && key == tenantLabel {
+			name = value
 		}
 	}
-	if word == "" || len(o.Tenants) == 0 {
+	if name == "" || len(o.Tenants) == 0 {
 		return 0, nil
 	}
-	i := slices.Index(o.Tenants, word)
-	if number, err := strconv.Atoi(word); i < 0 && err == nil {
+	i := slices.Index(o.Tenants, name)
+	if number, err := strconv.Atoi(name); i < 0 && err == nil {
 		i = number
 	}
 	if i < 0 || i >= len(o.Tenants) {
-		return 0, fmt.Errorf("no such tenant: %q", word)
+		return 0, fmt.Errorf("no such tenant: %q", name)
 	}
 	return policy.TenantID(i), nil
 }
 
-func (s *Server) write(w http.ResponseWriter, answer node.Answer) {
+// writeAnswer writes the final answer of an op and releases its body.
+func (s *Server) writeAnswer(w http.ResponseWriter, answer node.Answer) {
 	defer answer.Body.Release()
 	if answer.OverLimit {
 		w.Header().Set("Connection", "close")
@@ -453,10 +473,10 @@
 			seconds := float64(answer.RetryAfter) / float64(policy.Second)
 			w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
 		}
-		w.WriteHeader(statusNack)
+		w.WriteHeader(statusNacked)
 	case node.DeadLettered:
-		w.WriteHeader(statusDead)
+		w.WriteHeader(statusDeadLettered)
 	case node.ClientLeft:
-		panic(http.ErrAbortHandler) // nobody to answer
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 }
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -21,72 +21,85 @@
 	"canvasrouter/policy"
 )
 
-// bound ends every wait of these tests.
-const bound = 5 * time.Second
+// testTimeout limits every wait of these tests.
+const testTimeout = 5 * time.Second
 
-// module stands for the actor: it answers ops through do.
-type module struct {
-	do   func(*node.Op)
-	left chan *node.Op
-	ends chan policy.Micros
-	knew bool // the last one that left had done so by its connection's word; read after left
+// fakeActor implements Actor. It passes submitted ops to handle.
+type fakeActor struct {
+	handle        func(*node.Op)
+	abandoned     chan *node.Op
+	deadlines     chan policy.Micros
+	sawDisconnect bool // whether the last abandoned op's client was disconnected; set before the send to abandoned
 }
 
-func (m *module) Submit(op *node.Op)                   { m.do(op) }
-func (m *module) SetShutdownDeadline(at policy.Micros) { m.ends <- at }
-func (m *module) Abandon(op *node.Op) {
-	m.knew = op.Client != nil && op.Client.Disconnected()
-	m.left <- op
+func (a *fakeActor) Submit(op *node.Op)                         { a.handle(op) }
+func (a *fakeActor) SetShutdownDeadline(deadline policy.Micros) { a.deadlines <- deadline }
+
+func (a *fakeActor) Abandon(op *node.Op) {
+	a.sawDisconnect = op.Client != nil && op.Client.Disconnected()
+	a.abandoned <- op
 	op.Answer(node.Answer{Verdict: node.ClientLeft})
 }
 
-type rig struct {
+// harness is a server with a fake actor.
+type harness struct {
 	*Server
-	*module
-	addr   string
-	served chan error
-	part   *sockets.Budget
+	*fakeActor
+	addr        string
+	serveResult chan error
+	budget      *sockets.Budget
 }
 
-// start runs a server with so many sockets for clients.
-func start(t *testing.T, room int, do func(*node.Op)) *rig {
+// startServer runs a server with a budget of sockets for clients.
+func startServer(t *testing.T, budgetSize int, handle func(*node.Op)) *harness {
 	t.Helper()
-	r := &rig{module: &module{do: do, left: make(chan *node.Op, 8), ends: make(chan policy.Micros, 1)}, served: make(chan error, 1),
-		part: sockets.NewBudget(room)}
+	r := &harness{
+		fakeActor: &fakeActor{
+			handle:    handle,
+			abandoned: make(chan *node.Op, 8),
+			deadlines: make(chan policy.Micros, 1),
+		},
+		serveResult: make(chan error, 1),
+		budget:      sockets.NewBudget(budgetSize),
+	}
 	var err error
-	r.Server, err = Listen("127.0.0.1:0", Options{Categories: []string{"checkout", "browse", "booking"},
+	r.Server, err = Listen("127.0.0.1:0", Options{
+		Categories:        []string{"checkout", "browse", "booking"},
 		DeliverySemantics: []policy.Repeat{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
-		Tenants:           []string{"one", "two"}, MaxTTL: time.Second}, r.part, r.module, node.NewClock(), zerolog.Nop())
+		Tenants:           []string{"one", "two"},
+		MaxTTL:            time.Second,
+	}, r.budget, r.fakeActor, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.addr = r.listener.Addr().String()
-	go func() { r.served <- r.Serve() }()
+	go func() { r.serveResult <- r.Serve() }()
 	t.Cleanup(func() { r.http.Close() })
 	return r
 }
 
-// served answers with the bytes that came.
-func served(op *node.Op) {
+// echo answers an op with its method, target and body.
+func echo(op *node.Op) {
 	body, _ := node.ReadPayload(strings.NewReader(op.Method+" "+op.Target+" "+string(op.Body.Bytes())), -1)
 	op.Answer(node.Answer{Verdict: node.Acked, Header: http.Header{"Content-Type": {"x/y"}}, Body: body})
 }
 
-// holding answers at once, but for ops of the category browse: those it hands to the test.
-func holding(ops chan<- *node.Op) func(*node.Op) {
+// holdBrowse returns a handler that passes ops of the category browse to the test, and echoes all others.
+func holdBrowse(ops chan<- *node.Op) func(*node.Op) {
 	return func(op *node.Op) {
 		if op.Category == 1 {
 			ops <- op
 			return
 		}
-		served(op)
+		echo(op)
 	}
 }
 
+// lastID is the id of the last request.
 var lastID atomic.Int32
 
-// request has an id of its own, and a key with POST.
-func request(method, target, body string, headers ...string) string {
+// newRequest returns the bytes of a request with a new id. A POST has an idempotency key.
+func newRequest(method, target, body string, headers ...string) string {
 	if method == "POST" {
 		headers = append(headers, "Idempotency-Key: k")
 	}
@@ -94,29 +107,32 @@
 		"Content-Length: %d\r\n%s\r\n%s", method, target, lastID.Add(1), len(body), strings.Join(append(headers, ""), "\r\n"), body)
 }
 
+// client is a client's connection.
 type client struct {
 	net.Conn
 	*bufio.Reader
 }
 
-func (r *rig) dial(t *testing.T) *client {
+// dial connects to the server.
+func (r *harness) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(bound))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { c.Close() })
 	return &client{c, bufio.NewReader(c)}
 }
 
-// ask sends bytes and tells what came back: status, the headers that matter, the body.
-func (c *client) ask(raw string) string {
+// roundTrip sends bytes and describes the answer like readAnswer.
+func (c *client) roundTrip(raw string) string {
 	io.WriteString(c.Conn, raw)
-	return c.answer()
+	return c.readAnswer()
 }
 
-func (c *client) answer() string {
+// readAnswer reads an answer and describes it: status, relevant headers and the body of a 200, or "closed".
+func (c *client) readAnswer() string {
 	response, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		return "closed"
@@ -135,104 +151,107 @@
 	return out
 }
 
-// Bad input gets a 4xx that is no nack, and a close: what stands behind it is not served. No other op is harmed.
+// TestBadInput checks that bad requests get an error that is no nack, and that their connection is closed, so that bytes after
+// them are not served. Other ops are not affected.
 func TestBadInput(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 100, holding(ops))
-	good, running := r.dial(t), r.dial(t)
-	open := request("GET", "/browse", "")
+	r := startServer(t, 100, holdBrowse(ops))
+	good := r.dial(t)
+	running := r.dial(t)
+	open := newRequest("GET", "/browse", "")
 	io.WriteString(running.Conn, open)
 	op := <-ops
 	id := "X-Txn: " + op.Header.Get(idHeader)
-	inChunks := func(body string, headers ...string) string {
-		return strings.Replace(request("POST", "/booking", "", headers...), "Content-Length: 0",
+	chunkedRequest := func(body string, headers ...string) string {
+		return strings.Replace(newRequest("POST", "/booking", "", headers...), "Content-Length: 0",
 			"Transfer-Encoding: chunked", 1) + body
 	}
-	hidden := request("GET", "/checkout", "")
-	for name, c := range map[string]struct{ raw, want string }{
-		"no such category":    {request("GET", "/elsewhere?k=1", ""), "404 close"},
-		"no category":         {request("GET", "/", ""), "404 close"},
-		"another form":        {request("GET", "http://backend.local/checkout", ""), "404 close"},
-		"any server":          {request("OPTIONS", "*", ""), "404 close"},
-		"no id":               {strings.Replace(request("GET", "/checkout", ""), "X-Txn", "X-Other", 1), "400 close"},
-		"an empty id":         {strings.Replace(open, id, "X-Txn: ", 1), "400 close"},
-		"two ids":             {request("GET", "/checkout", "", "X-Txn: 1"), "400 close"},
-		"an id in hand":       {open, "409 close"},
-		"no time":             {strings.Replace(request("GET", "/checkout", ""), "X-Remaining", "X-Other", 1), "400 close"},
-		"two times":           {request("GET", "/checkout", "", "X-Remaining-Ms: 500"), "400 close"},
-		"no number":           {strings.Replace(request("GET", "/checkout", ""), "480", "soon", 1), "400 close"},
-		"less than no time":   {strings.Replace(request("GET", "/checkout", ""), "480", "-1", 1), "400 close"},
-		"a time out of range": {strings.Replace(request("GET", "/checkout", ""), "480", "99999999999", 1), "400 close"},
-		"no such tenant":      {request("GET", "/checkout", "", "X-Labels: size=3,org=nobody"), "400 close"},
-		"no key":              {strings.Replace(request("POST", "/booking", ""), "Idempotency", "Odd", 1), "400 close"},
-		"two keys":            {request("POST", "/booking", "", "Idempotency-Key: other"), "400 close"},
-		"not by GET":          {request("GET", "/booking", "", "Idempotency-Key: k"), "405 close"},
-		"not by POST":         {request("POST", "/checkout", ""), "405 close"},
-		"a GET with a body":   {request("GET", "/checkout", "body"), "400 close"},
-		"a body too long":     {request("POST", "/booking", strings.Repeat("x", node.MaxBodyBytes+1)), "413 close"},
-		"60 MB announced":     {strings.Replace(request("POST", "/booking", ""), "Length: 0", "Length: 60000000", 1), "413 close"},
-		"chunks":              {inChunks("0\r\n\r\n"), "411 close"},
-		"broken chunks":       {inChunks("zz\r\n"), "411 close"},
-		"chunks and a length": {inChunks("0\r\n\r\n"+hidden, fmt.Sprintf("Content-Length: %d", 5+len(hidden))), "411 close"},
-		"an old version":      {strings.Replace(request("GET", "/checkout", ""), "HTTP/1.1", "HTTP/1.0", 1), "411 close"},
+	hidden := newRequest("GET", "/checkout", "")
+	for name, testCase := range map[string]struct{ raw, want string }{
+		"unknown category":    {newRequest("GET", "/elsewhere?k=1", ""), "404 close"},
+		"no category":         {newRequest("GET", "/", ""), "404 close"},
+		"absolute target":     {newRequest("GET", "http://backend.local/checkout", ""), "404 close"},
+		"asterisk target":     {newRequest("OPTIONS", "*", ""), "404 close"},
+		"no id":               {strings.Replace(newRequest("GET", "/checkout", ""), "X-Txn", "X-Other", 1), "400 close"},
+		"empty id":            {strings.Replace(open, id, "X-Txn: ", 1), "400 close"},
+		"two ids":             {newRequest("GET", "/checkout", "", "X-Txn: 1"), "400 close"},
+		"id of a pending op":  {open, "409 close"},
+		"no remaining time":   {strings.Replace(newRequest("GET", "/checkout", ""), "X-Remaining", "X-Other", 1), "400 close"},
+		"two remaining times": {newRequest("GET", "/checkout", "", "X-Remaining-Ms: 500"), "400 close"},
+		"time not a number":   {strings.Replace(newRequest("GET", "/checkout", ""), "480", "soon", 1), "400 close"},
+		"negative time":       {strings.Replace(newRequest("GET", "/checkout", ""), "480", "-1", 1), "400 close"},
+		"time out of range":   {strings.Replace(newRequest("GET", "/checkout", ""), "480", "99999999999", 1), "400 close"},
+		"unknown tenant":      {newRequest("GET", "/checkout", "", "X-Labels: size=3,org=nobody"), "400 close"},
+		"no key":              {strings.Replace(newRequest("POST", "/booking", ""), "Idempotency", "Odd", 1), "400 close"},
+		"two keys":            {newRequest("POST", "/booking", "", "Idempotency-Key: other"), "400 close"},
+		"GET instead of POST": {newRequest("GET", "/booking", "", "Idempotency-Key: k"), "405 close"},
+		"POST instead of GET": {newRequest("POST", "/checkout", ""), "405 close"},
+		"GET with a body":     {newRequest("GET", "/checkout", "body"), "400 close"},
+		"body too long":       {newRequest("POST", "/booking", strings.Repeat("x", node.MaxBodyBytes+1)), "413 close"},
+		"length of 60 MB":     {strings.Replace(newRequest("POST", "/booking", ""), "Length: 0", "Length: 60000000", 1), "413 close"},
+		"chunks":              {chunkedRequest("0\r\n\r\n"), "411 close"},
+		"broken chunks":       {chunkedRequest("zz\r\n"), "411 close"},
+		"chunks and length":   {chunkedRequest("0\r\n\r\n"+hidden, fmt.Sprintf("Content-Length: %d", 5+len(hidden))), "411 close"},
+		"HTTP/1.0":            {strings.Replace(newRequest("GET", "/checkout", ""), "HTTP/1.1", "HTTP/1.0", 1), "411 close"},
 		"no HTTP":             {"hello\r\n\r\n", "400 close"},
-		"a header too long":   {request("GET", "/checkout", "", "X-Odd: "+strings.Repeat("x", 2*mostHeader)), "431 close"},
-		"odd header":          {request("GET", "/checkout", "", "X Odd: 1"), "400 close"},
-		"two lengths":         {request("GET", "/checkout", "", "Content-Length: 7"), "400 close"},
-		"less than no length": {strings.Replace(request("POST", "/booking", ""), "Length: 0", "Length: -1", 1), "400 close"},
-		"an unknown encoding": {request("GET", "/checkout", "", "Transfer-Encoding: odd"), "501 close"},
+		"header too long":     {newRequest("GET", "/checkout", "", "X-Odd: "+strings.Repeat("x", 2*maxHeaderBytes)), "431 close"},
+		"bad header name":     {newRequest("GET", "/checkout", "", "X Odd: 1"), "400 close"},
+		"two lengths":         {newRequest("GET", "/checkout", "", "Content-Length: 7"), "400 close"},
+		"negative length":     {strings.Replace(newRequest("POST", "/booking", ""), "Length: 0", "Length: -1", 1), "400 close"},
+		"unknown encoding":    {newRequest("GET", "/checkout", "", "Transfer-Encoding: odd"), "501 close"},
 	} {
 		bad := r.dial(t)
-		if diff := cmp.Diff(c.want, bad.ask(c.raw+hidden)); diff != "" {
+		if diff := cmp.Diff(testCase.want, bad.roundTrip(testCase.raw+hidden)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if more := bad.answer(); more != "closed" {
-			t.Errorf("behind %s: %s", name, more)
+		if more := bad.readAnswer(); more != "closed" {
+			t.Errorf("after %s on its connection: got %q", name, more)
 		}
-		if diff := cmp.Diff("200 POST /booking?k=%2f body", good.ask(request("POST", "/booking?k=%2f", "body"))); diff != "" {
-			t.Errorf("after %s: %s", name, diff)
+		if diff := cmp.Diff("200 POST /booking?k=%2f body", good.roundTrip(newRequest("POST", "/booking?k=%2f", "body"))); diff != "" {
+			t.Errorf("after %s on another connection: %s", name, diff)
 		}
 	}
-	served(op)
-	if got := running.answer(); got != "200 GET /browse " {
-		t.Errorf("the op whose id was used again: %s", got)
+	echo(op)
+	if got := running.readAnswer(); got != "200 GET /browse " {
+		t.Errorf("op whose id was reused: got %q", got)
 	}
 	io.WriteString(running.Conn, open)
-	served(<-ops)
-	if got := running.answer(); got != "200 GET /browse " {
-		t.Errorf("its id, once it is answered: %s", got)
+	echo(<-ops)
+	if got := running.readAnswer(); got != "200 GET /browse " {
+		t.Errorf("same id after the answer: got %q", got)
 	}
-	r.ids.mu.Lock()
-	defer r.ids.mu.Unlock()
-	if len(r.ids.held) > 0 {
-		t.Errorf("%d ids are held", len(r.ids.held))
+	r.opIDs.mu.Lock()
+	defer r.opIDs.mu.Unlock()
+	if len(r.opIDs.reserved) > 0 {
+		t.Errorf("%d ids are still reserved", len(r.opIDs.reserved))
 	}
 }
 
-// Danger: clients that send nothing, or never an end, hold sockets. Within 3 s of connecting they have an error or a
-// close, also if a byte comes now and then; a kept connection on which nothing is open closes too.
-func TestBounds(t *testing.T) {
-	r := start(t, 100, served)
-	whole := request("POST", "/booking", "body")
-	var waits sync.WaitGroup
+// TestReadTimeouts checks clients that send nothing or an incomplete request, which would hold sockets forever. They get an
+// error or a close within 3 s of connecting, also if they keep sending bytes; idle kept connections are closed as well.
+func TestReadTimeouts(t *testing.T) {
+	r := startServer(t, 100, echo)
+	whole := newRequest("POST", "/booking", "body")
+	var clients sync.WaitGroup
 	for name, c := range map[string]struct {
-		raw, trickle, want string
-		least, most        time.Duration
+		raw, trickle, want       string
+		minDuration, maxDuration time.Duration
 	}{
-		"nothing":         {want: "closed", most: 3 * time.Second},
-		"half a head":     {raw: whole[:30], want: "closed", most: 3 * time.Second},
-		"half a body":     {raw: whole[:len(whole)-2], want: "400 close", most: 3 * time.Second},
-		"a head for ever": {raw: whole[:30], trickle: "x", want: "closed", most: 3 * time.Second},
-		"a body for ever": {raw: strings.Replace(whole, "Length: 4", "Length: 999", 1), trickle: "x",
-			want: "400 close", most: 3 * time.Second},
-		"a kept connection": {raw: request("GET", "/checkout", ""), want: "200 GET /checkout closed",
-			least: 2 * time.Second, most: idleWait + time.Second},
+		"nothing":      {want: "closed", maxDuration: 3 * time.Second},
+		"partial head": {raw: whole[:30], want: "closed", maxDuration: 3 * time.Second},
+		"partial body": {raw: whole[:len(whole)-2], want: "400 close", maxDuration: 3 * time.Second},
+		"endless head": {raw: whole[:30], trickle: "x", want: "closed", maxDuration: 3 * time.Second},
+		"endless body": {raw: strings.Replace(whole, "Length: 4", "Length: 999", 1), trickle: "x",
+			want: "400 close", maxDuration: 3 * time.Second},
+		"kept connection": {raw: newRequest("GET", "/checkout", ""), want: "200 GET /checkout closed",
+			minDuration: 2 * time.Second, maxDuration: idleTimeout + time.Second},
 	} {
-		waits.Go(func() {
-			begun, bad := time.Now(), r.dial(t)
+		clients.Go(func() {
+			start := time.Now()
+			bad := r.dial(t)
 			io.WriteString(bad.Conn, c.raw)
 			if c.trickle != "" {
-				end := time.AfterFunc(bound, func() { bad.Close() })
+				end := time.AfterFunc(testTimeout, func() { bad.Close() })
 				defer end.Stop()
 				go func() {
 					for _, err := io.WriteString(bad.Conn, c.trickle); err == nil; time.Sleep(100 * time.Millisecond) {
@@ -240,249 +259,260 @@
 					}
 				}()
 			}
-			got := bad.answer()
+			got := bad.readAnswer()
 			if got != "closed" && !strings.HasSuffix(got, "close") {
-				got += bad.answer()
+				got += bad.readAnswer()
 			}
-			if took := time.Since(begun); got != c.want || took < c.least || took > c.most {
-				t.Errorf("%s: %s after %v", name, got, took)
+			if elapsed := time.Since(start); got != c.want || elapsed < c.minDuration || elapsed > c.maxDuration {
+				t.Errorf("%s: got %q after %v", name, got, elapsed)
 			}
 		})
 	}
-	waits.Wait()
+	clients.Wait()
 }
 
-// An op is what came, with the few fields that decisions need.
+// TestOp checks the op that is read from a request.
 func TestOp(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 100, func(op *node.Op) { ops <- op; served(op) })
+	r := startServer(t, 100, func(op *node.Op) {
+		ops <- op
+		echo(op)
+	})
 	before := r.clock.Now()
-	r.dial(t).ask(request("POST", "/booking/x//y?k=%zz", "body", "X-Resent: 1", "X-Labels: size=3,org=two"))
+	r.dial(t).roundTrip(newRequest("POST", "/booking/x//y?k=%zz", "body", "X-Resent: 1", "X-Labels: size=3,org=two"))
 	op := <-ops
 	got := fmt.Sprint(op.Method, " ", op.Target, " ", op.Host, " ", op.Category, op.Tenant, op.ClientRetry)
 	if diff := cmp.Diff("POST /booking/x//y?k=%zz backend.local 2 1 true", got); diff != "" {
 		t.Error(diff)
 	}
-	if left := op.Deadline - before; left < 480*policy.Millisecond || left > policy.Micros(bound.Microseconds()) {
-		t.Errorf("the client waits for %d us", left)
+	if left := op.Deadline - before; left < 480*policy.Millisecond || left > policy.Micros(testTimeout.Microseconds()) {
+		t.Errorf("%d us until the deadline", left)
 	}
 }
 
-// Danger: an op that waited unread, as the node had to wait for its core, has less time left than it says.
+// TestReadLate checks that an op that was unread while the process was not scheduled has less time left than its header says.
 func TestReadLate(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 100, func(op *node.Op) { ops <- op; served(op) })
-	held := make(chan bool)
-	r.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		<-held
-		r.ServeHTTP(w, q)
+	r := startServer(t, 100, func(op *node.Op) {
+		ops <- op
+		echo(op)
+	})
+	resume := make(chan bool)
+	r.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		<-resume
+		r.ServeHTTP(w, req)
 	})
 	c := r.dial(t)
-	io.WriteString(c.Conn, request("GET", "/checkout", ""))
-	const late = 200 * time.Millisecond
-	time.Sleep(late)
-	read := r.clock.Now()
-	close(held)
-	c.answer()
-	if left := (<-ops).Deadline - read; left > policy.Micros((480*time.Millisecond-late).Microseconds()*5/4) {
-		t.Errorf("%d us left", left)
+	io.WriteString(c.Conn, newRequest("GET", "/checkout", ""))
+	const delay = 200 * time.Millisecond
+	time.Sleep(delay)
+	readAt := r.clock.Now()
+	close(resume)
+	c.readAnswer()
+	if left := (<-ops).Deadline - readAt; left > policy.Micros((480*time.Millisecond-delay).Microseconds()*5/4) {
+		t.Errorf("%d us until the deadline", left)
 	}
 }
 
-// Only a nack may tell the client that trying again is harmless.
+// TestVerdicts checks the answer to a client for each verdict. Only a nack may tell the client that a retry is safe.
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*node.Op)
-		want string
+		handle func(*node.Op)
+		want   string
 	}{
-		"acked":  {served, "200 GET /checkout "},
+		"acked":  {echo, "200 GET /checkout "},
 		"nacked": {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.Nacked}) }, "503"},
-		"nacked, come back": {func(op *node.Op) {
+		"nacked with retry": {func(op *node.Op) {
 			op.Answer(node.Answer{Verdict: node.Nacked, RetryAfter: 1250 * policy.Millisecond})
 		}, "503 after 1.250"},
-		"in excess":     {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.Nacked, OverLimit: true}) }, "503 close"},
-		"dead-lettered": {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.DeadLettered}) }, "502"},
-		"a panic":       {func(*node.Op) { panic("broken") }, "500"},
+		"over the limit": {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.Nacked, OverLimit: true}) }, "503 close"},
+		"dead-lettered":  {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.DeadLettered}) }, "502"},
+		"panic":          {func(*node.Op) { panic("broken") }, "500"},
 	} {
-		r := start(t, 100, c.do)
-		if diff := cmp.Diff(c.want, r.dial(t).ask(request("GET", "/checkout", ""))); diff != "" {
+		r := startServer(t, 100, c.handle)
+		if diff := cmp.Diff(c.want, r.dial(t).roundTrip(newRequest("GET", "/checkout", ""))); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
-// Danger: a body that never comes, also one that nobody wants, would hold its connection for ever; and a
-// connection that served an op long ago must still take an answer.
+// TestDeadlines checks that a body that never comes does not hold its connection forever, also if the body is not needed; and
+// that an answer can still be written on a connection whose last op was long ago.
 func TestDeadlines(t *testing.T) {
-	r := start(t, 100, served)
-	stalled, kept := r.dial(t), r.dial(t)
-	if got := kept.ask(request("GET", "/checkout", "")); got != "200 GET /checkout " {
-		t.Errorf("got %s", got)
+	r := startServer(t, 100, echo)
+	stalled := r.dial(t)
+	kept := r.dial(t)
+	if got := kept.roundTrip(newRequest("GET", "/checkout", "")); got != "200 GET /checkout " {
+		t.Errorf("got %q", got)
 	}
-	raw := request("POST", "/elsewhere", "body")
-	if got := stalled.ask(raw[:len(raw)-2]); got != "404 close" {
-		t.Errorf("stalled: %s", got)
+	raw := newRequest("POST", "/elsewhere", "body")
+	if got := stalled.roundTrip(raw[:len(raw)-2]); got != "404 close" {
+		t.Errorf("request without its whole body: got %q", got)
 	}
 	if _, err := stalled.ReadByte(); err != io.EOF {
-		t.Errorf("the stalled connection: %v", err)
+		t.Errorf("connection without the whole body: got error %v", err)
 	}
-	time.Sleep(writeWait)
-	if got := kept.ask(request("GET", "/elsewhere", "")); got != "404 close" {
-		t.Errorf("got %s", got)
+	time.Sleep(writeTimeout)
+	if got := kept.roundTrip(newRequest("GET", "/elsewhere", "")); got != "404 close" {
+		t.Errorf("got %q", got)
 	}
 }
 
-// A client that leaves is told to the module, and one that is slow to send or asks for nothing is not.
-func TestLeaves(t *testing.T) {
+// TestDisconnect checks that the op of a client that disconnects is abandoned, and that a partial request or a readiness check
+// becomes no op.
+func TestDisconnect(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 100, func(op *node.Op) { ops <- op })
+	r := startServer(t, 100, func(op *node.Op) { ops <- op })
 	c := r.dial(t)
-	io.WriteString(c.Conn, request("POST", "/booking", "body"))
+	io.WriteString(c.Conn, newRequest("POST", "/booking", "body"))
 	op := <-ops
 	c.Close()
 	select {
-	case left := <-r.left:
+	case left := <-r.abandoned:
 		if left != op {
 			t.Error("another op was abandoned")
 		}
-	case <-time.After(bound):
-		t.Error("the module was not told")
+	case <-time.After(testTimeout):
+		t.Error("op was not abandoned")
 	}
-	half := r.dial(t)
-	raw := request("POST", "/booking", "body")
-	io.WriteString(half.Conn, raw[:len(raw)-2])
-	half.Close() // nothing was taken
-	if got := r.dial(t).ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); got != "200 " {
-		t.Errorf("ready: %s", got)
+	partial := r.dial(t)
+	raw := newRequest("POST", "/booking", "body")
+	io.WriteString(partial.Conn, raw[:len(raw)-2])
+	partial.Close() // there is no op yet
+	if got := r.dial(t).roundTrip("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); got != "200 " {
+		t.Errorf("readiness check: got %q", got)
 	}
-	if len(ops)+len(r.left) != 0 {
-		t.Error("half a request became an op")
+	if len(ops)+len(r.abandoned) != 0 {
+		t.Error("a partial request became an op")
 	}
 }
 
-// Danger: with no socket left connections would wait in the backlog, their ops taken and unanswered. Idle
-// connections go first; a running op is never cut.
+// TestSocketsRunShort checks that idle connections are closed when no socket is free, and that the connection of a running op
+// is not. Otherwise new connections would wait in the backlog, and their ops would be taken but not answered.
 func TestSocketsRunShort(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 2, holding(ops))
+	r := startServer(t, 2, holdBrowse(ops))
 	running := r.dial(t)
-	io.WriteString(running.Conn, request("GET", "/browse", ""))
+	io.WriteString(running.Conn, newRequest("GET", "/browse", ""))
 	op := <-ops
 	for range 5 {
-		if got := r.dial(t).ask(request("GET", "/checkout", "")); got != "200 GET /checkout " {
-			t.Errorf("got %s", got)
+		if got := r.dial(t).roundTrip(newRequest("GET", "/checkout", "")); got != "200 GET /checkout " {
+			t.Errorf("got %q", got)
 		}
 	}
-	served(op)
-	if got := running.answer(); got != "200 GET /browse " {
-		t.Errorf("the running op: %s", got)
+	echo(op)
+	if got := running.readAnswer(); got != "200 GET /browse " {
+		t.Errorf("running op: got %q", got)
 	}
 }
 
-// Danger: connections that only stand there could fill the table. They give way; half a request does not.
+// TestSilentConnections checks that connections on which nothing is sent are closed when sockets run short, and that one with a
+// partial request is not. Otherwise silent connections could use up the budget.
 func TestSilentConnections(t *testing.T) {
-	r := start(t, 3, served)
-	half := r.dial(t)
-	raw := request("GET", "/checkout", "")
-	io.WriteString(half.Conn, raw[:len(raw)-2])
+	r := startServer(t, 3, echo)
+	partial := r.dial(t)
+	raw := newRequest("GET", "/checkout", "")
+	io.WriteString(partial.Conn, raw[:len(raw)-2])
 	for range 2 {
 		r.dial(t)
 	}
 	for range 2 {
-		if got := r.dial(t).ask(request("GET", "/checkout", "")); got != "200 GET /checkout " {
-			t.Errorf("got %s", got)
+		if got := r.dial(t).roundTrip(newRequest("GET", "/checkout", "")); got != "200 GET /checkout " {
+			t.Errorf("got %q", got)
 		}
 	}
-	if got := half.ask(raw[len(raw)-2:]); got != "200 GET /checkout " {
-		t.Errorf("the half request: %s", got)
+	if got := partial.roundTrip(raw[len(raw)-2:]); got != "200 GET /checkout " {
+		t.Errorf("partial request: got %q", got)
 	}
 }
 
-// A planned restart loses nothing: connections that come meanwhile are served and closed, ops in hand are
-// finished, and then the listener is gone and every socket is back.
+// TestDrain checks that a planned restart loses no op: connections that arrive during it are served and closed, pending ops are
+// finished, and in the end the listener is closed and every socket is released.
 func TestDrain(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 8, holding(ops))
-	running, kept := r.dial(t), r.dial(t)
-	kept.ask(request("GET", "/checkout", ""))
-	io.WriteString(running.Conn, request("GET", "/browse", ""))
+	r := startServer(t, 8, holdBrowse(ops))
+	running := r.dial(t)
+	kept := r.dial(t)
+	kept.roundTrip(newRequest("GET", "/checkout", ""))
+	io.WriteString(running.Conn, newRequest("GET", "/browse", ""))
 	op := <-ops
 	var drained sync.WaitGroup
-	drained.Go(func() { r.Drain(r.served, true) })
+	drained.Go(func() { r.Drain(r.serveResult, true) })
 	for r.drain.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	for begun := time.Now(); time.Since(begun) < linger/2; time.Sleep(linger / 10) {
-		if got := r.dial(t).ask(request("GET", "/checkout", "")); got != "200 close GET /checkout " {
-			t.Errorf("a connection that came meanwhile: %s", got)
+	for start := time.Now(); time.Since(start) < drainAcceptTime/2; time.Sleep(drainAcceptTime / 10) {
+		if got := r.dial(t).roundTrip(newRequest("GET", "/checkout", "")); got != "200 close GET /checkout " {
+			t.Errorf("connection during the drain: got %q", got)
 		}
 	}
-	for begun := time.Now(); ; time.Sleep(linger / 10) {
+	for start := time.Now(); ; time.Sleep(drainAcceptTime / 10) {
 		c, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			break
 		}
 		c.Close()
-		if time.Since(begun) > bound {
-			t.Fatal("the listener still takes connections")
+		if time.Since(start) > testTimeout {
+			t.Fatal("listener still accepts connections")
 		}
 	}
-	// Danger: clients that are sent away while the next node is in a planned restart find none. What is taken now must
-	// be answered before the kill.
-	io.WriteString(kept.Conn, strings.Replace(request("GET", "/browse", ""), "Ms: 480", "Ms: 60000", 1))
+	// Kept connections are still served, since the next node may be in a planned restart too. An op that is taken now must be
+	// answered before the kill.
+	io.WriteString(kept.Conn, strings.Replace(newRequest("GET", "/browse", ""), "Ms: 480", "Ms: 60000", 1))
 	last := <-ops
-	if most := r.drain.Load().end; last.Deadline != most || r.clock.Until(most) > r.options.Load().MaxTTL {
-		t.Errorf("the last op may take until %d, the end is %d", last.Deadline, most)
+	if deadline := r.drain.Load().deadline; last.Deadline != deadline || r.clock.Until(deadline) > r.options.Load().MaxTTL {
+		t.Errorf("last op has the deadline %d, the shutdown deadline is %d", last.Deadline, deadline)
 	}
-	served(last)
-	if got := kept.answer(); got != "200 GET /browse " {
-		t.Errorf("a kept connection: %s", got)
+	echo(last)
+	if got := kept.readAnswer(); got != "200 GET /browse " {
+		t.Errorf("kept connection: got %q", got)
 	}
-	_, end := r.options.Load().drainTimes()
-	time.Sleep(time.Until(r.drain.Load().begun.Add(end - r.options.Load().MaxTTL/4)))
-	served(op)
-	if got := running.answer(); got != "200 close GET /browse " {
-		t.Errorf("the op in hand: %s", got)
+	_, lastAnswer := r.options.Load().drainTimes()
+	time.Sleep(time.Until(r.drain.Load().startedAt.Add(lastAnswer - r.options.Load().MaxTTL/4)))
+	echo(op)
+	if got := running.readAnswer(); got != "200 close GET /browse " {
+		t.Errorf("pending op: got %q", got)
 	}
 	drained.Wait()
-	if took := time.Since(r.drain.Load().begun); took > r.options.Load().MaxTTL+killAfter {
-		t.Errorf("took %v", took)
+	if elapsed := time.Since(r.drain.Load().startedAt); elapsed > r.options.Load().MaxTTL+killDelay {
+		t.Errorf("ended after %v", elapsed)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for i := range 8 {
-		if r.part.Acquire(ctx) != nil {
-			t.Fatalf("%d of 8 sockets came back", i)
+		if r.budget.Acquire(ctx) != nil {
+			t.Fatalf("%d of 8 sockets were released", i)
 		}
 	}
 }
 
-// Danger: the kill comes no later for TTLs over three seconds; an op that waited for them would be lost.
-func TestDrainTime(t *testing.T) {
+// TestDrainTimes checks that TTLs over three seconds do not extend the drain: the kill does not wait for them, so an op that did
+// would be lost.
+func TestDrainTimes(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{time.Second: 1500 * time.Millisecond,
 		6 * time.Second: 3500 * time.Millisecond} {
 		if _, got := (&Options{MaxTTL: longest}).drainTimes(); got != want {
-			t.Errorf("with a TTL of %v: %v", longest, got)
+			t.Errorf("TTL %v: last answer after %v", longest, got)
 		}
 	}
 }
 
-// Danger: bad clients that connect without a break, say nothing, or begin and never end, would keep a planned restart
-// from ending; the node would be killed with what it holds, and be back late.
+// TestDrainAmongBadClients checks that a planned restart ends in time although bad clients keep connecting and send nothing or
+// incomplete requests. Otherwise the process would be killed with pending ops and restart late.
 func TestDrainAmongBadClients(t *testing.T) {
 	ops := make(chan *node.Op, 1)
-	r := start(t, 500, holding(ops))
+	r := startServer(t, 500, holdBrowse(ops))
 	running := r.dial(t)
-	io.WriteString(running.Conn, request("GET", "/browse", ""))
+	io.WriteString(running.Conn, newRequest("GET", "/browse", ""))
 	op := <-ops
-	half := request("POST", "/booking", "body")
-	end := make(chan bool)
+	partial := newRequest("POST", "/booking", "body")
+	stop := make(chan bool)
 	var flood sync.WaitGroup
 	flood.Go(func() {
 		var open []net.Conn
 		for i := 0; ; i++ {
 			select {
-			case <-end:
+			case <-stop:
 				for _, c := range open {
 					c.Close()
 				}
@@ -490,20 +520,20 @@
 			case <-time.After(10 * time.Millisecond):
 			}
 			if c, err := net.Dial("tcp", r.addr); err == nil {
-				io.WriteString(c, half[:len(half)*(i%3)/2-i%3]) // nothing, half a head, all but the body's end
+				io.WriteString(c, partial[:len(partial)*(i%3)/2-i%3]) // nothing, part of the head, or all but the end of the body
 				open = append(open, c)
 			}
 		}
 	})
-	begun := time.Now()
-	time.AfterFunc(linger, func() { served(op) })
-	r.Drain(r.served, true)
-	if took := time.Since(begun); took > r.options.Load().MaxTTL+killAfter {
-		t.Errorf("took %v", took)
+	start := time.Now()
+	time.AfterFunc(drainAcceptTime, func() { echo(op) })
+	r.Drain(r.serveResult, true)
+	if elapsed := time.Since(start); elapsed > r.options.Load().MaxTTL+killDelay {
+		t.Errorf("ended after %v", elapsed)
 	}
-	if got := running.answer(); got != "200 GET /browse " {
-		t.Errorf("the op in hand: %s", got)
+	if got := running.readAnswer(); got != "200 GET /browse " {
+		t.Errorf("pending op: got %q", got)
 	}
-	close(end)
+	close(stop)
 	flood.Wait()
 }
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -17,34 +17,36 @@
 	"canvasrouter/internal/sockets"
 )
 
-// linger is how long new connections are taken after a planned restart was asked for: the front goes on
-// dealing them out for 0.2 to 0.4 s.
-const linger = 500 * time.Millisecond
+// drainAcceptTime is how long new connections are accepted after a planned restart was requested. The load balancer in front
+// of the node keeps sending new connections for 0.2 to 0.4 s.
+const drainAcceptTime = 500 * time.Millisecond
 
-// quietWindow is how long the backlog must have been empty before the listener closes.
-const quietWindow = 50 * time.Millisecond
+// backlogQuietTime is how long the backlog must have been empty before the listener closes.
+const backlogQuietTime = 50 * time.Millisecond
 
-// listener takes connections within the clients' part of the sockets. With none left, connections wait in the
-// backlog and nothing spins.
+// listener accepts connections within the clients' socket budget. When the budget is used up, connections wait in the kernel's
+// backlog, and Accept blocks.
 type listener struct {
 	*net.TCPListener
-	part *sockets.Budget
-	ctx  context.Context // done when nothing more is to be taken
-	end  context.CancelFunc
-	last bool // past linger: the backlog is being emptied
+	budget          *sockets.Budget
+	ctx             context.Context // done when no more connections are to be accepted
+	cancel          context.CancelFunc
+	emptyingBacklog bool // drainAcceptTime has passed
 
-	until atomic.Pointer[time.Time] // when that ends at the latest
+	backlogDeadline atomic.Pointer[time.Time] // when emptying the backlog ends at the latest; set by drain
 }
 
-func newListener(tcp *net.TCPListener, part *sockets.Budget) *listener {
-	ctx, end := context.WithCancel(context.Background())
-	return &listener{TCPListener: tcp, part: part, ctx: ctx, end: end}
+// newListener returns a listener that accepts connections within a budget.
+func newListener(tcp *net.TCPListener, budget *sockets.Budget) *listener {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &listener{TCPListener: tcp, budget: budget, ctx: ctx, cancel: cancel}
 }
 
+// Accept waits for a free socket and accepts a connection. During a drain it empties the backlog, then closes the listener.
 func (l *listener) Accept() (net.Conn, error) {
-	for !l.room() {
+	for !l.acquireSocket() {
 		if l.ctx.Err() != nil {
-			l.close()
+			l.refuseBacklog()
 			return nil, net.ErrClosed
 		}
 	}
@@ -52,289 +54,300 @@
 		tcp, err := l.AcceptTCP()
 		switch {
 		case err == nil:
-			if l.last {
-				l.SetDeadline(l.quietBy())
+			if l.emptyingBacklog {
+				l.SetDeadline(l.quietDeadline())
 			}
-			return &conn{Conn: l.part.Wrap(tcp), tcp: tcp, came: time.Now()}, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && !l.last:
-			// Danger: closing now would reset connections that wait in the backlog.
-			l.last = true
-			l.SetDeadline(l.quietBy())
+			return &conn{Conn: l.budget.Wrap(tcp), tcp: tcp, acceptedAt: time.Now()}, nil
+		case errors.Is(err, os.ErrDeadlineExceeded) && !l.emptyingBacklog:
+			// Closing the listener now would reset the connections in the backlog.
+			l.emptyingBacklog = true
+			l.SetDeadline(l.quietDeadline())
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			err = net.ErrClosed
-			l.close()
+			l.refuseBacklog()
 		}
-		l.part.Release()
+		l.budget.Release()
 		return nil, err
 	}
 }
 
-// room takes a socket's room, or gives up after a while: what could not give way before may do so by then.
-func (l *listener) room() bool {
-	ctx, cancel := context.WithTimeout(l.ctx, unused/4)
+// acquireSocket acquires a socket of the budget. It gives up after a while, so that the next call again asks for an idle
+// connection to be closed: one that was too new before may be old enough by then.
+func (l *listener) acquireSocket() bool {
+	ctx, cancel := context.WithTimeout(l.ctx, newConnGrace/4)
 	defer cancel()
-	return l.part.Acquire(ctx) == nil
+	return l.budget.Acquire(ctx) == nil
 }
 
-// quietBy is when the backlog counts as empty, unless something comes before. Danger: bad clients connect without a
-// break, and it would never be.
-func (l *listener) quietBy() time.Time {
-	if by := time.Now().Add(quietWindow); by.Before(*l.until.Load()) {
-		return by
+// quietDeadline returns when the backlog counts as empty unless a connection arrives before. It is limited by
+// backlogDeadline, because the backlog would never be empty while bad clients connect without a pause.
+func (l *listener) quietDeadline() time.Time {
+	if deadline := time.Now().Add(backlogQuietTime); deadline.Before(*l.backlogDeadline.Load()) {
+		return deadline
 	}
-	return *l.until.Load()
+	return *l.backlogDeadline.Load()
 }
 
-// drain takes connections for a while yet, then closes.
+// drain lets the listener accept connections for drainAcceptTime, then empty the backlog and close.
 func (l *listener) drain() {
-	until := time.Now().Add(linger + 4*quietWindow)
-	l.until.Store(&until)
-	l.SetDeadline(time.Now().Add(linger))
-	time.AfterFunc(linger+4*quietWindow, l.end) // should it be waiting for a socket
+	deadline := time.Now().Add(drainAcceptTime + 4*backlogQuietTime)
+	l.backlogDeadline.Store(&deadline)
+	l.SetDeadline(time.Now().Add(drainAcceptTime))
+	time.AfterFunc(drainAcceptTime+4*backlogQuietTime, l.cancel) // ends an Accept that waits for a socket
 }
 
 const (
-	// refuseFor is how long what waits in the backlog is refused before the listener closes.
-	refuseFor = 300 * time.Millisecond
-	// refusals go on side by side, with sockets of the reserve for the process's own files.
-	refusals = 4
-	// refuseWait is how long a request that is refused may take to come, and its client to go.
-	refuseWait = 20 * time.Millisecond
+	// refusalPeriod is how long requests in the backlog are refused before the listener closes.
+	refusalPeriod = 300 * time.Millisecond
+	// maxConcurrentRefusals limits the connections that are refused at a time. They are not counted in the budget but use
+	// descriptors reserved for the process itself.
+	maxConcurrentRefusals = 4
+	// refusalTimeout is how long a refused request may take to arrive and its client to close the connection.
+	refusalTimeout = 20 * time.Millisecond
 )
 
-// close refuses what waits in the backlog, and closes. Danger: a request whose connection the machine has accepted counts as taken.
-// Where the budget is spent to the end, or clients connect without a break, closing would reset it unanswered.
-func (l *listener) close() {
-	end := time.Now().Add(refuseFor)
-	var all sync.WaitGroup
-	room := make(chan struct{}, refusals)
-	for by := time.Now().Add(refuseWait); by.Before(end); by = time.Now().Add(refuseWait) {
-		l.SetDeadline(by)
+// refuseBacklog answers the requests in the backlog with a nack, and closes the listener. A request whose connection the
+// kernel has accepted counts as taken. If the budget is still used up, or clients connect without a pause, closing the
+// listener at once would reset such a request unanswered.
+func (l *listener) refuseBacklog() {
+	end := time.Now().Add(refusalPeriod)
+	var refusals sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentRefusals)
+	for acceptDeadline := time.Now().Add(refusalTimeout); acceptDeadline.Before(end); acceptDeadline = time.Now().Add(refusalTimeout) {
+		l.SetDeadline(acceptDeadline)
 		tcp, err := l.AcceptTCP()
 		if err != nil {
 			break
 		}
-		room <- struct{}{}
-		all.Go(func() {
+		slots <- struct{}{}
+		refusals.Go(func() {
 			refuse(tcp)
-			<-room
+			<-slots
 		})
 	}
 	l.TCPListener.Close()
-	all.Wait()
+	refusals.Wait()
 }
 
-// refuse answers one whole request with a nack, and closes. Danger: a close over unread bytes would reset the answer away.
+// refuse reads one complete request, answers it with a nack and closes the connection. It reads to the end first, because
+// closing a connection that has unread bytes resets it, and the answer would be lost.
 func refuse(tcp *net.TCPConn) {
 	defer tcp.Close()
-	tcp.SetDeadline(time.Now().Add(refuseWait))
+	tcp.SetDeadline(time.Now().Add(refusalTimeout))
 	in := bufio.NewReader(tcp)
 	if r, err := http.ReadRequest(in); err == nil {
 		if _, err = io.Copy(io.Discard, r.Body); err == nil {
-			fmt.Fprintf(tcp, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", statusNack, http.StatusText(statusNack))
+			fmt.Fprintf(tcp, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", statusNacked, http.StatusText(statusNacked))
 			tcp.CloseWrite()
 			io.Copy(io.Discard, in)
 		}
 	}
 }
 
-// What a connection holds. From shut there is no way back, so that who closes and who takes a request agree.
+// States of a connection. connClosed is final, so that closing the connection and claiming a request on it cannot both succeed.
 const (
-	resting uint32 = iota // no whole request
-	taken                 // a whole request that is not answered yet
-	shut                  // closed here: what is read on it from now on is not taken
+	connNoRequest  uint32 = iota // no complete request
+	connHasRequest               // a complete request that is not answered yet
+	connClosed                   // closed by this process: a request that is read from now on is not accepted
 )
 
-// conn is a client's connection.
+// conn is a connection from a client.
 type conn struct {
 	*sockets.Conn
-	tcp   *net.TCPConn
-	came  time.Time
-	asked bool // a request with a body wait of its own has been read; the handler's
-
-	reading atomic.Bool // the library waits for what comes next, and so for the client's end
-	phase   atomic.Uint32
-	read    atomic.Int64 // how long after came the library last got something
-	look    *time.Timer  // for an end that the library does not notice; the handler's, made by its first op
+	tcp        *net.TCPConn
+	acceptedAt time.Time
+	hadRequest bool // bodyDeadline was called for the first request; used by the handler only
+
+	reading  atomic.Bool   // the library is in Read, and so will notice a disconnect
+	state    atomic.Uint32 // connNoRequest, connHasRequest or connClosed
+	lastRead atomic.Int64  // nanoseconds after acceptedAt: end of the library's latest Read
+
+	// disconnectTimer is for disconnects that the library does not notice. Only the handler uses it; its first op creates it.
+	disconnectTimer *time.Timer
 }
 
-// Close closes the connection. Danger: bytes may come in the very moment in which it is closed, and the library may have read them
-// already; a request that is taken then has nobody to answer.
+// Close closes the connection. It sets the state first: the library may already have read bytes that arrived at the same
+// moment, and a request that is accepted after the close could not be answered.
 func (c *conn) Close() error {
-	c.phase.Store(shut)
+	c.state.Store(connClosed)
 	return c.Conn.Close()
 }
 
-// take says that a whole request has been read, unless the connection was closed before.
-func (c *conn) take() bool { return c.phase.CompareAndSwap(resting, taken) }
+// claimRequest records that a complete request was read. It returns false if the connection was closed before.
+func (c *conn) claimRequest() bool { return c.state.CompareAndSwap(connNoRequest, connHasRequest) }
 
-// holds says that a whole request is not answered yet.
-func (c *conn) holds() bool { return c.phase.Load() == taken }
+// hasRequest reports whether a complete request has not been answered yet.
+func (c *conn) hasRequest() bool { return c.state.Load() == connHasRequest }
 
+// Read reads from the connection and records the activity of the library.
 func (c *conn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	defer c.reading.Store(false)
 	n, err := c.Conn.Read(b)
-	c.read.Store(int64(time.Since(c.came)))
+	c.lastRead.Store(int64(time.Since(c.acceptedAt)))
 	return n, err
 }
 
-// half says that the connection holds no whole request, and that for a while nothing has come on it. Danger: what came
-// may wait unread, or be read and not yet counted, while this process waits for its core.
-func (c *conn) half(quiet time.Duration) bool {
-	return !c.holds() && time.Since(c.came)-time.Duration(c.read.Load()) >= quiet &&
-		received(c.tcp).since >= quiet && !unread(c.tcp)
+// isIncomplete reports whether the connection has no complete request and has received nothing for a duration. The kernel is
+// asked as well: while this process is not scheduled, bytes may be unread, or read and not yet recorded.
+func (c *conn) isIncomplete(quiet time.Duration) bool {
+	return !c.hasRequest() && time.Since(c.acceptedAt)-time.Duration(c.lastRead.Load()) >= quiet &&
+		readTCPState(c.tcp).sinceLastByte >= quiet && !hasUnread(c.tcp)
 }
 
-// unread says that bytes have come that this process has not read.
-func unread(tcp *net.TCPConn) bool {
+// hasUnread reports whether bytes were received that this process has not read.
+func hasUnread(tcp *net.TCPConn) bool {
 	raw, err := tcp.SyscallConn()
-	bytes, _ := sockets.Peek(raw)
-	return err == nil && bytes
+	unread, _ := sockets.Peek(raw)
+	return err == nil && unread
 }
 
-// leftUnread says that the client has left and that nobody is reading who would notice. Danger: the library reads one
-// byte beyond a request and then no further; a client that sends much at once and goes has left unseen.
-func (c *conn) leftUnread() bool { return !c.reading.Load() && c.Disconnected() }
+// disconnectedUnnoticed reports whether the client has left while the library is not reading and so can't notice. The library
+// reads one byte beyond a request and then stops, so it misses the disconnect of a client that sends more than that.
+func (c *conn) disconnectedUnnoticed() bool { return !c.reading.Load() && c.Disconnected() }
 
-// Left says that the client has left, as the kernel knows it.
-func (c *conn) Disconnected() bool { return received(c.tcp).ended }
+// Disconnected reports whether the client has left, according to the kernel. It implements node.Client.
+func (c *conn) Disconnected() bool { return readTCPState(c.tcp).clientClosed }
 
-// conns are those that stand open.
-type conns struct {
-	mu   sync.Mutex
-	open map[*conn]bool
+// openConnSet holds the open connections.
+type openConnSet struct {
+	mu    sync.Mutex // guards conns
+	conns map[*conn]bool
 }
 
-func (c *conns) set(of net.Conn, state http.ConnState) {
-	own, ok := of.(*conn)
+// stateChanged updates the set when the HTTP library changes the state of a connection.
+func (s *openConnSet) stateChanged(netConn net.Conn, state http.ConnState) {
+	clientConn, ok := netConn.(*conn)
 	if !ok {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if c.open == nil {
-			c.open = make(map[*conn]bool)
+		if s.conns == nil {
+			s.conns = make(map[*conn]bool)
 		}
-		c.open[own] = true
+		s.conns[clientConn] = true
 	case http.StateIdle:
-		own.phase.CompareAndSwap(taken, resting) // its answer is out
+		clientConn.state.CompareAndSwap(connHasRequest, connNoRequest) // the answer has been written
 	case http.StateClosed, http.StateHijacked:
-		delete(c.open, own)
+		delete(s.conns, clientConn)
 	}
 }
 
-// none says that none stands open.
-func (c *conns) none() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.open) == 0
+// empty reports whether no connection is open.
+func (s *openConnSet) empty() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns) == 0
 }
 
-// closeHalf closes the connections that hold no whole request and on which nothing has come for a while.
+// closeIncomplete closes the connections that have no complete request and have received nothing for a duration.
 //
-// Danger: a request whose last bytes come while a restart closes what stands open is taken, and would be lost.
-func (c *conns) closeHalf(quiet time.Duration) {
-	c.mu.Lock()
-	var half []*conn
-	for own := range c.open {
-		if own.half(quiet) {
-			half = append(half, own)
+// A request may be completed while connections are being closed. It would count as taken and be lost, so each connection's
+// state is changed atomically before the close.
+func (s *openConnSet) closeIncomplete(quiet time.Duration) {
+	s.mu.Lock()
+	var incomplete []*conn
+	for clientConn := range s.conns {
+		if clientConn.isIncomplete(quiet) {
+			incomplete = append(incomplete, clientConn)
 		}
 	}
-	c.mu.Unlock()
-	for _, own := range half {
-		if own.phase.CompareAndSwap(resting, shut) { // its last byte may have come since
-			own.Close()
+	s.mu.Unlock()
+	for _, clientConn := range incomplete {
+		if clientConn.state.CompareAndSwap(connNoRequest, connClosed) { // fails if its request was completed since
+			clientConn.Close()
 		}
 	}
 }
 
-// ids are those of the ops in hand.
-type ids struct {
-	mu   sync.Mutex
-	held map[string]bool
+// opIDSet holds the ids of the pending ops.
+type opIDSet struct {
+	mu       sync.Mutex // guards reserved
+	reserved map[string]bool
 }
 
-// take says whether the id is free, and takes it until it is given back.
-func (i *ids) take(id string) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.held[id] {
+// reserve reserves an id until it is released. It returns false if the id is already reserved.
+func (s *opIDSet) reserve(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reserved[id] {
 		return false
 	}
-	if i.held == nil {
-		i.held = make(map[string]bool)
+	if s.reserved == nil {
+		s.reserved = make(map[string]bool)
 	}
-	i.held[id] = true
+	s.reserved[id] = true
 	return true
 }
 
-func (i *ids) give(id string) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	delete(i.held, id)
+// release releases a reserved id.
+func (s *opIDSet) release(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.reserved, id)
 }
 
-// unused is how long a new connection that says nothing is left alone when sockets run short. Danger: such
-// connections may come by hundreds, and usual clients wait behind them for as long.
-const unused = 100 * time.Millisecond
+// newConnGrace is how long a new connection on which nothing was received is kept when sockets run short. Such connections may
+// arrive by the hundred, and other clients wait behind them for this long.
+const newConnGrace = 100 * time.Millisecond
 
-// idlers are the clients' connections between two requests or before the first, in the order in which they fell
-// idle.
-type idlers struct {
-	mu   sync.Mutex
-	list []idler
+// idleConnList holds the client connections that are between two requests or before their first one, in the order in which
+// they became idle.
+type idleConnList struct {
+	mu      sync.Mutex // guards entries
+	entries []idleConn
 }
 
-type idler struct {
-	conn net.Conn
-	new  time.Time // when it came, if nothing was ever asked on it
+// idleConn is an entry of an idleConnList.
+type idleConn struct {
+	conn       net.Conn
+	acceptedAt time.Time // zero once a request was served on the connection
 }
 
-// set is told of each change; a connection that is not idle is never in the list.
-func (i *idlers) set(conn net.Conn, state http.ConnState) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.list = slices.DeleteFunc(i.list, func(e idler) bool { return e.conn == conn })
+// stateChanged updates the list when the HTTP library changes the state of a connection. Only idle connections are listed.
+func (l *idleConnList) stateChanged(conn net.Conn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.entries = slices.DeleteFunc(l.entries, func(e idleConn) bool { return e.conn == conn })
 	switch state {
 	case http.StateNew:
-		i.list = append(i.list, idler{conn, time.Now()})
+		l.entries = append(l.entries, idleConn{conn, time.Now()})
 	case http.StateIdle:
-		i.list = append(i.list, idler{conn: conn})
+		l.entries = append(l.entries, idleConn{conn: conn})
 	}
 }
 
-// shed closes the connection that has been idle longest. It is closed inside the lock, so that it can't have
-// become a running op's meanwhile. Danger: connections that only stand there could fill the table; but on a new
-// one a request may wait unread, and closing it would lose the op.
-func (i *idlers) shed() {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	for k, e := range i.list {
-		if e.new.IsZero() || time.Since(e.new) > unused && silent(e.conn) {
+// closeLongestIdle closes the connection that has been idle longest. It closes it while holding the lock, so that the
+// connection can't get a new op in between. Connections on which nothing is ever sent could fill the budget, so new ones are
+// closed too; but only if no byte was received, since a request may be unread and its op would be lost.
+func (l *idleConnList) closeLongestIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for k, e := range l.entries {
+		if e.acceptedAt.IsZero() || time.Since(e.acceptedAt) > newConnGrace && neverSent(e.conn) {
 			e.conn.Close()
-			i.list = slices.Delete(i.list, k, k+1)
+			l.entries = slices.Delete(l.entries, k, k+1)
 			return
 		}
 	}
 }
 
-// silent says that not a byte has come on a connection, as far as can be told.
-func silent(c net.Conn) bool {
-	own, ok := c.(*conn)
+// neverSent reports whether the kernel knows that no byte was ever received on a connection.
+func neverSent(c net.Conn) bool {
+	clientConn, ok := c.(*conn)
 	if !ok {
 		return false
 	}
-	return received(own.tcp).nothing
+	return readTCPState(clientConn.tcp).noBytes
 }
 
-// heard is what the kernel knows of a client's connection.
-type heard struct {
-	since   time.Duration // the last byte came
-	nothing bool          // ever came
-	ended   bool          // the client has left, though there may be bytes to read yet
+// tcpState is the kernel's state of a client's connection.
+type tcpState struct {
+	sinceLastByte time.Duration // time since the last byte was received
+	noBytes       bool          // no byte was ever received
+	clientClosed  bool          // the client has closed or reset the connection; there may still be unread bytes
 }
--- /dev/null
+++ b/internal/clients/tcpinfo_linux.go
@@ -0,0 +1,28 @@
+package clients
+
+import (
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// readTCPState returns the kernel's state of a connection, including bytes that this process has not read. It is zero if the
+// kernel can't be asked.
+func readTCPState(conn *net.TCPConn) (state tcpState) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return tcpState{}
+	}
+	raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			state.sinceLastByte = time.Duration(info.Last_data_recv) * time.Millisecond
+			state.noBytes = info.Bytes_received == 0
+			switch info.State {
+			case unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING:
+				state.clientClosed = true
+			}
+		}
+	})
+	return state
+}
--- /dev/null
+++ b/internal/clients/tcpinfo_other.go
@@ -0,0 +1,9 @@
+//go:build !linux
+
+package clients
+
+import "net"
+
+// readTCPState returns the zero state, since there is no TCP_INFO on this platform. So an op's remaining time counts from when
+// it is read, and new connections are not closed to free sockets.
+func readTCPState(*net.TCPConn) tcpState { return tcpState{} }
