--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -57,14 +57,17 @@
 
 // Actor is the part of the node's actor that the client side uses.
 type Actor interface {
+	// Submit hands over an op, which is answered in any case.
 	Submit(*node.Op)
+	// Abandon reports that the op's client has disconnected.
 	Abandon(*node.Op)
+	// SetShutdownDeadline sets the time by which every op is answered before the process ends.
 	SetShutdownDeadline(policy.Micros)
 }
 
 // Options are the settings of the client side.
 type Options struct {
-	Categories, Tenants []string        // names, by number
+	Categories, Tenants []string        // names, indexed by the numbers that the module uses
 	DeliverySemantics   []policy.Repeat // of each category, by its number
 	MaxTTL              time.Duration   // longest TTL of all categories; no op is pending for longer
 	GenerationNumber    int             // the generation of these settings
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,8 @@
 // Package node runs a node's actor, the one goroutine that calls the module (a policy.Decider) and settles ops. It keeps
 // the state that the module's decisions apply to and carries the decisions out; it makes no decision itself.
 //
+// An op is one client request, which gets exactly one final answer. A push is one attempt to run an op on a server.
+//
 // The client side, the server side and the registry post messages to the actor's mailbox and block while it is full. The
 // actor never blocks on them: each op has a buffered channel for its answer, and pushes and registry watches are handed
 // over without waiting.
@@ -30,30 +32,31 @@
 
 // Options are the settings of the actor.
 type Options struct {
-	MaxPendingOps int           // ops not yet settled
+	MaxPendingOps int           // maximum number of ops that are not settled; more are nacked
 	AnswerSlack   policy.Micros // time after an op's deadline in which a final answer still counts
 }
 
-// Node is the actor of one node. All of its state belongs to the goroutine that calls Run, or to the caller of RunPending.
+// Node is the actor of one node. Its state belongs to the goroutine that calls Run, or to the caller of RunPending; methods
+// that post a message to it are safe for concurrent use.
 type Node struct {
 	clock    *Clock
 	servers  Servers
 	registry Registry
 	log      zerolog.Logger
 	mailbox  chan any
-	stopped  chan struct{}
+	stopped  chan struct{} // closed when the actor has stopped
 
-	generations   []*Generation // oldest first
-	list          []policy.Entry
+	generations   []*Generation               // oldest first
+	list          []policy.Entry              // current full server list, without weight factors
 	peers         Peers                       // nil: no peer messaging
 	weightFactors map[policy.ServerID]float64 // remaining fraction of a server's weight after the peers' reports; absent: 1
 
 	ops               map[policy.OpID]*Op
-	pendingOps        int // ops not yet settled
-	rejectedOps       int // nacked over the limit since the last log line about it
-	rejectionLoggedAt policy.Micros
+	pendingOps        int           // ops not yet settled
+	rejectedOps       int           // nacked over the limit since the last log line about it
+	rejectionLoggedAt policy.Micros // step time of that log line
 	shutdownDeadline  policy.Micros // every op is answered by then; 0: no shutdown is planned
-	lastOpID          policy.OpID
+	lastOpID          policy.OpID   // latest id given to an op
 	stepTime          policy.Micros // time of the latest step; never decreases
 	timers            timerQueue
 	pendingInputs     []policy.Input // produced by effects; delivered after them, so that the module is not reentered
@@ -67,7 +70,7 @@
 	pushEnded           struct {
 		push   *Push
 		result Result
-		at     policy.Micros
+		at     policy.Micros // when the end was reported
 	}
 )
 
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -82,7 +82,7 @@
 // Answer is the one final answer to an op. Its receiver releases the body.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter policy.Micros // how long the client should wait before a retry; 0: not told
+	RetryAfter policy.Micros // how long the client should wait before a retry; 0: the client decides
 	OverLimit  bool          // nacked because of the limit on pending ops; the client's connection is to be closed
 	Header     http.Header
 	Body       *Payload
@@ -98,7 +98,7 @@
 	Request
 	Category    policy.CategoryID
 	Tenant      policy.TenantID
-	Deadline    policy.Micros // the client waits until then
+	Deadline    policy.Micros // the client waits for an answer until then
 	ClientRetry bool          // the client has sent the op before
 	// GenerationNumber is the number of the generation whose settings the request was read with.
 	GenerationNumber int
@@ -133,7 +133,7 @@
 	Body    *Reader         // keeps the op's body in memory until closed
 	Context context.Context // done when the push is cancelled, withdrawn or has ended
 	Server  policy.ServerID
-	Timeout policy.Micros // counted from createdAt
+	Timeout policy.Micros // how long the node waits, from the creation of the push
 
 	op           *Op
 	number       policy.PushNo
@@ -194,7 +194,7 @@
 	return p.state.CompareAndSwap(pushUnsent, pushBegun) || p.state.Load() == pushBegun
 }
 
-// Withdrawn reports that nothing of the push was written or ever will be.
+// Withdrawn reports whether the push was withdrawn, so that nothing of the push was written or ever will be.
 func (p *Push) Withdrawn() bool { return p.state.Load() == pushWithdrawn }
 
 // withdraw prevents a push of which nothing has been written from being sent, and reports whether it succeeded. It is
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -59,7 +59,7 @@
 	peers.ListChanged(n.list)
 }
 
-// deliverPeerMessages passes messages to the newest generation; the older ones only finish their ops.
+// deliverPeerMessages passes each message to the newest generation; the older ones only finish their ops.
 func (n *Node) deliverPeerMessages(messages peerMessages) {
 	for length := len(PeerMessage{}); len(messages) >= length; messages = messages[length:] {
 		n.step(n.newestGeneration(), &policy.Input{Kind: policy.PeerSaid, Said: messages[:length]})
--- a/internal/servers/race_test.go
+++ b/internal/servers/race_test.go
@@ -623,9 +623,11 @@
 				policy.ColdRule{From: 1, Factor: 3, Window: policy.Second}, policy.RegistryRule{})
 			harness := newNodeHarnessOf(t, module, 100*time.Millisecond, 9, startServer(t, serve), startServer(t, serve))
 			op := harness.submitOp("only", long, 500*policy.Millisecond)
-			want, pushes := node.DeadLettered, int32(1)
+			want := node.DeadLettered
+			pushes := int32(1)
 			if c.mayPushAgain {
-				want, pushes = node.Acked, 2
+				want = node.Acked
+				pushes = 2
 			}
 			if v := awaitVerdict(t, op); v != want {
 				t.Errorf("got verdict %v", v)
