--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -145,7 +145,7 @@
 	ctx, h.stop = context.WithCancel(context.Background())
 	h.ended = make(chan error, 1)
 	go func() { h.ended <- n.Run(ctx) }()
-	f, err := fleet.StartKeeping(conf, n, clock, zerolog.Nop(), c.keep)
+	f, err := fleet.StartWithRetention(conf, n, clock, zerolog.Nop(), c.keep)
 	if err != nil {
 		h.stop()
 		<-h.ended
@@ -204,10 +204,10 @@
 // Agree is Cluster's.
 func (c *HollowCluster) Agree(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
 	begun, slow := time.Now(), time.Duration(c.slow)
-	want := make(map[transport.LifeID]bool, len(places))
+	want := make(map[transport.IncarnationID]bool, len(places))
 	for _, place := range places {
 		if f := c.fleetOf(place); f != nil {
-			want[f.Life()] = true
+			want[f.Incarnation()] = true
 		}
 	}
 	for {
@@ -233,13 +233,13 @@
 	}
 }
 
-func knows(f *fleet.Fleet, want map[transport.LifeID]bool) bool {
-	others := f.Others()
+func knows(f *fleet.Fleet, want map[transport.IncarnationID]bool) bool {
+	others := f.AlivePeers()
 	if len(others) != len(want)-1 {
 		return false
 	}
 	for i := range others {
-		if !want[others[i].Life] {
+		if !want[others[i].Incarnation] {
 			return false
 		}
 	}
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -75,7 +75,7 @@
 		return
 	}
 	b.slack = trial.Slack(r.Fault, c.AnswerSlack)
-	b.node = node.New(node.Options{MaxPendingOps: min(most, c.MostOpen), AnswerSlack: b.slack}, decider, b.clock, quiet)
+	b.node = node.New(node.Options{MaxPendingOps: min(most, c.MaxPendingOps), AnswerSlack: b.slack}, decider, b.clock, quiet)
 	known := &node.List{Form: policy.ListCached}
 	r.account.Anew(b.place)
 	for i, m := range r.plan.Machines[:r.plan.Standing] {
--- a/internal/serve/changes.go
+++ b/internal/serve/changes.go
@@ -22,7 +22,7 @@
 	if c.Store == nil {
 		return func() {}
 	}
-	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Check: Check, Lock: &r.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
+	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Check: CheckConfig, Lock: &r.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
 		Seed: rand.Uint64(), Log: r.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
 			err := r.install(c)
 			if errors.Is(err, node.ErrTooManyGenerations) {
--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -65,12 +65,12 @@
 func New(o Options) *Applier {
 	c := o.Config
 	var bind net.IP
-	if c.Store.Bind.IsValid() {
-		bind = c.Store.Bind.AsSlice()
+	if c.Store.LocalIP.IsValid() {
+		bind = c.Store.LocalIP.AsSlice()
 	}
 	return &Applier{Options: o, file: c.Raw, anew: make(chan struct{}, 1), runs: map[store.Key]*store.Value{}, refused: map[store.Key]store.Refusal{},
 		follower: store.NewFollower(store.FollowerOptions{Replicas: c.Store.Replicas, Keys: store.Keys(c.Store.Service, c.Name), Node: c.Name,
-			Life: o.Life, Zone: int(c.Rules.Place.Zone), Seed: o.Seed, Bind: bind}, o.Log)}
+			Life: o.Life, Zone: int(c.Rules.Topology.Zone), Seed: o.Seed, Bind: bind}, o.Log)}
 }
 
 // Run follows the store until ctx is done.
@@ -123,8 +123,8 @@
 		trial := maps.Clone(runs)
 		trial[v.Key] = v
 		c, err := Lay(file, trial, a.Getenv, a.Check)
-		if v.Needs > config.Form {
-			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", v.Needs, config.Form)
+		if v.Needs > config.FormatVersion {
+			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", v.Needs, config.FormatVersion)
 		}
 		if err != nil {
 			refused[v.Key] = store.Refusal{Version: v.Version, Why: err.Error()}
@@ -209,7 +209,7 @@
 // CheckChange says what is wrong with a change, by its key, as far as that can be told without the file that it will be laid over: it is
 // laid over one in which nothing is wrong.
 func CheckChange(c *store.Change) error {
-	if c.Needs > config.Form {
+	if c.Needs > config.FormatVersion {
 		return nil // of a later form: nodes that know it look at it
 	}
 	_, err := Lay([]byte(plain), map[store.Key]*store.Value{c.Key: {Key: c.Key, Patch: c.Patch}}, func(string) string { return "" }, nil)
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Rules.Push.Max != 7 || c.Rules.Push.Dial != 55_000 || c.LogLevel != zerolog.WarnLevel {
-		t.Errorf("%+v, %v", c.Rules.Push, c.LogLevel)
+	if c.Rules.PushLimits.Max != 7 || c.Rules.PushLimits.Dial != 55_000 || c.LogLevel != zerolog.WarnLevel {
+		t.Errorf("%+v, %v", c.Rules.PushLimits, c.LogLevel)
 	}
 	for patch, want := range map[string]string{
 		`{"settings":{"tick":"often"}}`: "setting tick is no number",
@@ -57,7 +57,7 @@
 	if err := CheckChange(&store.Change{Key: "node/n", Patch: json.RawMessage(`{"settings":{"az":0}}`)}); err != nil {
 		t.Error(err)
 	}
-	if err := CheckChange(&store.Change{Key: "all", Needs: config.Form + 1, Patch: json.RawMessage(`{"later":1}`)}); err != nil {
+	if err := CheckChange(&store.Change{Key: "all", Needs: config.FormatVersion + 1, Patch: json.RawMessage(`{"later":1}`)}); err != nil {
 		t.Errorf("a form that this program does not know is for others to look at: %v", err)
 	}
 }
@@ -90,7 +90,7 @@
 		if broken {
 			return errors.New("key fleet.listen: in use")
 		}
-		installed <- c.Rules.Push.Max
+		installed <- c.Rules.PushLimits.Max
 		return nil
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -138,8 +138,8 @@
 		t.Fatal(err)
 	}
 	over, err := a.Over(other)
-	if err != nil || over.Rules.Push.Max != 4 || over.Rules.Push.Dial != 70_000 {
-		t.Errorf("%v: %+v", err, over.Rules.Push)
+	if err != nil || over.Rules.PushLimits.Max != 4 || over.Rules.PushLimits.Dial != 70_000 {
+		t.Errorf("%v: %+v", err, over.Rules.PushLimits)
 	}
 	a.Reread(other.Raw)
 	await("tried again with the new file", func() bool { return runs("service/s") == 2 && a.Look().Refused["node/n"].Version == 1 })
