--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -69,9 +69,9 @@
 		if replica == "" {
 			replica = "no replica"
 		}
-		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, storeView.Runs, storeView.Told)
+		fmt.Fprintf(out, "store: watches %s; runs %v of what it was told, %v\n", replica, storeView.Applied, storeView.Received)
 		for _, key := range slices.Sorted(maps.Keys(storeView.Refused)) {
-			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, storeView.Refused[key].Version, storeView.Refused[key].Why)
+			fmt.Fprintf(out, "    %s version %d refused: %s\n", key, storeView.Refused[key].Version, storeView.Refused[key].Reason)
 		}
 	}
 	for _, server := range view.Servers {
--- a/cmd/canvasrouter/store.go
+++ b/cmd/canvasrouter/store.go
@@ -73,11 +73,11 @@
 		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
 	return store.ReplicaOptions{
-		Number: *file.Number,
-		Peers:  file.Replicas,
-		Dir:    file.Dir,
-		Check:  apply.CheckChange,
-		Dial:   dialer.DialContext,
+		Index:    *file.Number,
+		Replicas: file.Replicas,
+		Dir:      file.Dir,
+		Validate: apply.ValidateChange,
+		Dial:     dialer.DialContext,
 	}, file.Listen, nil
 }
 
@@ -88,7 +88,7 @@
 		return err
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", options.Number).Logger()
+	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", options.Index).Logger()
 	replica, err := store.NewReplica(options, log)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 		<-ctx.Done()
 		server.Close() // not Shutdown: watches never end by themselves, and their nodes go to another replica
 	}()
-	log.Info().Str("listen", listen).Strs("replicas", options.Peers).Msg("replica starts")
+	log.Info().Str("listen", listen).Strs("replicas", options.Replicas).Msg("replica starts")
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	change := store.Change{Key: store.Key(c.Key), ID: c.ID, From: c.From, Back: c.Back, Needs: c.Needs}
+	change := store.Change{Key: store.Key(c.Key), ID: c.ID, ExpectedVersion: c.From, Rollback: c.Back, RequiredFormat: c.Needs}
 	if c.Patch != "" {
 		raw, err := os.ReadFile(c.Patch)
 		if err != nil {
@@ -200,7 +200,7 @@
 
 // submitChange sends a change to one replica after another until one accepts or refuses it. A replica that finds no
 // majority may itself be the one that is cut off, so the next one is asked, too.
-func submitChange(replicas []string, change *store.Change) (*store.Answer, error) {
+func submitChange(replicas []string, change *store.Change) (*store.ChangeResponse, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 		}
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 		response.Body.Close()
-		var answer store.Answer
+		var answer store.ChangeResponse
 		if err := json.Unmarshal(body, &answer); err != nil {
 			lastErr = fmt.Errorf("replica at %s answered %s", addr, response.Status)
 			continue
@@ -223,18 +223,18 @@
 		case http.StatusOK:
 			return &answer, nil
 		case http.StatusBadRequest:
-			return nil, fmt.Errorf("refused: %s", answer.Why)
+			return nil, fmt.Errorf("refused: %s", answer.Reason)
 		case http.StatusConflict:
 			return nil, fmt.Errorf("%s: version %d stands", answer.Verdict, answer.Version)
 		}
-		lastErr = errors.New(answer.Why)
+		lastErr = errors.New(answer.Reason)
 	}
 	return nil, lastErr
 }
 
 // storeStates is the state of all replicas that answer.
 type storeStates struct {
-	replicas []*store.State
+	replicas []*store.ReplicaState
 	failures []string
 	nodes    map[string]store.NodeReport // the latest report of each node, by name
 	values   map[store.Key]*store.Value
@@ -249,7 +249,7 @@
 			states.failures = append(states.failures, fmt.Sprintf("replica %d at %s does not answer: %v", i, addr, err))
 			continue
 		}
-		state := &store.State{}
+		state := &store.ReplicaState{}
 		err = json.NewDecoder(io.LimitReader(response.Body, 256<<20)).Decode(state)
 		response.Body.Close()
 		if err != nil {
@@ -263,7 +263,7 @@
 			}
 		}
 		for _, value := range state.Values {
-			store.Merge(states.values, value)
+			store.MergeNewer(states.values, value)
 		}
 	}
 	return states
@@ -279,12 +279,12 @@
 		}
 		total++
 		switch refusal, isRefused := report.Refused[key]; {
-		case report.Runs[key] >= version:
+		case report.Applied[key] >= version:
 			runs++
 		case isRefused && refusal.Version >= version:
-			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, refusal.Version, refusal.Why))
+			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, refusal.Version, refusal.Reason))
 		default:
-			lagging = append(lagging, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, report.Runs[key], report.AgeMs/1000))
+			lagging = append(lagging, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, report.Applied[key], report.AgeMs/1000))
 		}
 	}
 	return runs, total, lagging, refused
@@ -312,7 +312,7 @@
 		fmt.Println(failure)
 	}
 	for _, replica := range states.replicas {
-		fmt.Printf("replica %d: %d keys, %d watch it\n", replica.Number, len(replica.Values), replica.Watchers)
+		fmt.Printf("replica %d: %d keys, %d watch it\n", replica.Index, len(replica.Values), replica.Watchers)
 	}
 	for _, key := range slices.Sorted(maps.Keys(states.values)) {
 		value := states.values[key]
--- a/cmd/canvasrouter/store_test.go
+++ b/cmd/canvasrouter/store_test.go
@@ -308,11 +308,11 @@
 // TestFleetViewShowsStore checks that the view of a node shows the changes that it received, runs and refuses.
 func TestFleetViewShowsStore(t *testing.T) {
 	var text strings.Builder
-	printView(&text, &fleet.View{Store: &store.Look{
-		Replica: "127.0.0.1:7950",
-		Told:    map[store.Key]store.Version{"all": 3},
-		Runs:    map[store.Key]store.Version{"all": 2},
-		Refused: map[store.Key]store.Refusal{"all": {Version: 3, Why: "setting tick is no number"}},
+	printView(&text, &fleet.View{Store: &store.View{
+		Replica:  "127.0.0.1:7950",
+		Received: map[store.Key]store.Version{"all": 3},
+		Applied:  map[store.Key]store.Version{"all": 2},
+		Refused:  map[store.Key]store.Refusal{"all": {Version: 3, Reason: "setting tick is no number"}},
 	}})
 	for _, want := range []string{
 		"store: watches 127.0.0.1:7950; runs map[all:2] of what it was told, map[all:3]",
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -29,7 +29,7 @@
 	Servers            []ServerView     `json:"servers"` // ready servers on which there are reports
 	ReadyServers       int              `json:"listed"`  // number of servers that the registry lists as ready
 	UndecodableReports int64            `json:"judgements_not_understood"`
-	Store              *store.Look      `json:"store,omitempty"` // the configuration store
+	Store              *store.View      `json:"store,omitempty"` // the configuration store
 }
 
 // MemberView is a member as a node sees it.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -61,7 +61,7 @@
 	restarted    []policy.ServerID                 // servers that have restarted since the last tick
 	readyServers []policy.ServerID
 
-	storeView atomic.Pointer[func() *store.Look] // returns the state of the configuration store; nil if there is none
+	storeView atomic.Pointer[func() *store.View] // returns the state of the configuration store; nil if there is none
 
 	tableMu            sync.Mutex // guards table, reductions, undecodableReports
 	table              *judged.ReportTable
@@ -162,7 +162,7 @@
 }
 
 // SetStoreView sets the function from which View takes the state of the configuration store.
-func (f *Fleet) SetStoreView(view func() *store.Look) { f.storeView.Store(&view) }
+func (f *Fleet) SetStoreView(view func() *store.View) { f.storeView.Store(&view) }
 
 // AlivePeers returns all other members that are alive. The slice is shared and must not be modified.
 func (f *Fleet) AlivePeers() []members.Member { return f.members.AlivePeers() }
--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -24,13 +24,13 @@
 		return func() {}
 	}
 	p.store.Applier = apply.New(apply.Options{
-		Config: c,
-		Getenv: p.Getenv,
-		Check:  CheckConfig,
-		Lock:   &p.mu,
-		Life:   fmt.Sprintf("%016x", rand.Uint64()),
-		Seed:   rand.Uint64(),
-		Log:    p.log.With().Str("part", "store").Logger(),
+		Config:      c,
+		Getenv:      p.Getenv,
+		Validate:    CheckConfig,
+		InstallLock: &p.mu,
+		Incarnation: fmt.Sprintf("%016x", rand.Uint64()),
+		Seed:        rand.Uint64(),
+		Log:         p.log.With().Str("part", "store").Logger(),
 		Install: func(c *config.Config) error {
 			err := p.install(c)
 			if errors.Is(err, node.ErrTooManyGenerations) {
@@ -56,20 +56,20 @@
 	if f.Applier == nil {
 		return file, nil
 	}
-	return f.Over(file)
+	return f.WithChanges(file)
 }
 
 // fileReread passes on a file that was read again and is in force.
 func (f *storeFollower) fileReread(file *config.Config) {
 	if f.Applier != nil {
-		f.Reread(file.Raw)
+		f.SetFile(file.Raw)
 	}
 }
 
 // status returns what this node knows of the store, or nil if it follows none.
-func (f *storeFollower) status() *store.Look {
+func (f *storeFollower) status() *store.View {
 	if f.Applier == nil {
 		return nil
 	}
-	return f.Look()
+	return f.View()
 }
