--- a/cmd/canvasrouter/fleet.go
+++ b/cmd/canvasrouter/fleet.go
@@ -67,9 +67,9 @@
 		if at == "" {
 			at = "no replica"
 		}
-		fmt.Fprintf(w, "store: watches %s; runs %v of what it was told, %v\n", at, s.Runs, s.Told)
+		fmt.Fprintf(w, "store: watches %s; runs %v of what it was told, %v\n", at, s.Applied, s.Received)
 		for _, key := range slices.Sorted(maps.Keys(s.Refused)) {
-			fmt.Fprintf(w, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Why)
+			fmt.Fprintf(w, "    %s version %d refused: %s\n", key, s.Refused[key].Version, s.Refused[key].Reason)
 		}
 	}
 	for _, s := range v.Servers {
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -29,7 +29,7 @@
 	Servers []ServerView     `json:"servers"` // of which anything is held
 	Listed  int              `json:"listed"`  // servers that are ready, by the list
 	Foreign int64            `json:"judgements_not_understood"`
-	Store   *store.Look      `json:"store,omitempty"` // of configuration
+	Store   *store.View      `json:"store,omitempty"` // of configuration
 }
 
 // MemberView is a member as a node sees it.
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -46,7 +46,7 @@
 		"clients can take every descriptor":        {"../sockets/sockets.go", "reserve = 24", "reserve = -60", "cmd/canvasrouter", "TestIdleCrowd"},
 		"a minority decides":                       {"../store/round.go", "r.replicas/2 + 1", "r.replicas / 2", "internal/store", "TestRegisterProperties"},
 		"an earlier value is taken for the latest": {"../store/round.go", "best.Value == nil || p.Accepted.Compare(best.Accepted) > 0", "best.Value == nil", "internal/store", "TestRegisterProperties"},
-		"a faulty change takes the others with it": {"../store/apply/apply.go", "c, err := Lay(file, trial", "runs = trial\n\t\tc, err := Lay(file, trial", "internal/store/apply", "TestApplier"},
+		"a faulty change takes the others with it": {"../store/apply/apply.go", "c, err := ParseWithChanges(file, trial", "runs = trial\n\t\tc, err := ParseWithChanges(file, trial", "internal/store/apply", "TestApplier"},
 		"a promise is not kept on disk":            {"../store/replica.go", "if err := r.save(key); err != nil {\n\t\t\t*of = before", "if err := error(nil); err != nil {\n\t\t\t*of = before", "internal/store", "TestStartsAnew"},
 		"the time left is told as of the push":     {"../servers/peer.go", "\t\t\ttell()\n\t\t\tway.begin", "\t\t\tway.begin", "internal/servers", "TestTimeToldOnALateConnection"},
 		"unsent pushes outlive their op":           {"../node/node.go", "if !push.ended {\n\t\t\tpush.keepBack()", "if false {\n\t\t\tpush.keepBack()", "internal/node", "TestKeptBack"},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -59,7 +59,7 @@
 	anew    []policy.ServerID // that have started anew since the last beat
 	ids     []policy.ServerID
 
-	store atomic.Pointer[func() *store.Look] // what is known of the store of configuration; nil: nothing
+	store atomic.Pointer[func() *store.View] // what is known of the store of configuration; nil: nothing
 
 	books   sync.Mutex // guards book, weights, foreign
 	book    *judged.Book
@@ -148,7 +148,7 @@
 }
 
 // Show says where a look at the store of configuration comes from.
-func (f *Fleet) Show(look func() *store.Look) { f.store.Store(&look) }
+func (f *Fleet) Show(look func() *store.View) { f.store.Store(&look) }
 
 // Others gives all others that are there. The slice is shared: it is read alone.
 func (f *Fleet) Others() []members.Member { return f.members.There() }
