--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -18,97 +18,97 @@
 var update = flag.Bool("update", false, "write the traces anew")
 
 // world is two pools in the simplest form: each serves up to its capacity in a beat, the best ops first.
-type world struct {
+type simulation struct {
 	*Controller
-	now       policy.Micros
-	capacity  float64 // of the primary, in ops a beat
-	silent    bool    // the primary's servers are listed and answer nothing
-	listed    int
-	next      float64 // capacity of the next pool
-	nextOwn   int     // its own ops a beat, half of them best
-	ops       int     // of the primary's clients a beat, half of them best
-	served    int
-	nextLost  int // of the next pool's own best ops not served
-	lastSpill int
+	now          policy.Micros
+	capacity     float64 // of the primary, in ops a beat
+	unresponsive bool    // the primary's servers are listed and answer nothing
+	listed       int
+	nextCapacity float64 // capacity of the next pool
+	nextOwnOps   int     // its own ops a beat, half of them best
+	ops          int     // of the primary's clients a beat, half of them best
+	served       int
+	nextTopLost  int // of the next pool's own best ops not served
+	lastSpill    int
 }
 
-func newWorld() *world {
-	return &world{Controller: New(DefaultConfig()), capacity: 100, listed: 6, next: 100, nextOwn: 40, ops: 80}
+func newSimulation() *simulation {
+	return &simulation{Controller: New(DefaultConfig()), capacity: 100, listed: 6, nextCapacity: 100, nextOwnOps: 40, ops: 80}
 }
 
-func (w *world) beat() string {
-	var toPool, best, toNext int
-	for i := range w.ops {
-		switch w.Choose(i%2 == 0) {
+func (s *simulation) step() string {
+	var toPool, topToPool, toNext int
+	for i := range s.ops {
+		switch s.Choose(i%2 == 0) {
 		case ToPool:
 			toPool++
 			if i%2 == 0 {
-				best++
+				topToPool++
 			}
 		case ToNext:
 			toNext++
 		}
 	}
-	own := Stats{ReadyServers: w.listed, TopOps: best, EndedPushes: toPool}
-	if w.silent || w.listed == 0 {
-		own.FailedPushes, own.DownServers = toPool, min(w.listed, toPool)
-		if w.Controller.State() != Home {
+	own := Stats{ReadyServers: s.listed, TopOps: topToPool, EndedPushes: toPool}
+	if s.unresponsive || s.listed == 0 {
+		own.FailedPushes, own.DownServers = toPool, min(s.listed, toPool)
+		if s.Controller.State() != Home {
 			own.DownServers = 0 // nobody has asked them lately
 		}
 	} else {
-		own.ServedOps = min(toPool, int(w.capacity))
-		own.TopServed = min(best, own.ServedOps)
+		own.ServedOps = min(toPool, int(s.capacity))
+		own.TopServed = min(topToPool, own.ServedOps)
 	}
-	load := w.nextOwn + toNext
-	served := min(load, int(w.next))
-	nextBest := w.nextOwn / 2
-	nextServed := nextBest
-	if load > int(w.next) { // overfull pools lose from all
-		nextServed = nextBest * int(w.next) / load
+	load := s.nextOwnOps + toNext
+	served := min(load, int(s.nextCapacity))
+	nextTopOps := s.nextOwnOps / 2
+	nextTopServed := nextTopOps
+	if load > int(s.nextCapacity) { // overfull pools lose from all
+		nextTopServed = nextTopOps * int(s.nextCapacity) / load
 	}
-	next := Stats{ReadyServers: 6, TopOps: nextBest, TopServed: nextServed, ServedOps: served, EndedPushes: load}
-	w.nextLost += nextBest - nextServed
-	w.served += own.ServedOps + max(0, served-w.nextOwn)
-	w.lastSpill = toNext
-	w.now += w.rule.Interval
-	return w.Tick(w.now, &own, &next)
+	next := Stats{ReadyServers: 6, TopOps: nextTopOps, TopServed: nextTopServed, ServedOps: served, EndedPushes: load}
+	s.nextTopLost += nextTopOps - nextTopServed
+	s.served += own.ServedOps + max(0, served-s.nextOwnOps)
+	s.lastSpill = toNext
+	s.now += s.config.Interval
+	return s.Tick(s.now, &own, &next)
 }
 
 // play runs a script: each line "N what" runs N beats after a change. It gives a trace of the level's changes.
-func play(t *testing.T, script string) string {
+func runScript(t *testing.T, script string) string {
 	t.Helper()
-	w := newWorld()
+	s := newSimulation()
 	var trace strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(script))
 	for lines.Scan() {
-		n, what := 0, ""
-		if _, err := fmt.Sscanf(lines.Text(), "%d %s", &n, &what); err != nil {
+		intervals, event := 0, ""
+		if _, err := fmt.Sscanf(lines.Text(), "%d %s", &intervals, &event); err != nil {
 			t.Fatalf("script %q: %v", lines.Text(), err)
 		}
-		switch what {
+		switch event {
 		case "lost":
-			w.silent = true
+			s.unresponsive = true
 		case "delisted":
-			w.listed = 0
+			s.listed = 0
 		case "back":
-			w.silent, w.listed, w.capacity = false, 6, 100
+			s.unresponsive, s.listed, s.capacity = false, 6, 100
 		case "cold":
-			w.silent, w.listed, w.capacity = false, 6, 30
+			s.unresponsive, s.listed, s.capacity = false, 6, 30
 		case "overload":
-			w.ops = 400
+			s.ops = 400
 		case "calm":
-			w.ops = 80
+			s.ops = 80
 		case "nextfull":
-			w.nextOwn = 90
+			s.nextOwnOps = 90
 		}
 		fmt.Fprintf(&trace, "-- %s\n", lines.Text())
-		w.served = 0
-		for range n {
-			if log := w.beat(); log != "" {
-				fmt.Fprintf(&trace, "%3d s %s\n", w.now/policy.Second, log)
+		s.served = 0
+		for range intervals {
+			if log := s.step(); log != "" {
+				fmt.Fprintf(&trace, "%3d s %s\n", s.now/policy.Second, log)
 			}
 		}
-		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", w.State(), w.HomeShare(), w.lastSpill, w.served, w.nextLost)
+		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", s.State(), s.HomeShare(), s.lastSpill, s.served, s.nextTopLost)
 	}
 	return trace.String()
 }
@@ -122,7 +122,7 @@
 		"both-bad":       "5 nextfull\n40 lost\n60 back",
 		"flapping":       "5 calm\n4 lost\n60 back\n4 lost\n60 back\n4 lost\n90 back",
 	} {
-		got := play(t, script)
+		got := runScript(t, script)
 		file := filepath.Join("testdata", name+".txt")
 		if *update {
 			os.WriteFile(file, []byte(got), 0o644)
@@ -139,41 +139,41 @@
 func TestFlapping(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		w := newWorld()
-		var at []policy.Micros
-		beats := 600
-		for range beats {
+		s := newSimulation()
+		var transitions []policy.Micros
+		intervals := 600
+		for range intervals {
 			if rng.IntN(4) == 0 {
-				w.silent = !w.silent
+				s.unresponsive = !s.unresponsive
 			}
-			before := w.HomeTransitions()
-			w.beat()
-			if w.HomeTransitions() > before {
-				at = append(at, w.now)
+			before := s.HomeTransitions()
+			s.step()
+			if s.HomeTransitions() > before {
+				transitions = append(transitions, s.now)
 			}
 		}
-		for i := range at {
-			if i+4 < len(at) && at[i+4]-at[i] < 60*policy.Second {
-				t.Errorf("seed %d: five changes within %d s", seed, (at[i+4]-at[i])/policy.Second)
+		for i := range transitions {
+			if i+4 < len(transitions) && transitions[i+4]-transitions[i] < 60*policy.Second {
+				t.Errorf("seed %d: five changes within %d s", seed, (transitions[i+4]-transitions[i])/policy.Second)
 			}
 		}
-		if most := w.nextOwn / 2 * beats; w.nextLost*33 > most {
-			t.Errorf("seed %d: the next pool lost %d of its %d best ops", seed, w.nextLost, most)
+		if topOps := s.nextOwnOps / 2 * intervals; s.nextTopLost*33 > topOps {
+			t.Errorf("seed %d: the next pool lost %d of its %d best ops", seed, s.nextTopLost, topOps)
 		}
 	}
 }
 
-func TestCross(t *testing.T) {
+func TestMayPushToOtherPool(t *testing.T) {
 	for _, c := range []struct {
-		repeat     policy.Repeat
-		risky, all bool
-		want       bool
+		semantics                  policy.Repeat
+		mayHaveRun, dedupSpansBoth bool
+		want                       bool
 	}{
 		{policy.AtMostOnce, false, false, true}, {policy.AtMostOnce, true, true, false},
 		{policy.Deduplicated, true, false, false}, {policy.Deduplicated, true, true, true},
 		{policy.Redeliverable, true, false, true},
 	} {
-		if got := MayPushToOtherPool(c.repeat, c.risky, c.all); got != c.want {
+		if got := MayPushToOtherPool(c.semantics, c.mayHaveRun, c.dedupSpansBoth); got != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -36,19 +36,19 @@
 // Check says what is wrong with a rule.
 func (r *Config) Validate() error {
 	sum := 0
-	for i, p := range r.Pools {
+	for i, pool := range r.Pools {
 		switch {
-		case p.Guaranteed < 0 || p.Max < 0:
+		case pool.Guaranteed < 0 || pool.Max < 0:
 			return fmt.Errorf("pool %d: guaranteed and most must not be negative", i)
-		case p.Max > 0 && p.Max < p.Guaranteed:
-			return fmt.Errorf("pool %d: most is %d, under the guaranteed %d", i, p.Max, p.Guaranteed)
+		case pool.Max > 0 && pool.Max < pool.Guaranteed:
+			return fmt.Errorf("pool %d: most is %d, under the guaranteed %d", i, pool.Max, pool.Guaranteed)
 		}
-		if sum += p.Guaranteed; sum > r.Capacity {
+		if sum += pool.Guaranteed; sum > r.Capacity {
 			return fmt.Errorf("pool %d: the guaranteed parts add up to more than the room of %d", i, r.Capacity)
 		}
 	}
-	for i, most := range r.Tenants {
-		if most < 0 {
+	for i, limit := range r.Tenants {
+		if limit < 0 {
 			return fmt.Errorf("tenant %d: its limit must not be negative", i)
 		}
 	}
@@ -74,27 +74,27 @@
 
 // Limits is the state.
 type Limiter struct {
-	rule    Config
-	pools   []int // in hand
-	tenants []int
-	held    int // in all
-	free    int // room that nobody holds and nobody is guaranteed; negative while a new rule is tighter than what is in hand
-	again   float64
+	config        Config
+	poolPending   []int // in hand
+	tenantPending []int
+	pending       int // in all
+	freeCapacity  int // room that nobody holds and nobody is guaranteed; negative while a new rule is tighter than what is in hand
+	pushTokens    float64
 }
 
 // New makes the state of a node with nothing in hand. The rule must pass Check.
-func New(rule Config) *Limiter {
-	l := &Limiter{rule: rule, pools: make([]int, len(rule.Pools)), tenants: make([]int, len(rule.Tenants)), again: rule.RetryBudget.Burst}
-	l.count()
+func New(config Config) *Limiter {
+	l := &Limiter{config: config, poolPending: make([]int, len(config.Pools)), tenantPending: make([]int, len(config.Tenants)), pushTokens: config.RetryBudget.Burst}
+	l.recount()
 	return l
 }
 
 // count computes the free room: what is left once each pool has what it holds, or what it is guaranteed if that is more.
-func (l *Limiter) count() {
-	l.free, l.held = l.rule.Capacity, 0
-	for i, held := range l.pools {
-		l.free -= max(held, l.rule.Pools[i].Guaranteed)
-		l.held += held
+func (l *Limiter) recount() {
+	l.freeCapacity, l.pending = l.config.Capacity, 0
+	for i, pending := range l.poolPending {
+		l.freeCapacity -= max(pending, l.config.Pools[i].Guaranteed)
+		l.pending += pending
 	}
 }
 
@@ -104,83 +104,83 @@
 // third each (Choudhury and Hahne, Dynamic Queue Length Thresholds, 1998). Guaranteed room is never lent: an op in
 // hand can't be taken back, and its owner would wait for as long as it lasts.
 func (l *Limiter) Acquire(pool PoolIndex, tenant TenantIndex) Result {
-	part, held := l.rule.Pools[pool], l.pools[pool]
+	limit, pending := l.config.Pools[pool], l.poolPending[pool]
 	if tenant != NoTenant {
-		if most := l.rule.Tenants[tenant]; most > 0 && l.tenants[tenant] >= most {
+		if tenantMax := l.config.Tenants[tenant]; tenantMax > 0 && l.tenantPending[tenant] >= tenantMax {
 			return TenantFull
 		}
 	}
-	if part.Max > 0 && held >= part.Max {
+	if limit.Max > 0 && pending >= limit.Max {
 		return PoolFull
 	}
-	if held >= part.Guaranteed {
-		switch borrowed := held - part.Guaranteed; {
-		case l.free <= 0:
+	if pending >= limit.Guaranteed {
+		switch borrowed := pending - limit.Guaranteed; {
+		case l.freeCapacity <= 0:
 			return NodeFull
-		case borrowed >= l.free:
+		case borrowed >= l.freeCapacity:
 			return PoolFull
 		}
-		l.free--
-	} else if l.held >= l.rule.Capacity {
+		l.freeCapacity--
+	} else if l.pending >= l.config.Capacity {
 		return NodeFull // only after a rule that is tighter than what was in hand
 	}
-	l.pools[pool]++
-	l.held++
+	l.poolPending[pool]++
+	l.pending++
 	if tenant != NoTenant {
-		l.tenants[tenant]++
+		l.tenantPending[tenant]++
 	}
 	return Acquired
 }
 
 // Give gives an op's room back, once.
 func (l *Limiter) Release(pool PoolIndex, tenant TenantIndex) {
-	l.pools[pool]--
-	l.held--
-	if l.pools[pool] >= l.rule.Pools[pool].Guaranteed {
-		l.free++
+	l.poolPending[pool]--
+	l.pending--
+	if l.poolPending[pool] >= l.config.Pools[pool].Guaranteed {
+		l.freeCapacity++
 	}
 	if tenant != NoTenant {
-		l.tenants[tenant]--
+		l.tenantPending[tenant]--
 	}
 }
 
 // Held is what a pool has in hand; Free the room that could be lent.
-func (l *Limiter) Pending(pool PoolIndex) int { return l.pools[pool] }
-func (l *Limiter) FreeCapacity() int          { return l.free }
+func (l *Limiter) Pending(pool PoolIndex) int { return l.poolPending[pool] }
+func (l *Limiter) FreeCapacity() int          { return l.freeCapacity }
 
 // Change takes over another rule. What is in hand stays in hand; poolWas and tenantWas give each new place its old one, or
 // -1. Where a limit is now under what is in hand, nothing new is taken until enough has been given back. Places that are
 // gone must have nothing in hand any more, or be kept at the end of the new rule.
-func (l *Limiter) Reconfigure(rule Config, poolWas, tenantWas []int) {
-	pools, tenants := make([]int, len(rule.Pools)), make([]int, len(rule.Tenants))
-	for i, was := range poolWas {
-		if was >= 0 {
-			pools[i] = l.pools[was]
+func (l *Limiter) Reconfigure(config Config, oldPools, oldTenants []int) {
+	poolPending, tenantPending := make([]int, len(config.Pools)), make([]int, len(config.Tenants))
+	for i, old := range oldPools {
+		if old >= 0 {
+			poolPending[i] = l.poolPending[old]
 		}
 	}
-	for i, was := range tenantWas {
-		if was >= 0 {
-			tenants[i] = l.tenants[was]
+	for i, old := range oldTenants {
+		if old >= 0 {
+			tenantPending[i] = l.tenantPending[old]
 		}
 	}
-	l.rule, l.pools, l.tenants = rule, pools, tenants
-	l.again = min(l.again, rule.RetryBudget.Burst)
-	l.count()
+	l.config, l.poolPending, l.tenantPending = config, poolPending, tenantPending
+	l.pushTokens = min(l.pushTokens, config.RetryBudget.Burst)
+	l.recount()
 }
 
 // First books an op's first push: it earns a share of a further one.
 func (l *Limiter) RecordFirstPush() {
-	l.again = min(l.again+l.rule.RetryBudget.Ratio, l.rule.RetryBudget.Burst)
+	l.pushTokens = min(l.pushTokens+l.config.RetryBudget.Ratio, l.config.RetryBudget.Burst)
 }
 
 // Further says whether a further push may go, and books it.
 func (l *Limiter) AllowFurtherPush() bool {
-	if l.rule.RetryBudget.Ratio == 0 {
+	if l.config.RetryBudget.Ratio == 0 {
 		return true
 	}
-	if l.again < 1 {
+	if l.pushTokens < 1 {
 		return false
 	}
-	l.again--
+	l.pushTokens--
 	return true
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -63,25 +63,25 @@
 
 // Table is a set of routes, ready to be looked up. It never changes and may be used from any goroutine.
 type Table struct {
-	routes  []Route
-	sums    []uint32 // of each route's weights
-	hosts   map[string]*branch
-	suffix  map[string]*branch // of "*.example.org", by "example.org"
-	any     *branch
-	escaped bool // a path has an escape, so that their letters' case matters
+	routes        []Route
+	weightSums    []uint32 // of each route's weights
+	exactHosts    map[string]*segmentNode
+	wildcardHosts map[string]*segmentNode // of "*.example.org", by "example.org"
+	anyHost       *segmentNode
+	hasEscapes    bool // a path has an escape, so that their letters' case matters
 }
 
 // branch is a place in the tree of path segments. Routes that end in one place are tried in their order.
-type branch struct {
-	next   map[string]*branch
-	param  *branch
-	exact  []int32 // routes
-	prefix []int32
+type segmentNode struct {
+	children     map[string]*segmentNode
+	param        *segmentNode
+	routes       []int32 // routes
+	prefixRoutes []int32
 }
 
 const (
-	mostSegments = 64 // of a request's path
-	mostParams   = 8  // of a template; each can cost a second look
+	maxSegments = 64 // of a request's path
+	maxParams   = 8  // of a template; each can cost a second look
 )
 
 // Warning is something that works and is hardly meant.
@@ -89,48 +89,48 @@
 
 // Compile makes a table. An error names the route. A route that can never be reached is a warning.
 func Compile(routes []Route) (*Table, []Warning, error) {
-	t := &Table{routes: slices.Clone(routes), hosts: make(map[string]*branch), suffix: make(map[string]*branch), any: &branch{}}
+	t := &Table{routes: slices.Clone(routes), exactHosts: make(map[string]*segmentNode), wildcardHosts: make(map[string]*segmentNode), anyHost: &segmentNode{}}
 	names := make(map[string]bool, len(routes))
 	for i := range t.routes {
 		r := &t.routes[i]
-		if err := r.check(); err != nil {
+		if err := r.validate(); err != nil {
 			return nil, nil, fmt.Errorf("route %q: %w", r.Name, err)
 		}
 		if names[r.Name] {
 			return nil, nil, fmt.Errorf("route %q: there are two of that name", r.Name)
 		}
 		names[r.Name] = true
-		t.escaped = t.escaped || strings.Contains(r.Path, "%")
+		t.hasEscapes = t.hasEscapes || strings.Contains(r.Path, "%")
 		sum := uint32(0)
 		for _, s := range r.Pools {
 			sum += s.Weight
 		}
-		t.sums = append(t.sums, sum)
-		t.place(r, int32(i))
+		t.weightSums = append(t.weightSums, sum)
+		t.insert(r, int32(i))
 	}
 	var warnings []Warning
 	for _, root := range t.roots() {
-		t.order(root, &warnings)
+		t.sortRoutes(root, &warnings)
 	}
 	return t, warnings, nil
 }
 
-func (t *Table) roots() []*branch {
-	out := []*branch{t.any}
-	for _, of := range []map[string]*branch{t.hosts, t.suffix} {
-		names := make([]string, 0, len(of))
-		for name := range of {
+func (t *Table) roots() []*segmentNode {
+	roots := []*segmentNode{t.anyHost}
+	for _, byName := range []map[string]*segmentNode{t.exactHosts, t.wildcardHosts} {
+		names := make([]string, 0, len(byName))
+		for name := range byName {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			out = append(out, of[name])
+			roots = append(roots, byName[name])
 		}
 	}
-	return out
+	return roots
 }
 
-func (r *Route) check() error {
+func (r *Route) validate() error {
 	host := strings.TrimPrefix(r.Host, "*.")
 	switch {
 	case r.Name == "":
@@ -140,12 +140,12 @@
 	case len(r.Pools) == 0:
 		return errors.New("names no pool")
 	}
-	whole := uint64(0)
+	totalWeight := uint64(0)
 	for _, s := range r.Pools {
-		whole += uint64(s.Weight)
+		totalWeight += uint64(s.Weight)
 	}
-	if whole == 0 || whole > 1<<31 {
-		return fmt.Errorf("its weights add up to %d", whole)
+	if totalWeight == 0 || totalWeight > 1<<31 {
+		return fmt.Errorf("its weights add up to %d", totalWeight)
 	}
 	path := r.Path
 	if r.PathType == Template {
@@ -158,15 +158,15 @@
 				return fmt.Errorf("path %q: %q is neither a {name} nor plain", r.Path, segment)
 			}
 		}
-		if params > mostParams {
-			return fmt.Errorf("path %q has more than %d names", r.Path, mostParams)
+		if params > maxParams {
+			return fmt.Errorf("path %q has more than %d names", r.Path, maxParams)
 		}
 		path = strings.NewReplacer("{", "", "}", "").Replace(path)
 	}
 	if err := ValidatePath(path); err != nil {
 		return fmt.Errorf("path %q: %w", r.Path, err)
 	}
-	if strings.Contains(path, "%") && lowerEscape(path) {
+	if strings.Contains(path, "%") && hasLowercaseEscape(path) {
 		return fmt.Errorf("path %q: escapes are written with capital letters", r.Path)
 	}
 	for _, h := range r.Headers {
@@ -178,17 +178,17 @@
 }
 
 // place puts a route where its path ends.
-func (t *Table) place(r *Route, number int32) {
-	at := t.any
+func (t *Table) insert(r *Route, index int32) {
+	node := t.anyHost
 	if r.Host != "" {
-		of, name := t.hosts, r.Host
-		if below, wild := strings.CutPrefix(r.Host, "*."); wild {
-			of, name = t.suffix, below
+		roots, name := t.exactHosts, r.Host
+		if suffix, isWildcard := strings.CutPrefix(r.Host, "*."); isWildcard {
+			roots, name = t.wildcardHosts, suffix
 		}
-		if of[name] == nil {
-			of[name] = &branch{}
+		if roots[name] == nil {
+			roots[name] = &segmentNode{}
 		}
-		at = of[name]
+		node = roots[name]
 	}
 	path := r.Path[1:]
 	if r.PathType == Prefix {
@@ -197,33 +197,33 @@
 	if path != "" || r.PathType != Prefix {
 		for segment := range strings.SplitSeq(path, "/") {
 			if r.PathType == Template && strings.HasPrefix(segment, "{") {
-				if at.param == nil {
-					at.param = &branch{}
+				if node.param == nil {
+					node.param = &segmentNode{}
 				}
-				at = at.param
+				node = node.param
 				continue
 			}
-			if at.next == nil {
-				at.next = make(map[string]*branch)
+			if node.children == nil {
+				node.children = make(map[string]*segmentNode)
 			}
-			if at.next[segment] == nil {
-				at.next[segment] = &branch{}
+			if node.children[segment] == nil {
+				node.children[segment] = &segmentNode{}
 			}
-			at = at.next[segment]
+			node = node.children[segment]
 		}
 	}
 	if r.PathType == Prefix {
-		at.prefix = append(at.prefix, number)
+		node.prefixRoutes = append(node.prefixRoutes, index)
 	} else {
-		at.exact = append(at.exact, number)
+		node.routes = append(node.routes, index)
 	}
 }
 
 // order sorts the routes that end in one place: those with a method before those for any, more headers first, then as
 // they stand in the file. Two that differ in nothing shadow one another.
-func (t *Table) order(at *branch, warnings *[]Warning) {
-	for _, list := range [][]int32{at.exact, at.prefix} {
-		slices.SortStableFunc(list, func(a, b int32) int {
+func (t *Table) sortRoutes(node *segmentNode, warnings *[]Warning) {
+	for _, candidates := range [][]int32{node.routes, node.prefixRoutes} {
+		slices.SortStableFunc(candidates, func(a, b int32) int {
 			x, y := &t.routes[a], &t.routes[b]
 			if (len(x.Methods) > 0) != (len(y.Methods) > 0) {
 				if len(x.Methods) > 0 {
@@ -233,26 +233,26 @@
 			}
 			return len(y.Headers) - len(x.Headers)
 		})
-		for i, number := range list {
-			for _, before := range list[:i] {
-				if t.routes[before].covers(&t.routes[number]) {
+		for i, index := range candidates {
+			for _, earlier := range candidates[:i] {
+				if t.routes[earlier].covers(&t.routes[index]) {
 					*warnings = append(*warnings, Warning(fmt.Sprintf("route %q is never reached: %q takes all that it would",
-						t.routes[number].Name, t.routes[before].Name)))
+						t.routes[index].Name, t.routes[earlier].Name)))
 					break
 				}
 			}
 		}
 	}
-	if at.param != nil {
-		t.order(at.param, warnings)
+	if node.param != nil {
+		t.sortRoutes(node.param, warnings)
 	}
-	segments := make([]string, 0, len(at.next))
-	for segment := range at.next {
+	segments := make([]string, 0, len(node.children))
+	for segment := range node.children {
 		segments = append(segments, segment)
 	}
 	slices.Sort(segments)
 	for _, segment := range segments {
-		t.order(at.next[segment], warnings)
+		t.sortRoutes(node.children[segment], warnings)
 	}
 }
 
@@ -277,7 +277,7 @@
 }
 
 // Route gives a route by the number that Lookup gave.
-func (t *Table) Route(number int) *Route { return &t.routes[number] }
+func (t *Table) Route(index int) *Route { return &t.routes[index] }
 
 // Len is how many routes there are.
 func (t *Table) Len() int { return len(t.routes) }
@@ -295,51 +295,51 @@
 
 // Lookup finds the route of a request. found is false if none fits; err says why the request can't be matched at all,
 // and is to be answered with a 400.
-func (t *Table) Lookup(q *Request) (number int, found bool, err error) {
-	if err := ValidatePath(q.Path); err != nil {
+func (t *Table) Lookup(request *Request) (index int, found bool, err error) {
+	if err := ValidatePath(request.Path); err != nil {
 		return 0, false, err
 	}
-	if t.escaped && lowerEscape(q.Path) {
+	if t.hasEscapes && hasLowercaseEscape(request.Path) {
 		return 0, false, ErrLowercaseEscape // Danger: it would pass by the route that is written with capitals
 	}
-	var buffer [maxHost]byte
-	host := bare(q.Host, &buffer)
-	if root := t.hosts[string(host)]; root != nil { // the compiler makes no string of it
-		if n := t.walk(root, q.Path[1:], q); n >= 0 {
-			return int(n), true, nil
+	var buffer [maxHostBytes]byte
+	host := normalizeHost(request.Host, &buffer)
+	if root := t.exactHosts[string(host)]; root != nil { // the compiler makes no string of it
+		if match := t.match(root, request.Path[1:], request); match >= 0 {
+			return int(match), true, nil
 		}
 	}
-	if len(t.suffix) > 0 {
+	if len(t.wildcardHosts) > 0 {
 		for rest := host; ; { // the longest suffix first
 			dot := slices.Index(rest, '.')
 			if dot < 0 {
 				break
 			}
 			rest = rest[dot+1:]
-			if root := t.suffix[string(rest)]; root != nil {
-				if n := t.walk(root, q.Path[1:], q); n >= 0 {
-					return int(n), true, nil
+			if root := t.wildcardHosts[string(rest)]; root != nil {
+				if match := t.match(root, request.Path[1:], request); match >= 0 {
+					return int(match), true, nil
 				}
 			}
 		}
 	}
-	if n := t.walk(t.any, q.Path[1:], q); n >= 0 {
-		return int(n), true, nil
+	if match := t.match(t.anyHost, request.Path[1:], request); match >= 0 {
+		return int(match), true, nil
 	}
 	return 0, false, nil
 }
 
 // maxHost is the longest host name that there is.
-const maxHost = 255
+const maxHostBytes = 255
 
 // bare is a host in small letters without its port and without a dot at its end. One that is too long is no host of
 // ours.
-func bare(host string, buffer *[maxHost]byte) []byte {
+func normalizeHost(host string, buffer *[maxHostBytes]byte) []byte {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	host = strings.TrimSuffix(host, ".")
-	if len(host) > maxHost {
+	if len(host) > maxHostBytes {
 		return nil
 	}
 	for i := range len(host) {
@@ -354,40 +354,40 @@
 
 // walk goes down the tree: a plain segment before a name, and what is longer before a prefix. It gives -1 if nothing
 // fits.
-func (t *Table) walk(at *branch, rest string, q *Request) int32 {
-	segment, after, more := strings.Cut(rest, "/")
-	for _, next := range [2]*branch{at.next[segment], at.param} {
-		if next == nil || next == at.param && segment == "" {
+func (t *Table) match(node *segmentNode, path string, request *Request) int32 {
+	segment, rest, hasMore := strings.Cut(path, "/")
+	for _, child := range [2]*segmentNode{node.children[segment], node.param} {
+		if child == nil || child == node.param && segment == "" {
 			continue
 		}
-		if more {
-			if n := t.walk(next, after, q); n >= 0 {
-				return n
+		if hasMore {
+			if index := t.match(child, rest, request); index >= 0 {
+				return index
 			}
 			continue
 		}
-		if n := t.first(next.exact, q); n >= 0 {
-			return n
+		if index := t.firstMatch(child.routes, request); index >= 0 {
+			return index
 		}
-		if n := t.first(next.prefix, q); n >= 0 {
-			return n
+		if index := t.firstMatch(child.prefixRoutes, request); index >= 0 {
+			return index
 		}
 	}
-	return t.first(at.prefix, q)
+	return t.firstMatch(node.prefixRoutes, request)
 }
 
 // first is the first route of a place whose method and headers fit.
-func (t *Table) first(list []int32, q *Request) int32 {
-	for _, n := range list {
-		r := &t.routes[n]
-		if (len(r.Methods) == 0 || slices.Contains(r.Methods, q.Method)) && r.headersFit(q.Header) {
-			return n
+func (t *Table) firstMatch(candidates []int32, request *Request) int32 {
+	for _, index := range candidates {
+		r := &t.routes[index]
+		if (len(r.Methods) == 0 || slices.Contains(r.Methods, request.Method)) && r.matchesHeaders(request.Header) {
+			return index
 		}
 	}
 	return -1
 }
 
-func (r *Route) headersFit(header http.Header) bool {
+func (r *Route) matchesHeaders(header http.Header) bool {
 	for i := range r.Headers {
 		h := &r.Headers[i]
 		// Danger: of a header that is given twice a server may take either.
@@ -400,23 +400,23 @@
 
 // Pick gives the pool of a caller. One caller stays with one pool while shares move: as the first pool's share shrinks,
 // callers only leave it, and as it grows they only come back.
-func (t *Table) PickPool(number int, caller string) PoolIndex {
-	r := &t.routes[number]
+func (t *Table) PickPool(index int, caller string) PoolIndex {
+	r := &t.routes[index]
 	if len(r.Pools) == 1 {
 		return r.Pools[0].Pool
 	}
 	// The route's name counts too, so that it is not the same callers who try out each new thing.
-	d := xxhash.Digest{}
-	d.Reset()
-	d.WriteString(r.Name)
-	d.WriteString("\x00")
-	d.WriteString(caller)
-	at := uint64(uint32(d.Sum64()>>32)) * uint64(t.sums[number]) >> 32
-	for _, s := range r.Pools {
-		if at < uint64(s.Weight) {
-			return s.Pool
+	hash := xxhash.Digest{}
+	hash.Reset()
+	hash.WriteString(r.Name)
+	hash.WriteString("\x00")
+	hash.WriteString(caller)
+	point := uint64(uint32(hash.Sum64()>>32)) * uint64(t.weightSums[index]) >> 32
+	for _, pool := range r.Pools {
+		if point < uint64(pool.Weight) {
+			return pool.Pool
 		}
-		at -= uint64(s.Weight)
+		point -= uint64(pool.Weight)
 	}
 	return r.Pools[len(r.Pools)-1].Pool
 }
@@ -426,12 +426,12 @@
 	if path == "" || path[0] != '/' {
 		return ErrNotAbsolute
 	}
-	segments, begin := 0, 1
+	segments, start := 0, 1
 	for i := 1; i <= len(path); i++ {
 		if i < len(path) {
 			switch c := path[i]; {
 			case c == '%':
-				if !fitEscape(path[i:]) {
+				if !isAllowedEscape(path[i:]) {
 					return ErrBadEscape
 				}
 				continue
@@ -441,28 +441,28 @@
 				continue
 			}
 		}
-		segment := path[begin:i]
+		segment := path[start:i]
 		switch {
 		case segment == "." || segment == "..":
 			return ErrDotSegment
 		case segment == "" && i < len(path):
 			return ErrEmptySegment
 		}
-		if segments++; segments > mostSegments {
+		if segments++; segments > maxSegments {
 			return ErrTooManySegments
 		}
-		begin = i + 1
+		start = i + 1
 	}
 	return nil
 }
 
 // fitEscape says whether an escape is whole and of a character that must be written so. Danger: a dot, a letter, a slash
 // or a backslash that is written as an escape is read as itself by some servers and not by others.
-func fitEscape(s string) bool {
+func isAllowedEscape(s string) bool {
 	if len(s) < 3 {
 		return false
 	}
-	high, low := unhex(s[1]), unhex(s[2])
+	high, low := hexDigit(s[1]), hexDigit(s[2])
 	if high < 0 || low < 0 {
 		return false
 	}
@@ -474,7 +474,7 @@
 	return c >= ' ' && c != 0x7f && !strings.ContainsRune("-._~/\\", rune(c))
 }
 
-func unhex(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
@@ -487,7 +487,7 @@
 }
 
 // lowerEscape says whether a path has an escape with a small letter.
-func lowerEscape(path string) bool {
+func hasLowercaseEscape(path string) bool {
 	for i := 0; i+2 < len(path); i++ {
 		if path[i] == '%' && (path[i+1] >= 'a' || path[i+2] >= 'a') {
 			return true
--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -23,12 +23,12 @@
 const (
 	// gather is how long a change waits for others: a release brings many, and each switch of settings leaves the old ones standing for
 	// seconds.
-	gather = 300 * time.Millisecond
+	gatherDelay = 300 * time.Millisecond
 	// spread is how long more, at random, before a node takes over. Danger: other settings make a module that has learned nothing yet, and
 	// a fleet in which all begin anew in one moment knows nothing of its load.
-	spread = 2 * time.Second
+	maxJitter = 2 * time.Second
 	// retry is the wait where what stands of older settings leaves no room for a switch.
-	retry = time.Second
+	retryDelay = time.Second
 )
 
 // ErrBusy is wrapped by what Install gives where the same may work a little later.
@@ -53,110 +53,110 @@
 type Applier struct {
 	Options
 	follower *store.Follower
-	anew     chan struct{} // holds one
+	changed  chan struct{} // holds one
 
-	mu      sync.Mutex // guards what follows
-	file    []byte     // as last taken over, without changes
-	runs    map[store.Key]*store.Value
-	refused map[store.Key]store.Refusal
+	mu       sync.Mutex // guards what follows
+	baseFile []byte     // as last taken over, without changes
+	applied  map[store.Key]*store.Value
+	refused  map[store.Key]store.Refusal
 }
 
 // New makes the actor. Run follows.
-func New(o Options) *Applier {
-	c := o.Config
-	var bind net.IP
-	if c.Store.Bind.IsValid() {
-		bind = c.Store.Bind.AsSlice()
+func New(options Options) *Applier {
+	conf := options.Config
+	var localIP net.IP
+	if conf.Store.Bind.IsValid() {
+		localIP = conf.Store.Bind.AsSlice()
 	}
-	return &Applier{Options: o, file: c.Raw, anew: make(chan struct{}, 1), runs: map[store.Key]*store.Value{}, refused: map[store.Key]store.Refusal{},
-		follower: store.NewFollower(store.FollowerOptions{Replicas: c.Store.Replicas, Keys: store.NodeKeys(c.Store.Service, c.Name), Node: c.Name,
-			Incarnation: o.Incarnation, Zone: int(c.Rules.Place.Zone), Seed: o.Seed, LocalIP: bind}, o.Log)}
+	return &Applier{Options: options, baseFile: conf.Raw, changed: make(chan struct{}, 1), applied: map[store.Key]*store.Value{}, refused: map[store.Key]store.Refusal{},
+		follower: store.NewFollower(store.FollowerOptions{Replicas: conf.Store.Replicas, Keys: store.NodeKeys(conf.Store.Service, conf.Name), Node: conf.Name,
+			Incarnation: options.Incarnation, Zone: int(conf.Rules.Place.Zone), Seed: options.Seed, LocalIP: localIP}, options.Log)}
 }
 
 // Run follows the store until ctx is done.
 func (a *Applier) Run(ctx context.Context) {
-	var over sync.WaitGroup
-	over.Go(func() { a.follower.Run(ctx, func([]*store.Value) { a.wake() }) })
-	for wait := pause(); ; {
+	var follower sync.WaitGroup
+	follower.Go(func() { a.follower.Run(ctx, func([]*store.Value) { a.wake() }) })
+	for delay := switchDelay(); ; {
 		select {
 		case <-ctx.Done():
-			over.Wait()
+			follower.Wait()
 			return
-		case <-a.anew:
+		case <-a.changed:
 		}
 		select {
 		case <-ctx.Done():
-			over.Wait()
+			follower.Wait()
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		if wait = pause(); !a.take() {
-			wait = retry
+		if delay = switchDelay(); !a.applyPending() {
+			delay = retryDelay
 			a.wake()
 		}
 	}
 }
 
-func pause() time.Duration { return gather + rand.N(spread) }
+func switchDelay() time.Duration { return gatherDelay + rand.N(maxJitter) }
 
 func (a *Applier) wake() {
 	select {
-	case a.anew <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
 // take lays what is held over the file, key by key: what is faulty is refused whole and its key goes on as it was. It is false where
 // there was no room for it, and it has to be tried again.
-func (a *Applier) take() (done bool) {
+func (a *Applier) applyPending() (done bool) {
 	a.InstallLock.Lock()
 	defer a.InstallLock.Unlock()
 	a.mu.Lock()
-	file, before, refused := a.file, a.runs, maps.Clone(a.refused)
+	baseFile, previous, refused := a.baseFile, a.applied, maps.Clone(a.refused)
 	a.mu.Unlock()
-	runs := maps.Clone(before)
-	var good *config.Config
-	for _, v := range a.follower.Values() {
-		if now := runs[v.Key]; now != nil && now.Version >= v.Version || refused[v.Key].Version >= v.Version {
+	applied := maps.Clone(previous)
+	var candidate *config.Config
+	for _, value := range a.follower.Values() {
+		if current := applied[value.Key]; current != nil && current.Version >= value.Version || refused[value.Key].Version >= value.Version {
 			continue
 		}
-		trial := maps.Clone(runs)
-		trial[v.Key] = v
-		c, err := ParseWithChanges(file, trial, a.Getenv, a.Validate)
-		if v.RequiredFormat > config.Form {
-			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", v.RequiredFormat, config.Form)
+		withValue := maps.Clone(applied)
+		withValue[value.Key] = value
+		parsed, err := ParseWithChanges(baseFile, withValue, a.Getenv, a.Validate)
+		if value.RequiredFormat > config.Form {
+			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", value.RequiredFormat, config.Form)
 		}
 		if err != nil {
-			refused[v.Key] = store.Refusal{Version: v.Version, Reason: err.Error()}
-			a.Log.Error().Err(err).Str("key", string(v.Key)).Uint64("version", uint64(v.Version)).Msg("change refused, what runs stays")
+			refused[value.Key] = store.Refusal{Version: value.Version, Reason: err.Error()}
+			a.Log.Error().Err(err).Str("key", string(value.Key)).Uint64("version", uint64(value.Version)).Msg("change refused, what runs stays")
 			continue
 		}
-		delete(refused, v.Key)
-		runs, good = trial, c
+		delete(refused, value.Key)
+		applied, candidate = withValue, parsed
 	}
-	if good != nil {
-		switch err := a.Install(good); {
+	if candidate != nil {
+		switch err := a.Install(candidate); {
 		case errors.Is(err, ErrBusy):
 			return false
 		case err != nil:
 			// Nothing of it runs. Whichever of them is at fault, all that are new are told as refused.
-			for key, v := range runs {
-				if now := before[key]; now == nil || now.Version < v.Version {
-					refused[key] = store.Refusal{Version: v.Version, Reason: err.Error()}
+			for key, value := range applied {
+				if current := previous[key]; current == nil || current.Version < value.Version {
+					refused[key] = store.Refusal{Version: value.Version, Reason: err.Error()}
 				}
 			}
-			runs = before
+			applied = previous
 			a.Log.Error().Err(err).Msg("changes not taken over, what runs stays")
 		}
 	}
 	versions := map[store.Key]store.Version{}
-	for key, v := range runs {
-		if versions[key] = v.Version; before[key] != v {
-			a.Log.Info().Str("key", string(key)).Uint64("version", uint64(v.Version)).Str("id", v.ID).Msg("change in force")
+	for key, value := range applied {
+		if versions[key] = value.Version; previous[key] != value {
+			a.Log.Info().Str("key", string(key)).Uint64("version", uint64(value.Version)).Str("id", value.ID).Msg("change in force")
 		}
 	}
 	a.mu.Lock()
-	a.runs, a.refused = runs, refused
+	a.applied, a.refused = applied, refused
 	a.mu.Unlock()
 	a.follower.ReportApplied(versions, refused)
 	return true
@@ -165,19 +165,19 @@
 // Over lays what runs over a file that was read anew.
 func (a *Applier) WithChanges(file *config.Config) (*config.Config, error) {
 	a.mu.Lock()
-	runs := a.runs
+	applied := a.applied
 	a.mu.Unlock()
-	c, err := ParseWithChanges(file.Raw, runs, a.Getenv, a.Validate)
+	conf, err := ParseWithChanges(file.Raw, applied, a.Getenv, a.Validate)
 	if err == nil {
-		c.Raw = file.Raw
+		conf.Raw = file.Raw
 	}
-	return c, err
+	return conf, err
 }
 
 // Reread keeps the file that is in force, and lets what was refused with the one before be tried again.
 func (a *Applier) SetFile(file []byte) {
 	a.mu.Lock()
-	a.file, a.refused = file, map[store.Key]store.Refusal{}
+	a.baseFile, a.refused = file, map[store.Key]store.Refusal{}
 	a.mu.Unlock()
 	a.wake()
 }
@@ -186,38 +186,38 @@
 func (a *Applier) View() *store.View { return a.follower.View() }
 
 // Lay reads a file with changes laid over it (RFC 7396): those for all, a service's, a node's own last.
-func ParseWithChanges(file []byte, runs map[store.Key]*store.Value, getenv func(string) string, check func(*config.Config) error) (*config.Config, error) {
-	reach := func(k store.Key) int { return strings.Index("asn", string(k[:1])) }
-	raw := file
-	for _, key := range slices.SortedFunc(maps.Keys(runs), func(a, b store.Key) int { return reach(a) - reach(b) }) {
-		v := runs[key]
-		if err := config.CheckPatch(v.Patch, strings.HasPrefix(string(key), "node/")); err != nil {
+func ParseWithChanges(file []byte, values map[store.Key]*store.Value, getenv func(string) string, validate func(*config.Config) error) (*config.Config, error) {
+	precedence := func(key store.Key) int { return strings.Index("asn", string(key[:1])) }
+	merged := file
+	for _, key := range slices.SortedFunc(maps.Keys(values), func(a, b store.Key) int { return precedence(a) - precedence(b) }) {
+		value := values[key]
+		if err := config.CheckPatch(value.Patch, strings.HasPrefix(string(key), "node/")); err != nil {
 			return nil, err
 		}
 		var err error
-		if raw, err = jsonpatch.MergePatch(raw, v.Patch); err != nil {
+		if merged, err = jsonpatch.MergePatch(merged, value.Patch); err != nil {
 			return nil, err
 		}
 	}
-	c, err := config.Parse(raw, getenv)
-	if err == nil && check != nil {
-		err = check(c)
+	conf, err := config.Parse(merged, getenv)
+	if err == nil && validate != nil {
+		err = validate(conf)
 	}
-	return c, err
+	return conf, err
 }
 
 // CheckChange says what is wrong with a change, by its key, as far as that can be told without the file that it will be laid over: it is
 // laid over one in which nothing is wrong.
-func ValidateChange(c *store.Change) error {
-	if c.RequiredFormat > config.Form {
+func ValidateChange(change *store.Change) error {
+	if change.RequiredFormat > config.Form {
 		return nil // of a later form: nodes that know it look at it
 	}
-	_, err := ParseWithChanges([]byte(plain), map[store.Key]*store.Value{c.Key: {Key: c.Key, Patch: c.Patch}}, func(string) string { return "" }, nil)
+	_, err := ParseWithChanges([]byte(validConfig), map[store.Key]*store.Value{change.Key: {Key: change.Key, Patch: change.Patch}}, func(string) string { return "" }, nil)
 	return err
 }
 
 // plain is a configuration in which nothing is wrong.
-const plain = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"tier":0,"tiers":["front"],"fleet_size":1,"slot_no":0,"az":0,
+const validConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"tier":0,"tiers":["front"],"fleet_size":1,"slot_no":0,"az":0,
  "failure_domains":["a"],"kinds":["m"],"tick":5,"registry_mode":"ask",
  "categories":[{"name":"c","benefit":1,"effect":"idempotent","target_latency":300,"ttl":1000}],
  "limits":{"max_pushes":3,"may_duplicate":true,"may_cancel":true,"dial_timeout":100,"retry_after":true,"max_retry_after":1000},
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -16,28 +16,28 @@
 	"canvasrouter/internal/store"
 )
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 // values are changes by key, all of version 1.
-func values(of map[store.Key]string) map[store.Key]*store.Value {
-	out := map[store.Key]*store.Value{}
-	for key, patch := range of {
-		out[key] = &store.Value{Key: key, Version: 1, Patch: json.RawMessage(patch)}
+func versionOneValues(patches map[store.Key]string) map[store.Key]*store.Value {
+	values := map[store.Key]*store.Value{}
+	for key, patch := range patches {
+		values[key] = &store.Value{Key: key, Version: 1, Patch: json.RawMessage(patch)}
 	}
-	return out
+	return values
 }
 
 // Changes are laid over each other in the order of their reach, and none may touch what is a node's own.
-func TestLay(t *testing.T) {
-	c, err := ParseWithChanges([]byte(plain), values(map[store.Key]string{
+func TestParseWithChanges(t *testing.T) {
+	conf, err := ParseWithChanges([]byte(validConfig), versionOneValues(map[store.Key]string{
 		"node/n":    `{"settings":{"limits":{"max_pushes":7}}}`,
 		"all":       `{"settings":{"limits":{"max_pushes":2,"dial_timeout":55}},"log_level":"warn"}`,
-		"service/s": `{"settings":{"limits":{"max_pushes":5,"max_open":null,"idle_close":4000}}}`}), none, nil)
+		"service/s": `{"settings":{"limits":{"max_pushes":5,"max_open":null,"idle_close":4000}}}`}), noEnv, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Rules.Push.Max != 7 || c.Rules.Push.Dial != 55_000 || c.LogLevel != zerolog.WarnLevel {
-		t.Errorf("%+v, %v", c.Rules.Push, c.LogLevel)
+	if conf.Rules.Push.Max != 7 || conf.Rules.Push.Dial != 55_000 || conf.LogLevel != zerolog.WarnLevel {
+		t.Errorf("%+v, %v", conf.Rules.Push, conf.LogLevel)
 	}
 	for patch, want := range map[string]string{
 		`{"settings":{"tick":"often"}}`: "setting tick is no number",
@@ -72,15 +72,15 @@
 	server := httptest.NewServer(replica)
 	defer server.Close()
 	defer server.CloseClientConnections()
-	file := strings.Replace(plain, `{"name"`, `{"store":{"replicas":["`+strings.TrimPrefix(server.URL, "http://")+`"],"service":"s"},"name"`, 1)
-	conf, err := config.Parse([]byte(file), none)
+	file := strings.Replace(validConfig, `{"name"`, `{"store":{"replicas":["`+strings.TrimPrefix(server.URL, "http://")+`"],"service":"s"},"name"`, 1)
+	conf, err := config.Parse([]byte(file), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
 	busy, broken := 1, false
 	installed := make(chan int, 16)
-	a := New(Options{Config: conf, Getenv: none, InstallLock: &sync.Mutex{}, Incarnation: "1", Log: zerolog.Nop(), Install: func(c *config.Config) error {
+	applier := New(Options{Config: conf, Getenv: noEnv, InstallLock: &sync.Mutex{}, Incarnation: "1", Log: zerolog.Nop(), Install: func(c *config.Config) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if busy > 0 {
@@ -95,28 +95,28 @@
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { a.Run(ctx); close(ended) }()
+	go func() { applier.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	change := func(key store.Key, id, patch string) {
+	propose := func(key store.Key, id, patch string) {
 		t.Helper()
 		if _, _, err := replica.Propose(t.Context(), &store.Change{Key: key, ID: id, Patch: json.RawMessage(patch)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	runs := func(key store.Key) store.Version { return a.View().Applied[key] }
-	await := func(what string, is func() bool) {
+	appliedVersion := func(key store.Key) store.Version { return applier.View().Applied[key] }
+	await := func(what string, condition func() bool) {
 		t.Helper()
-		for begun := time.Now(); !is(); time.Sleep(10 * time.Millisecond) {
-			if time.Since(begun) > 15*time.Second {
-				t.Fatalf("%s: %+v", what, a.View())
+		for start := time.Now(); !condition(); time.Sleep(10 * time.Millisecond) {
+			if time.Since(start) > 15*time.Second {
+				t.Fatalf("%s: %+v", what, applier.View())
 			}
 		}
 	}
-	change("service/s", "a", `{"settings":{"limits":{"max_pushes":4}}}`)
-	change("node/n", "b", `{"settings":{"tick":"never"}}`)
-	await("one good, one faulty", func() bool { return runs("service/s") == 1 && a.View().Refused["node/n"].Version == 1 })
-	if why := a.View().Refused["node/n"].Reason; !strings.Contains(why, "setting tick") {
-		t.Errorf("refused by %q", why)
+	propose("service/s", "a", `{"settings":{"limits":{"max_pushes":4}}}`)
+	propose("node/n", "b", `{"settings":{"tick":"never"}}`)
+	await("one good, one faulty", func() bool { return appliedVersion("service/s") == 1 && applier.View().Refused["node/n"].Version == 1 })
+	if reason := applier.View().Refused["node/n"].Reason; !strings.Contains(reason, "setting tick") {
+		t.Errorf("refused by %q", reason)
 	}
 	if got := <-installed; got != 4 || len(installed) > 0 {
 		t.Errorf("installed %d, and %d more", got, len(installed))
@@ -124,25 +124,25 @@
 	mu.Lock()
 	broken = true
 	mu.Unlock()
-	change("service/s", "c", `{"settings":{"limits":{"max_pushes":6}}}`)
-	await("what can't be installed", func() bool { return a.View().Refused["service/s"].Version == 2 })
-	if runs("service/s") != 1 {
-		t.Errorf("runs %d", runs("service/s"))
+	propose("service/s", "c", `{"settings":{"limits":{"max_pushes":6}}}`)
+	await("what can't be installed", func() bool { return applier.View().Refused["service/s"].Version == 2 })
+	if appliedVersion("service/s") != 1 {
+		t.Errorf("runs %d", appliedVersion("service/s"))
 	}
 	mu.Lock()
 	broken = false
 	mu.Unlock()
 	// The file is read anew: what runs is laid over it, and what was refused is tried with it.
-	other, err := config.Parse([]byte(strings.Replace(file, `"dial_timeout":100`, `"dial_timeout":70`, 1)), none)
+	reloaded, err := config.Parse([]byte(strings.Replace(file, `"dial_timeout":100`, `"dial_timeout":70`, 1)), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, err := a.WithChanges(other)
-	if err != nil || over.Rules.Push.Max != 4 || over.Rules.Push.Dial != 70_000 {
-		t.Errorf("%v: %+v", err, over.Rules.Push)
+	patched, err := applier.WithChanges(reloaded)
+	if err != nil || patched.Rules.Push.Max != 4 || patched.Rules.Push.Dial != 70_000 {
+		t.Errorf("%v: %+v", err, patched.Rules.Push)
 	}
-	a.SetFile(other.Raw)
-	await("tried again with the new file", func() bool { return runs("service/s") == 2 && a.View().Refused["node/n"].Version == 1 })
+	applier.SetFile(reloaded.Raw)
+	await("tried again with the new file", func() bool { return appliedVersion("service/s") == 2 && applier.View().Refused["node/n"].Version == 1 })
 	if got := <-installed; got != 6 {
 		t.Errorf("installed %d", got)
 	}
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -22,14 +22,14 @@
 
 const (
 	// mostSilence ends a watch: an empty line comes each 2 s, and two that are missing are enough.
-	mostSilence = 2*emptyEvery + 200*time.Millisecond
-	dialWait    = time.Second
-	lineWait    = 3 * time.Second // for a watch's first line
-	firstAgain  = 250 * time.Millisecond
-	mostAgain   = 2 * time.Second // between two tries: a change is in force everywhere within 8 s
-	reportWait  = 2 * time.Second
-	reportAgain = 30 * time.Second // the same report, should the replica have lost it
-	mostLine    = 2 * mostPatch
+	maxSilence       = 2*keepAliveInterval + 200*time.Millisecond
+	dialTimeout      = time.Second
+	firstLineTimeout = 3 * time.Second // for a watch's first line
+	minRetryDelay    = 250 * time.Millisecond
+	maxRetryDelay    = 2 * time.Second // between two tries: a change is in force everywhere within 8 s
+	reportTimeout    = 2 * time.Second
+	reportInterval   = 30 * time.Second // the same report, should the replica have lost it
+	maxLineBytes     = 2 * maxPatchBytes
 )
 
 // FollowerOptions say who follows, and where.
@@ -54,82 +54,82 @@
 
 // Follower is a node's actor: it watches one replica after another, hands on what is newer, and reports what the node runs.
 type Follower struct {
-	options FollowerOptions
-	log     zerolog.Logger
-	client  *http.Client
-	rng     *rand.Rand
-	at      int // the replica that is watched
+	options      FollowerOptions
+	log          zerolog.Logger
+	client       *http.Client
+	rng          *rand.Rand
+	replicaIndex int // the replica that is watched
 
-	mu       sync.Mutex
-	held     map[Key]*Value // as told; the node may run less
-	report   Report
-	anew     chan struct{} // holds one: there is something to report
-	watching string        // address; "": none
+	mu          sync.Mutex
+	received    map[Key]*Value // as told; the node may run less
+	report      Report
+	reportDue   chan struct{} // holds one: there is something to report
+	watchedAddr string        // address; "": none
 }
 
 // NewFollower makes the actor.
-func NewFollower(o FollowerOptions, log zerolog.Logger) *Follower {
-	dialer := &net.Dialer{Timeout: dialWait}
-	if o.LocalIP != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: o.LocalIP}
+func NewFollower(options FollowerOptions, log zerolog.Logger) *Follower {
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	if options.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: options.LocalIP}
 	}
-	f := &Follower{options: o, log: log, held: map[Key]*Value{}, anew: make(chan struct{}, 1),
-		rng:    rand.New(rand.NewPCG(o.Seed, 0x57a7e)),
+	f := &Follower{options: options, log: log, received: map[Key]*Value{}, reportDue: make(chan struct{}, 1),
+		rng:    rand.New(rand.NewPCG(options.Seed, 0x57a7e)),
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
-		report: Report{Node: o.Node, Incarnation: o.Incarnation, Zone: o.Zone, Keys: o.Keys, Applied: map[Key]Version{}}}
-	f.at = f.rng.IntN(max(1, len(o.Replicas)))
+		report: Report{Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone, Keys: options.Keys, Applied: map[Key]Version{}}}
+	f.replicaIndex = f.rng.IntN(max(1, len(options.Replicas)))
 	return f
 }
 
 // Run follows until ctx is done. Tell gets all that is held, in the order of the keys, whenever something is newer; it must not wait
 // for long.
-func (f *Follower) Run(ctx context.Context, tell func([]*Value)) {
-	var reports sync.WaitGroup
-	reports.Go(func() { f.reports(ctx) })
-	defer reports.Wait()
-	for again := firstAgain; ctx.Err() == nil; {
-		lines, err := f.watch(ctx, tell)
+func (f *Follower) Run(ctx context.Context, notify func([]*Value)) {
+	var reporter sync.WaitGroup
+	reporter.Go(func() { f.sendReports(ctx) })
+	defer reporter.Wait()
+	for retryDelay := minRetryDelay; ctx.Err() == nil; {
+		lines, err := f.watch(ctx, notify)
 		if ctx.Err() != nil {
 			return
 		}
-		f.log.Warn().Err(err).Str("replica", f.options.Replicas[f.at]).Msg("watch of the store ended")
+		f.log.Warn().Err(err).Str("replica", f.options.Replicas[f.replicaIndex]).Msg("watch of the store ended")
 		if lines > 0 {
-			again = firstAgain
+			retryDelay = minRetryDelay
 		}
 		// Danger: all nodes of a lost replica come to the two others at once; they come at random, and ever later while none is there.
-		f.at = (f.at + 1 + f.rng.IntN(max(1, len(f.options.Replicas)-1))) % len(f.options.Replicas)
+		f.replicaIndex = (f.replicaIndex + 1 + f.rng.IntN(max(1, len(f.options.Replicas)-1))) % len(f.options.Replicas)
 		select {
 		case <-ctx.Done():
-		case <-time.After(again/2 + time.Duration(f.rng.Int64N(int64(again/2)+1))):
+		case <-time.After(retryDelay/2 + time.Duration(f.rng.Int64N(int64(retryDelay/2)+1))):
 		}
-		again = min(2*again, mostAgain)
+		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
 }
 
 // errSilent says that a watch brought nothing for too long.
 var errSilent = errors.New("silent")
 
-func (f *Follower) watch(ctx context.Context, tell func([]*Value)) (lines int, err error) {
+func (f *Follower) watch(ctx context.Context, notify func([]*Value)) (lines int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	quiet := time.AfterFunc(lineWait, func() { cancel(errSilent) })
-	defer quiet.Stop()
+	silenceTimer := time.AfterFunc(firstLineTimeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
 	f.mu.Lock()
-	var held []string
+	var versions []string
 	for _, key := range f.options.Keys {
 		version := Version(0)
-		if v := f.held[key]; v != nil {
-			version = v.Version
+		if value := f.received[key]; value != nil {
+			version = value.Version
 		}
-		held = append(held, fmt.Sprintf("%s:%d", key, version))
+		versions = append(versions, fmt.Sprintf("%s:%d", key, version))
 	}
 	f.mu.Unlock()
-	addr := f.options.Replicas[f.at]
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/changes?held="+strings.Join(held, ","), nil)
+	addr := f.options.Replicas[f.replicaIndex]
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/changes?held="+strings.Join(versions, ","), nil)
 	if err != nil {
 		return 0, err
 	}
-	response, err := f.client.Do(q)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, errors.Join(err, context.Cause(ctx))
 	}
@@ -137,109 +137,109 @@
 	if response.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("replica answered %s", response.Status)
 	}
-	in := bufio.NewReaderSize(response.Body, mostLine)
-	defer f.watches("")
+	reader := bufio.NewReaderSize(response.Body, maxLineBytes)
+	defer f.setWatchedAddr("")
 	for {
-		line, err := in.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return lines, errors.Join(err, context.Cause(ctx))
 		}
-		quiet.Reset(mostSilence)
+		silenceTimer.Reset(maxSilence)
 		if lines++; lines == 1 {
-			f.watches(addr)
-			f.again()
+			f.setWatchedAddr(addr)
+			f.requestReport()
 		}
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		v := &Value{}
-		if err := json.Unmarshal(line, v); err != nil {
+		value := &Value{}
+		if err := json.Unmarshal(line, value); err != nil {
 			return lines, fmt.Errorf("broken line: %w", err)
 		}
-		if f.take(v) {
-			tell(f.Values())
+		if f.storeIfNewer(value) {
+			notify(f.Values())
 		}
 	}
 }
 
 // take keeps a value that is newer. Danger: replicas may be behind each other, and a node that goes from one to the next must not go back.
-func (f *Follower) take(v *Value) bool {
+func (f *Follower) storeIfNewer(value *Value) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Contains(f.options.Keys, v.Key) && MergeNewer(f.held, v)
+	return slices.Contains(f.options.Keys, value.Key) && MergeNewer(f.received, value)
 }
 
 // Held is all that the node was told, in the order of its keys.
-func (f *Follower) Values() (all []*Value) {
+func (f *Follower) Values() (values []*Value) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range f.options.Keys {
-		if v := f.held[key]; v != nil {
-			all = append(all, v)
+		if value := f.received[key]; value != nil {
+			values = append(values, value)
 		}
 	}
-	return all
+	return values
 }
 
-func (f *Follower) watches(addr string) {
+func (f *Follower) setWatchedAddr(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.watching = addr
+	f.watchedAddr = addr
 }
 
 // again says that the report has to be made anew: the replica is another one, or what runs is.
-func (f *Follower) again() {
+func (f *Follower) requestReport() {
 	select {
-	case f.anew <- struct{}{}:
+	case f.reportDue <- struct{}{}:
 	default:
 	}
 }
 
 // Runs says what the node runs now, and what it refused.
-func (f *Follower) ReportApplied(runs map[Key]Version, refused map[Key]Refusal) {
+func (f *Follower) ReportApplied(applied map[Key]Version, refused map[Key]Refusal) {
 	f.mu.Lock()
-	f.report.Applied, f.report.Refused = maps.Clone(runs), maps.Clone(refused)
+	f.report.Applied, f.report.Refused = maps.Clone(applied), maps.Clone(refused)
 	f.report.Sequence++
 	f.mu.Unlock()
-	f.again()
+	f.requestReport()
 }
 
 // reports tells the replica that is watched what the node runs, once for each change of that, and now and then.
-func (f *Follower) reports(ctx context.Context) {
+func (f *Follower) sendReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.anew:
-		case <-time.After(reportAgain/2 + rand.N(reportAgain)):
+		case <-f.reportDue:
+		case <-time.After(reportInterval/2 + rand.N(reportInterval)):
 		}
 		f.mu.Lock()
-		addr := f.watching
-		raw, err := json.Marshal(&f.report)
+		addr := f.watchedAddr
+		body, err := json.Marshal(&f.report)
 		f.mu.Unlock()
 		if addr == "" || err != nil {
 			continue // the next watch's first line asks for it
 		}
-		if err := f.post(ctx, addr, raw); err != nil && ctx.Err() == nil {
+		if err := f.postReport(ctx, addr, body); err != nil && ctx.Err() == nil {
 			f.log.Debug().Err(err).Msg("report not taken")
-			time.AfterFunc(firstAgain+rand.N(time.Second), f.again)
+			time.AfterFunc(minRetryDelay+rand.N(time.Second), f.requestReport)
 		}
 	}
 }
 
-func (f *Follower) post(ctx context.Context, addr string, raw []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, reportWait)
+func (f *Follower) postReport(ctx context.Context, addr string, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/report", bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/report", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	response, err := f.client.Do(q)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(response.Body, mostBody))
+	io.Copy(io.Discard, io.LimitReader(response.Body, maxBodyBytes))
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("replica answered %s", response.Status)
 	}
@@ -258,9 +258,9 @@
 func (f *Follower) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := &View{Replica: f.watching, Received: map[Key]Version{}, Applied: maps.Clone(f.report.Applied), Refused: maps.Clone(f.report.Refused)}
-	for key, v := range f.held {
-		l.Received[key] = v.Version
+	view := &View{Replica: f.watchedAddr, Received: map[Key]Version{}, Applied: maps.Clone(f.report.Applied), Refused: maps.Clone(f.report.Refused)}
+	for key, value := range f.received {
+		view.Received[key] = value.Version
 	}
-	return l
+	return view
 }
--- a/internal/store/register.go
+++ b/internal/store/register.go
@@ -25,8 +25,8 @@
 }
 
 // Compare orders ballots.
-func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Round, o.Round), cmp.Compare(b.Replica, o.Replica))
+func (b Ballot) Compare(other Ballot) int {
+	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Replica, other.Replica))
 }
 
 // Change is what an operator asks for.
@@ -57,7 +57,7 @@
 }
 
 // mostPast changes before the present one are known again when they are asked for twice.
-const mostPast = 8
+const maxHistory = 8
 
 // Verdict is what becomes of a change.
 type Verdict string
@@ -71,28 +71,28 @@
 
 // Next makes of the value that stands, or of none, the one to propose. Where the change is not taken that is the same value again: an
 // answer about what stands is true only once a majority has it.
-func NextValue(now *Value, c *Change) (next *Value, verdict Verdict, version Version) {
-	v := Value{Key: c.Key, Version: 1, ID: c.ID, RequiredFormat: c.RequiredFormat, Patch: c.Patch}
-	if now != nil {
-		if now.ID == c.ID {
-			return now, AlreadyChosen, now.Version
+func NextValue(current *Value, change *Change) (next *Value, verdict Verdict, version Version) {
+	proposed := Value{Key: change.Key, Version: 1, ID: change.ID, RequiredFormat: change.RequiredFormat, Patch: change.Patch}
+	if current != nil {
+		if current.ID == change.ID {
+			return current, AlreadyChosen, current.Version
 		}
-		if i := slices.IndexFunc(now.History, func(p PastChange) bool { return p.ID == c.ID }); i >= 0 {
-			return now, AlreadyChosen, now.History[i].Version
+		if i := slices.IndexFunc(current.History, func(p PastChange) bool { return p.ID == change.ID }); i >= 0 {
+			return current, AlreadyChosen, current.History[i].Version
 		}
-		v.Version, v.PreviousPatch = now.Version+1, now.Patch
-		v.History = append([]PastChange{{now.ID, now.Version}}, now.History[:min(len(now.History), mostPast-1)]...)
+		proposed.Version, proposed.PreviousPatch = current.Version+1, current.Patch
+		proposed.History = append([]PastChange{{current.ID, current.Version}}, current.History[:min(len(current.History), maxHistory-1)]...)
 	}
-	stands := v.Version - 1
+	currentVersion := proposed.Version - 1
 	switch {
-	case c.ExpectedVersion != nil && *c.ExpectedVersion != stands:
-		return now, Conflict, stands
-	case c.Rollback && (now == nil || now.PreviousPatch == nil):
-		return now, NothingToRollBack, stands
-	case c.Rollback:
-		v.Patch = now.PreviousPatch
+	case change.ExpectedVersion != nil && *change.ExpectedVersion != currentVersion:
+		return current, Conflict, currentVersion
+	case change.Rollback && (current == nil || current.PreviousPatch == nil):
+		return current, NothingToRollBack, currentVersion
+	case change.Rollback:
+		proposed.Patch = current.PreviousPatch
 	}
-	return &v, Chosen, v.Version
+	return &proposed, Chosen, proposed.Version
 }
 
 // Register is one replica's part of a key. What changes it must be on disk before it is told.
@@ -111,29 +111,29 @@
 }
 
 // Prepare promises to accept nothing of an earlier ballot. One that comes twice is answered twice.
-func (r *Register) Prepare(b Ballot) Reply {
-	if b.Compare(r.Promised) < 0 {
+func (r *Register) Prepare(ballot Ballot) Reply {
+	if ballot.Compare(r.Promised) < 0 {
 		return Reply{Promised: r.Promised}
 	}
-	r.Promised = b
-	return Reply{Granted: true, Promised: b, Accepted: r.Accepted, Value: r.Value}
+	r.Promised = ballot
+	return Reply{Granted: true, Promised: ballot, Accepted: r.Accepted, Value: r.Value}
 }
 
 // Accept takes a value, unless a later ballot has its promise.
-func (r *Register) Accept(b Ballot, v *Value) Reply {
-	if b.Compare(r.Promised) < 0 {
+func (r *Register) Accept(ballot Ballot, value *Value) Reply {
+	if ballot.Compare(r.Promised) < 0 {
 		return Reply{Promised: r.Promised}
 	}
-	r.Promised, r.Accepted, r.Value = b, b, v
-	return Reply{Granted: true, Promised: b}
+	r.Promised, r.Accepted, r.Value = ballot, ballot, value
+	return Reply{Granted: true, Promised: ballot}
 }
 
 // Merge takes a chosen value in place of an older one.
-func MergeNewer(known map[Key]*Value, v *Value) bool {
-	if now := known[v.Key]; now != nil && now.Version >= v.Version {
+func MergeNewer(known map[Key]*Value, value *Value) bool {
+	if current := known[value.Key]; current != nil && current.Version >= value.Version {
 		return false
 	}
-	known[v.Key] = v
+	known[value.Key] = value
 	return true
 }
 
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	mostKeys     = 4096
-	mostPatch    = 64 << 10
-	mostBody     = 256 << 10
-	mostWatchers = 4096
-	mostReports  = 4096
-	keepReport   = time.Hour             // of a node that is not watching any more
-	phaseWait    = time.Second           // for a majority's answers
-	attempts     = 6                     // to change a key, before it is told that there is no majority
-	syncEvery    = time.Second           // a replica looks whether another has chosen what it missed
-	emptyEvery   = 2 * time.Second       // a line on a watch while nothing changes
-	writeWait    = 2 * time.Second       // for a watcher to take a line
-	backoff      = 20 * time.Millisecond // after a round that was overtaken, and up to as much again, twice as long each time
+	maxKeys           = 4096
+	maxPatchBytes     = 64 << 10
+	maxBodyBytes      = 256 << 10
+	maxWatchers       = 4096
+	maxReports        = 4096
+	reportRetention   = time.Hour             // of a node that is not watching any more
+	phaseTimeout      = time.Second           // for a majority's answers
+	maxAttempts       = 6                     // to change a key, before it is told that there is no majority
+	syncInterval      = time.Second           // a replica looks whether another has chosen what it missed
+	keepAliveInterval = 2 * time.Second       // a line on a watch while nothing changes
+	writeTimeout      = 2 * time.Second       // for a watcher to take a line
+	initialBackoff    = 20 * time.Millisecond // after a round that was overtaken, and up to as much again, twice as long each time
 )
 
 // ReplicaOptions say who a replica is.
@@ -50,7 +50,7 @@
 }
 
 // kept is a key as it stands on disk.
-type kept struct {
+type keyFile struct {
 	Key      Key      `json:"key"`
 	Register Register `json:"register"`
 	Chosen   *Value   `json:"chosen,omitempty"`
@@ -74,9 +74,9 @@
 }
 
 // reported is a report and when it came.
-type reported struct {
+type receivedReport struct {
 	Report
-	at time.Time
+	receivedAt time.Time
 }
 
 // Replica is the actor of one of the machines set aside for control.
@@ -85,23 +85,23 @@
 	log     zerolog.Logger
 	client  *http.Client
 
-	mu        sync.Mutex // guards what follows; held while a register goes to disk
-	registers map[Key]*Register
-	chosen    map[Key]*Value
-	changed   chan struct{} // closed and made anew when something is chosen
-	watchers  int
-	reports   map[string]*reported
+	mu          sync.Mutex // guards what follows; held while a register goes to disk
+	registers   map[Key]*Register
+	chosen      map[Key]*Value
+	valueChosen chan struct{} // closed and made anew when something is chosen
+	watchers    int
+	reports     map[string]*receivedReport
 }
 
 // NewReplica reads what the disk holds. Danger: a register that can't be read must not count as empty; it may have accepted what was
 // chosen. So a faulty file is an error.
-func NewReplica(o ReplicaOptions, log zerolog.Logger) (*Replica, error) {
-	r := &Replica{options: o, log: log, registers: map[Key]*Register{}, chosen: map[Key]*Value{}, changed: make(chan struct{}), reports: map[string]*reported{}}
-	r.client = &http.Client{Timeout: phaseWait, Transport: &http.Transport{DialContext: o.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+func NewReplica(options ReplicaOptions, log zerolog.Logger) (*Replica, error) {
+	r := &Replica{options: options, log: log, registers: map[Key]*Register{}, chosen: map[Key]*Value{}, valueChosen: make(chan struct{}), reports: map[string]*receivedReport{}}
+	r.client = &http.Client{Timeout: phaseTimeout, Transport: &http.Transport{DialContext: options.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
+	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	paths, err := filepath.Glob(filepath.Join(o.Dir, "*.json"))
+	paths, err := filepath.Glob(filepath.Join(options.Dir, "*.json"))
 	if err != nil {
 		return nil, err
 	}
@@ -110,13 +110,13 @@
 		if err != nil {
 			return nil, err
 		}
-		var k kept
-		if err := json.Unmarshal(raw, &k); err != nil || k.Key == "" {
+		var stored keyFile
+		if err := json.Unmarshal(raw, &stored); err != nil || stored.Key == "" {
 			return nil, fmt.Errorf("%s: no register: %v", path, err)
 		}
-		r.registers[k.Key] = &k.Register
-		if k.Chosen != nil {
-			r.chosen[k.Key] = k.Chosen
+		r.registers[stored.Key] = &stored.Register
+		if stored.Chosen != nil {
+			r.chosen[stored.Key] = stored.Chosen
 		}
 	}
 	return r, nil
@@ -126,22 +126,22 @@
 //
 // Danger: a promise that is told and then forgotten by a machine that loses its power lets an earlier ballot through.
 func (r *Replica) save(key Key) error {
-	raw, err := json.Marshal(kept{key, *r.registers[key], r.chosen[key]})
+	raw, err := json.Marshal(keyFile{key, *r.registers[key], r.chosen[key]})
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(r.options.Dir, fmt.Sprintf("%016x.json", xxhash.Sum64String(string(key))))
-	f, err := os.CreateTemp(r.options.Dir, "new-")
+	file, err := os.CreateTemp(r.options.Dir, "new-")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(raw)
-	err = errors.Join(err, f.Sync(), f.Close())
+	_, err = file.Write(raw)
+	err = errors.Join(err, file.Sync(), file.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), path)
+		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		os.Remove(f.Name())
+		os.Remove(file.Name())
 		return err
 	}
 	if dir, err := os.Open(r.options.Dir); err == nil {
@@ -151,113 +151,115 @@
 	return nil
 }
 
-var errFull = errors.New("more keys than are kept")
+var errTooManyKeys = errors.New("more keys than are kept")
 
 // register finds a key's, or makes room for a new one. The lock is held.
 func (r *Replica) register(key Key) (*Register, error) {
-	if of := r.registers[key]; of != nil {
-		return of, nil
+	if register := r.registers[key]; register != nil {
+		return register, nil
 	}
-	if len(r.registers) >= mostKeys {
-		return nil, errFull
+	if len(r.registers) >= maxKeys {
+		return nil, errTooManyKeys
 	}
-	of := &Register{}
-	r.registers[key] = of
-	return of, nil
+	register := &Register{}
+	r.registers[key] = register
+	return register, nil
 }
 
 // change does something to a register, and keeps it before anybody hears of it. What can't be kept has not happened.
-func (r *Replica) change(key Key, do func(*Register) Reply) (Reply, error) {
+func (r *Replica) updateRegister(key Key, update func(*Register) Reply) (Reply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of, err := r.register(key)
+	register, err := r.register(key)
 	if err != nil {
 		return Reply{}, err
 	}
-	before := *of
-	p := do(of)
-	if of.Promised != before.Promised || of.Accepted != before.Accepted {
+	previous := *register
+	reply := update(register)
+	if register.Promised != previous.Promised || register.Accepted != previous.Accepted {
 		if err := r.save(key); err != nil {
-			*of = before
+			*register = previous
 			r.log.Error().Err(err).Str("key", string(key)).Msg("register not kept")
 			return Reply{}, err
 		}
 	}
-	return p, nil
+	return reply, nil
 }
 
 // take takes over a chosen value and wakes those who watch.
-func (r *Replica) take(v *Value) {
+func (r *Replica) learn(value *Value) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, err := r.register(v.Key); err != nil || !MergeNewer(r.chosen, v) {
+	if _, err := r.register(value.Key); err != nil || !MergeNewer(r.chosen, value) {
 		return
 	}
-	if err := r.save(v.Key); err != nil {
-		r.log.Error().Err(err).Str("key", string(v.Key)).Msg("chosen value not kept") // others have it; it comes again by sync
+	if err := r.save(value.Key); err != nil {
+		r.log.Error().Err(err).Str("key", string(value.Key)).Msg("chosen value not kept") // others have it; it comes again by sync
 	}
-	r.log.Info().Str("key", string(v.Key)).Uint64("version", uint64(v.Version)).Str("id", v.ID).Msg("change is chosen")
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.log.Info().Str("key", string(value.Key)).Uint64("version", uint64(value.Version)).Str("id", value.ID).Msg("change is chosen")
+	close(r.valueChosen)
+	r.valueChosen = make(chan struct{})
 }
 
 // errMajority says that too few replicas answered. The change may come in force all the same.
-var errMajority = errors.New("no majority of the replicas answers; the change may be in force or not: ask for it again under its id")
+var errNoMajority = errors.New("no majority of the replicas answers; the change may be in force or not: ask for it again under its id")
 
 // Propose brings a change in force, or says what stands in its way.
-func (r *Replica) Propose(ctx context.Context, c *Change) (Verdict, Version, error) {
-	for try := range attempts {
-		round, err := r.round(ctx, c)
+func (r *Replica) Propose(ctx context.Context, change *Change) (Verdict, Version, error) {
+	for attempt := range maxAttempts {
+		round, err := r.runRound(ctx, change)
 		if err != nil {
 			return "", 0, err
 		}
-		if round.at == done {
+		if round.phase == done {
 			if round.value != nil {
-				r.take(round.value)
-				r.pass("/chosen", round.value)
+				r.learn(round.value)
+				r.broadcast("/chosen", round.value)
 			}
 			return round.verdict, round.version, nil
 		}
-		if round.at != overtaken && try >= 1 {
-			return "", 0, errMajority
+		if round.phase != preempted && attempt >= 1 {
+			return "", 0, errNoMajority
 		}
 		select {
 		case <-ctx.Done():
 			return "", 0, ctx.Err()
-		case <-time.After(backoff<<try + rand.N(backoff<<try)):
+		case <-time.After(initialBackoff<<attempt + rand.N(initialBackoff<<attempt)):
 		}
 	}
-	return "", 0, errMajority
+	return "", 0, errNoMajority
 }
 
 // round plays one round with all replicas, until it is over or a phase has had its time.
-func (r *Replica) round(ctx context.Context, c *Change) (*Round, error) {
-	var b Ballot
+func (r *Replica) runRound(ctx context.Context, change *Change) (*Round, error) {
+	var ballot Ballot
 	// Danger: a round's number is used once. The replica promises it to itself, on disk, before anybody else hears of it.
-	own, err := r.change(c.Key, func(of *Register) Reply {
-		b = Ballot{Round: of.Promised.Round + 1, Replica: r.options.Index}
-		return of.Prepare(b)
+	ownReply, err := r.updateRegister(change.Key, func(register *Register) Reply {
+		ballot = Ballot{Round: register.Promised.Round + 1, Replica: r.options.Index}
+		return register.Prepare(ballot)
 	})
 	if err != nil {
 		return nil, err
 	}
-	round := NewRound(b, c, len(r.options.Replicas))
-	round.HandlePrepareReply(r.options.Index, own)
-	r.phase(ctx, round, preparing, "prepare", message{Key: c.Key, Ballot: b}, round.HandlePrepareReply)
+	round := NewRound(ballot, change, len(r.options.Replicas))
+	round.HandlePrepareReply(r.options.Index, ownReply)
+	r.runPhase(ctx, round, preparing, "prepare", message{Key: change.Key, Ballot: ballot}, round.HandlePrepareReply)
 	// Danger: a later ballot seen anywhere is this replica's next one, or it would be overtaken for ever.
 	defer func() {
-		if round.at == overtaken {
-			r.change(c.Key, func(of *Register) Reply { return of.Prepare(Ballot{Round: round.latest.Round, Replica: -1}) })
+		if round.phase == preempted {
+			r.updateRegister(change.Key, func(register *Register) Reply {
+				return register.Prepare(Ballot{Round: round.highestBallot.Round, Replica: -1})
+			})
 		}
 	}()
-	if round.at != accepting {
+	if round.phase != accepting {
 		return round, nil
 	}
-	if own, err = r.change(c.Key, func(of *Register) Reply { return of.Accept(b, round.value) }); err != nil {
+	if ownReply, err = r.updateRegister(change.Key, func(register *Register) Reply { return register.Accept(ballot, round.value) }); err != nil {
 		return nil, err
 	}
-	round.HandleAcceptReply(r.options.Index, own)
-	r.phase(ctx, round, accepting, "accept", message{Key: c.Key, Ballot: b, Value: round.value}, round.HandleAcceptReply)
+	round.HandleAcceptReply(r.options.Index, ownReply)
+	r.runPhase(ctx, round, accepting, "accept", message{Key: change.Key, Ballot: ballot, Value: round.value}, round.HandleAcceptReply)
 	return round, nil
 }
 
@@ -269,8 +271,8 @@
 }
 
 // phase asks the other replicas side by side, and takes their answers as they come.
-func (r *Replica) phase(ctx context.Context, round *Round, while phase, what string, m message, take func(int, Reply)) {
-	ctx, cancel := context.WithTimeout(ctx, phaseWait)
+func (r *Replica) runPhase(ctx context.Context, round *Round, current phase, endpoint string, request message, handleReply func(int, Reply)) {
+	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
 	defer cancel()
 	type answer struct {
 		from int
@@ -278,23 +280,23 @@
 		err error
 	}
 	answers := make(chan answer, len(r.options.Replicas))
-	asked := 0
+	pending := 0
 	for i, addr := range r.options.Replicas {
 		if i == r.options.Index {
 			continue
 		}
-		asked++
+		pending++
 		go func() {
-			a := answer{from: i}
-			a.err = r.ask(ctx, addr, "/"+what, m, &a.Reply)
-			answers <- a
+			received := answer{from: i}
+			received.err = r.post(ctx, addr, "/"+endpoint, request, &received.Reply)
+			answers <- received
 		}()
 	}
-	for ; asked > 0 && round.at == while; asked-- {
+	for ; pending > 0 && round.phase == current; pending-- {
 		select {
-		case a := <-answers:
-			if a.err == nil {
-				take(a.from, a.Reply)
+		case received := <-answers:
+			if received.err == nil {
+				handleReply(received.from, received.Reply)
 			}
 		case <-ctx.Done():
 			return
@@ -303,16 +305,16 @@
 }
 
 // ask posts to another replica.
-func (r *Replica) ask(ctx context.Context, addr, path string, in, out any) error {
-	raw, err := json.Marshal(in)
+func (r *Replica) post(ctx context.Context, addr, path string, in, out any) error {
+	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	response, err := r.client.Do(q)
+	response, err := r.client.Do(request)
 	if err != nil {
 		return err
 	}
@@ -323,50 +325,50 @@
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, mostKeys*mostPatch)).Decode(out)
+	return json.NewDecoder(io.LimitReader(response.Body, maxKeys*maxPatchBytes)).Decode(out)
 }
 
 // pass tells the other replicas something, and waits for none of them: what is chosen and missed they find by sync, a report comes again.
-func (r *Replica) pass(path string, what any) {
+func (r *Replica) broadcast(path string, body any) {
 	for i, addr := range r.options.Replicas {
 		if i != r.options.Index {
 			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), phaseWait)
+				ctx, cancel := context.WithTimeout(context.Background(), phaseTimeout)
 				defer cancel()
-				r.ask(ctx, addr, path, what, nil)
+				r.post(ctx, addr, path, body, nil)
 			}()
 		}
 	}
 }
 
 // held are the versions of what is chosen here.
-func (r *Replica) held() map[Key]Version {
+func (r *Replica) chosenVersions() map[Key]Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[Key]Version, len(r.chosen))
-	for key, v := range r.chosen {
-		out[key] = v.Version
+	versions := make(map[Key]Version, len(r.chosen))
+	for key, value := range r.chosen {
+		versions[key] = value.Version
 	}
-	return out
+	return versions
 }
 
 // digest tells whether two replicas hold the same.
-func digest(held map[Key]Version) uint64 {
-	d := xxhash.New()
-	for _, key := range slices.Sorted(maps.Keys(held)) {
-		fmt.Fprintf(d, "%s %d\n", key, held[key])
+func digest(versions map[Key]Version) uint64 {
+	hash := xxhash.New()
+	for _, key := range slices.Sorted(maps.Keys(versions)) {
+		fmt.Fprintf(hash, "%s %d\n", key, versions[key])
 	}
-	return d.Sum64()
+	return hash.Sum64()
 }
 
-type synced struct {
-	Digest uint64          `json:"digest,string"`
-	Held   map[Key]Version `json:"held,omitempty"`
+type syncRequest struct {
+	Digest   uint64          `json:"digest,string"`
+	Versions map[Key]Version `json:"held,omitempty"`
 }
 
 // Run looks at the other replicas in turn for what was missed, until ctx is done.
 func (r *Replica) Run(ctx context.Context) {
-	ticker := time.NewTicker(syncEvery)
+	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
 	for turn := r.options.Index; ; turn++ {
 		select {
@@ -378,103 +380,103 @@
 		if peer == r.options.Index {
 			continue
 		}
-		held := r.held()
-		var more []*Value
-		asked, cancel := context.WithTimeout(ctx, phaseWait)
-		err := r.ask(asked, r.options.Replicas[peer], "/sync", synced{Digest: digest(held)}, &more)
-		if err == nil && more == nil { // it holds something else
-			err = r.ask(asked, r.options.Replicas[peer], "/sync", synced{Held: held, Digest: digest(held)}, &more)
+		versions := r.chosenVersions()
+		var newer []*Value
+		requestCtx, cancel := context.WithTimeout(ctx, phaseTimeout)
+		err := r.post(requestCtx, r.options.Replicas[peer], "/sync", syncRequest{Digest: digest(versions)}, &newer)
+		if err == nil && newer == nil { // it holds something else
+			err = r.post(requestCtx, r.options.Replicas[peer], "/sync", syncRequest{Versions: versions, Digest: digest(versions)}, &newer)
 		}
 		cancel()
 		if err == nil {
-			for _, v := range more {
-				r.take(v)
+			for _, value := range newer {
+				r.learn(value)
 			}
 		}
-		r.forget()
+		r.expireReports()
 	}
 }
 
 // forget lets reports go of nodes that have not been heard for long.
-func (r *Replica) forget() {
+func (r *Replica) expireReports() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.reports, func(_ string, p *reported) bool { return time.Since(p.at) > keepReport })
+	maps.DeleteFunc(r.reports, func(_ string, report *receivedReport) bool { return time.Since(report.receivedAt) > reportRetention })
 }
 
 // ServeHTTP is the replica's side of all calls: of replicas, of nodes and of operators.
-func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	q.Body = http.MaxBytesReader(w, q.Body, mostBody)
-	switch q.Method + " " + q.URL.Path {
+func (r *Replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	request.Body = http.MaxBytesReader(w, request.Body, maxBodyBytes)
+	switch request.Method + " " + request.URL.Path {
 	case "GET /changes":
-		r.watch(w, q)
+		r.serveWatch(w, request)
 	case "GET /state":
-		write(w, r.State())
+		writeJSON(w, r.State())
 	case "POST /prepare", "POST /accept":
-		handle(w, q, func(m *message) (any, error) {
-			return r.change(m.Key, func(of *Register) Reply {
-				if q.URL.Path == "/prepare" {
-					return of.Prepare(m.Ballot)
+		handleJSON(w, request, func(prepareOrAccept *message) (any, error) {
+			return r.updateRegister(prepareOrAccept.Key, func(register *Register) Reply {
+				if request.URL.Path == "/prepare" {
+					return register.Prepare(prepareOrAccept.Ballot)
 				}
-				return of.Accept(m.Ballot, m.Value)
+				return register.Accept(prepareOrAccept.Ballot, prepareOrAccept.Value)
 			})
 		})
 	case "POST /chosen":
-		handle(w, q, func(v *Value) (any, error) { r.take(v); return struct{}{}, nil })
+		handleJSON(w, request, func(value *Value) (any, error) { r.learn(value); return struct{}{}, nil })
 	case "POST /sync":
-		handle(w, q, func(s *synced) (any, error) { return r.missing(s), nil })
+		handleJSON(w, request, func(known *syncRequest) (any, error) { return r.valuesNewerThan(known), nil })
 	case "POST /report", "POST /reported":
-		handle(w, q, func(p *Report) (any, error) {
-			err := r.heard(p)
-			if err == nil && q.URL.Path == "/report" {
-				r.pass("/reported", p) // Danger: with a replica, what its nodes run would be lost, and none would seem to lag
+		handleJSON(w, request, func(report *Report) (any, error) {
+			err := r.recordReport(report)
+			if err == nil && request.URL.Path == "/report" {
+				r.broadcast("/reported", report) // Danger: with a replica, what its nodes run would be lost, and none would seem to lag
 			}
 			return struct{}{}, err
 		})
 	case "POST /change":
-		r.asked(w, q)
+		r.serveChange(w, request)
 	default:
 		http.Error(w, "no such call", http.StatusNotFound)
 	}
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(v)
+	json.NewEncoder(w).Encode(value)
 }
 
 // handle reads a call's document and writes its answer.
-func handle[T any](w http.ResponseWriter, q *http.Request, do func(*T) (any, error)) {
-	in := new(T)
-	if err := json.NewDecoder(q.Body).Decode(in); err != nil {
+func handleJSON[T any](w http.ResponseWriter, request *http.Request, handler func(*T) (any, error)) {
+	document := new(T)
+	if err := json.NewDecoder(request.Body).Decode(document); err != nil {
 		http.Error(w, "not understood: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	out, err := do(in)
+	result, err := handler(document)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	write(w, out)
+	writeJSON(w, result)
 }
 
 // missing gives what the other does not hold; null where it has to say what it holds.
-func (r *Replica) missing(s *synced) []*Value {
-	out := []*Value{}
-	if s.Digest == digest(r.held()) {
-		return out
+func (r *Replica) valuesNewerThan(known *syncRequest) []*Value {
+	values := []*Value{}
+	if known.Digest == digest(r.chosenVersions()) {
+		return values
 	}
-	if s.Held == nil && s.Digest != digest(nil) {
+	if known.Versions == nil && known.Digest != digest(nil) {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(r.chosen)) {
-		if v := r.chosen[key]; v.Version > s.Held[key] {
-			out = append(out, v)
+		if value := r.chosen[key]; value.Version > known.Versions[key] {
+			values = append(values, value)
 		}
 	}
-	return out
+	return values
 }
 
 // Answer is what an operator is told of a change.
@@ -486,49 +488,49 @@
 
 // asked is a change that an operator asks for: 200 where it is in force, 409 where another version stands, 400 where it is faulty, 503 without
 // a majority.
-func (r *Replica) asked(w http.ResponseWriter, q *http.Request) {
-	var c Change
-	decoder := json.NewDecoder(q.Body)
+func (r *Replica) serveChange(w http.ResponseWriter, request *http.Request) {
+	var change Change
+	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
-	refuse := func(status int, a ChangeResponse) {
+	refuse := func(status int, response ChangeResponse) {
 		w.WriteHeader(status)
-		write(w, a)
+		writeJSON(w, response)
 	}
-	if err := decoder.Decode(&c); err != nil {
+	if err := decoder.Decode(&change); err != nil {
 		refuse(http.StatusBadRequest, ChangeResponse{Reason: "not understood: " + err.Error()})
 		return
 	}
-	if err := c.check(); err != nil {
+	if err := change.validate(); err != nil {
 		refuse(http.StatusBadRequest, ChangeResponse{Reason: err.Error()})
 		return
 	}
-	if r.options.Validate != nil && !c.Rollback {
-		if err := r.options.Validate(&c); err != nil {
+	if r.options.Validate != nil && !change.Rollback {
+		if err := r.options.Validate(&change); err != nil {
 			refuse(http.StatusBadRequest, ChangeResponse{Reason: err.Error()})
 			return
 		}
 	}
-	verdict, version, err := r.Propose(q.Context(), &c)
+	verdict, version, err := r.Propose(request.Context(), &change)
 	switch {
 	case err != nil:
 		refuse(http.StatusServiceUnavailable, ChangeResponse{Reason: err.Error()})
 	case verdict == Conflict || verdict == NothingToRollBack:
 		refuse(http.StatusConflict, ChangeResponse{Verdict: verdict, Version: version})
 	default:
-		write(w, ChangeResponse{Verdict: verdict, Version: version})
+		writeJSON(w, ChangeResponse{Verdict: verdict, Version: version})
 	}
 }
 
 // check refuses what no node could be meant by.
-func (c *Change) check() error {
+func (c *Change) validate() error {
 	kind, name, _ := strings.Cut(string(c.Key), "/")
 	switch {
 	case c.Key != "all" && (kind != "service" && kind != "node" || name == "" || strings.ContainsAny(name, "/:, ")):
 		return fmt.Errorf("key %q is none of all, service/NAME, node/NAME", c.Key)
 	case c.ID == "" || len(c.ID) > 64:
 		return errors.New("the change has no id, or one of over 64 bytes")
-	case len(c.Patch) > mostPatch:
-		return fmt.Errorf("the patch has %d bytes, over %d", len(c.Patch), mostPatch)
+	case len(c.Patch) > maxPatchBytes:
+		return fmt.Errorf("the patch has %d bytes, over %d", len(c.Patch), maxPatchBytes)
 	case c.Rollback == (len(c.Patch) > 0):
 		return errors.New("a change has a patch, or goes back")
 	}
@@ -536,36 +538,36 @@
 }
 
 // heard takes a node's report.
-func (r *Replica) heard(p *Report) error {
+func (r *Replica) recordReport(report *Report) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.Node == "" || len(p.Applied)+len(p.Refused)+len(p.Keys) > 16 {
+	if report.Node == "" || len(report.Applied)+len(report.Refused)+len(report.Keys) > 16 {
 		return errors.New("no report")
 	}
-	if len(r.reports) >= mostReports && r.reports[p.Node] == nil {
-		return errFull
+	if len(r.reports) >= maxReports && r.reports[report.Node] == nil {
+		return errTooManyKeys
 	}
-	if was := r.reports[p.Node]; was != nil && was.Incarnation == p.Incarnation && was.Sequence > p.Sequence {
+	if previous := r.reports[report.Node]; previous != nil && previous.Incarnation == report.Incarnation && previous.Sequence > report.Sequence {
 		return nil // it comes by another replica, and late
 	}
-	r.reports[p.Node] = &reported{*p, time.Now()}
+	r.reports[report.Node] = &receivedReport{*report, time.Now()}
 	return nil
 }
 
 // watch tells a node what is newer than what it holds, and then each change as it is chosen.
-func (r *Replica) watch(w http.ResponseWriter, q *http.Request) {
-	held := map[Key]Version{}
-	for pair := range strings.SplitSeq(q.URL.Query().Get("held"), ",") {
+func (r *Replica) serveWatch(w http.ResponseWriter, request *http.Request) {
+	versions := map[Key]Version{}
+	for pair := range strings.SplitSeq(request.URL.Query().Get("held"), ",") {
 		key, version, _ := strings.Cut(pair, ":")
-		n, err := strconv.ParseUint(version, 10, 64)
-		if err != nil || len(held) > 8 {
+		number, err := strconv.ParseUint(version, 10, 64)
+		if err != nil || len(versions) > 8 {
 			http.Error(w, "held is no list of keys with their versions", http.StatusBadRequest)
 			return
 		}
-		held[Key(key)] = Version(n)
+		versions[Key(key)] = Version(number)
 	}
 	r.mu.Lock()
-	full := r.watchers >= mostWatchers
+	tooMany := r.watchers >= maxWatchers
 	r.watchers++
 	r.mu.Unlock()
 	defer func() {
@@ -573,52 +575,52 @@
 		r.watchers--
 		r.mu.Unlock()
 	}()
-	if full {
+	if tooMany {
 		http.Error(w, "too many watch", http.StatusServiceUnavailable)
 		return
 	}
-	control := http.NewResponseController(w)
-	empty := time.NewTicker(emptyEvery)
-	defer empty.Stop()
+	controller := http.NewResponseController(w)
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
 	for first := true; ; first = false {
 		r.mu.Lock()
-		changed := r.changed
-		var news []*Value
-		for key, version := range held {
-			if v := r.chosen[key]; v != nil && v.Version > version {
-				news = append(news, v)
-				held[key] = v.Version
+		valueChosen := r.valueChosen
+		var newer []*Value
+		for key, version := range versions {
+			if value := r.chosen[key]; value != nil && value.Version > version {
+				newer = append(newer, value)
+				versions[key] = value.Version
 			}
 		}
 		r.mu.Unlock()
-		slices.SortFunc(news, func(a, b *Value) int { return strings.Compare(string(a.Key), string(b.Key)) })
-		var out []byte
-		for _, v := range news {
-			slim := *v
-			slim.PreviousPatch, slim.History = nil, nil
-			line, err := json.Marshal(&slim)
+		slices.SortFunc(newer, func(a, b *Value) int { return strings.Compare(string(a.Key), string(b.Key)) })
+		var output []byte
+		for _, value := range newer {
+			trimmed := *value
+			trimmed.PreviousPatch, trimmed.History = nil, nil
+			line, err := json.Marshal(&trimmed)
 			if err != nil {
 				return
 			}
-			out = append(append(out, line...), '\n')
+			output = append(append(output, line...), '\n')
 		}
-		if first && len(out) == 0 {
-			out = []byte("\n") // it is up to date
+		if first && len(output) == 0 {
+			output = []byte("\n") // it is up to date
 		}
 		for {
-			if len(out) > 0 {
-				control.SetWriteDeadline(time.Now().Add(writeWait)) // Danger: a node that takes nothing would be held for ever
-				if _, err := w.Write(out); err != nil || control.Flush() != nil {
+			if len(output) > 0 {
+				controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // Danger: a node that takes nothing would be held for ever
+				if _, err := w.Write(output); err != nil || controller.Flush() != nil {
 					return
 				}
-				out = nil
+				output = nil
 			}
 			select {
-			case <-q.Context().Done():
+			case <-request.Context().Done():
 				return
-			case <-changed:
-			case <-empty.C:
-				out = []byte("\n")
+			case <-valueChosen:
+			case <-keepAlive.C:
+				output = []byte("\n")
 				continue
 			}
 			break
@@ -644,13 +646,13 @@
 func (r *Replica) State() *ReplicaState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &ReplicaState{Index: r.options.Index, Watchers: r.watchers, Values: []*Value{}, Nodes: []NodeReport{}}
+	state := &ReplicaState{Index: r.options.Index, Watchers: r.watchers, Values: []*Value{}, Nodes: []NodeReport{}}
 	for _, key := range slices.Sorted(maps.Keys(r.chosen)) {
-		s.Values = append(s.Values, r.chosen[key])
+		state.Values = append(state.Values, r.chosen[key])
 	}
 	for _, node := range slices.Sorted(maps.Keys(r.reports)) {
-		p := r.reports[node]
-		s.Nodes = append(s.Nodes, NodeReport{p.Report, float64(time.Since(p.at).Microseconds()) / 1000})
+		report := r.reports[node]
+		state.Nodes = append(state.Nodes, NodeReport{report.Report, float64(time.Since(report.receivedAt).Microseconds()) / 1000})
 	}
-	return s
+	return state
 }
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -19,7 +19,7 @@
 )
 
 // rig is three replicas in this process, with ways between them that can be cut, and nodes on either side.
-type rig struct {
+type cluster struct {
 	t        *testing.T
 	addrs    []string
 	dirs     []string
@@ -27,65 +27,65 @@
 	servers  []*httptest.Server
 	stops    []context.CancelFunc
 
-	mu  sync.Mutex
-	cut func(a, b int) bool // replicas by number; nodes from 10 on
+	mu    sync.Mutex
+	isCut func(a, b int) bool // replicas by number; nodes from 10 on
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, cut: func(int, int) bool { return false }, replicas: make([]*Replica, 3), servers: make([]*httptest.Server, 3), stops: make([]context.CancelFunc, 3)}
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, isCut: func(int, int) bool { return false }, replicas: make([]*Replica, 3), servers: make([]*httptest.Server, 3), stops: make([]context.CancelFunc, 3)}
 	var listeners []net.Listener
 	for range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		listeners = append(listeners, l)
-		r.addrs, r.dirs = append(r.addrs, l.Addr().String()), append(r.dirs, t.TempDir())
+		listeners = append(listeners, listener)
+		c.addrs, c.dirs = append(c.addrs, listener.Addr().String()), append(c.dirs, t.TempDir())
 	}
-	for i, l := range listeners {
-		r.start(i, l)
+	for i, listener := range listeners {
+		c.start(i, listener)
 	}
 	t.Cleanup(func() {
 		for i := range 3 {
-			r.stop(i)
+			c.stop(i)
 		}
 	})
-	return r
+	return c
 }
 
 // dial refuses what is cut.
-func (r *rig) dial(from int) func(context.Context, string, string) (net.Conn, error) {
+func (c *cluster) dial(from int) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		for to, at := range r.addrs {
-			r.mu.Lock()
-			is := r.cut(from, to)
-			r.mu.Unlock()
-			if at == addr && is {
+		for to, replicaAddr := range c.addrs {
+			c.mu.Lock()
+			blocked := c.isCut(from, to)
+			c.mu.Unlock()
+			if replicaAddr == addr && blocked {
 				return nil, errors.New("cut")
 			}
 		}
-		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &cutConn{c, r, from, addr}, nil
+		return &partitionConn{conn, c, from, addr}, nil
 	}
 }
 
 // cutConn brings and takes nothing while its way is cut.
-type cutConn struct {
+type partitionConn struct {
 	net.Conn
-	rig  *rig
-	from int
-	addr string
+	cluster *cluster
+	from    int
+	addr    string
 }
 
-func (c *cutConn) Write(b []byte) (int, error) {
-	for to, at := range c.rig.addrs {
-		c.rig.mu.Lock()
-		is := c.rig.cut(c.from, to)
-		c.rig.mu.Unlock()
-		if at == c.addr && is {
+func (c *partitionConn) Write(b []byte) (int, error) {
+	for to, replicaAddr := range c.cluster.addrs {
+		c.cluster.mu.Lock()
+		blocked := c.cluster.isCut(c.from, to)
+		c.cluster.mu.Unlock()
+		if replicaAddr == c.addr && blocked {
 			c.Conn.Close()
 			return 0, errors.New("cut")
 		}
@@ -93,59 +93,59 @@
 	return c.Conn.Write(b)
 }
 
-func (r *rig) start(i int, l net.Listener) {
+func (c *cluster) start(i int, listener net.Listener) {
 	var err error
-	r.replicas[i], err = NewReplica(ReplicaOptions{Index: i, Replicas: r.addrs, Dir: r.dirs[i], Dial: r.dial(i)}, zerolog.Nop())
+	c.replicas[i], err = NewReplica(ReplicaOptions{Index: i, Replicas: c.addrs, Dir: c.dirs[i], Dial: c.dial(i)}, zerolog.Nop())
 	if err != nil {
-		r.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	r.servers[i] = &httptest.Server{Listener: l, Config: &http.Server{Handler: r.replicas[i]}}
-	r.servers[i].Start()
+	c.servers[i] = &httptest.Server{Listener: listener, Config: &http.Server{Handler: c.replicas[i]}}
+	c.servers[i].Start()
 	var ctx context.Context
-	ctx, r.stops[i] = context.WithCancel(context.Background())
-	go r.replicas[i].Run(ctx)
+	ctx, c.stops[i] = context.WithCancel(context.Background())
+	go c.replicas[i].Run(ctx)
 }
 
-func (r *rig) stop(i int) {
-	r.stops[i]()
-	r.servers[i].CloseClientConnections()
-	r.servers[i].Close()
+func (c *cluster) stop(i int) {
+	c.stops[i]()
+	c.servers[i].CloseClientConnections()
+	c.servers[i].Close()
 }
 
-func (r *rig) again(i int) {
-	l, err := net.Listen("tcp", r.addrs[i])
+func (c *cluster) restart(i int) {
+	listener, err := net.Listen("tcp", c.addrs[i])
 	if err != nil {
-		r.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	r.start(i, l)
+	c.start(i, listener)
 }
 
-func (r *rig) apart(cut func(a, b int) bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut = cut
+func (c *cluster) partition(isCut func(a, b int) bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isCut = isCut
 }
 
-func (r *rig) propose(at int, c Change) (Verdict, Version, error) {
-	r.t.Helper()
-	if c.Key == "" {
-		c.Key = "all"
+func (cluster *cluster) propose(at int, change Change) (Verdict, Version, error) {
+	cluster.t.Helper()
+	if change.Key == "" {
+		change.Key = "all"
 	}
-	return r.replicas[at].Propose(r.t.Context(), &c)
+	return cluster.replicas[at].Propose(cluster.t.Context(), &change)
 }
 
 // await waits until all three hold one version of a key, with one content.
-func (r *rig) await(key Key, version Version, id string) {
-	r.t.Helper()
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+func (c *cluster) await(key Key, version Version, id string) {
+	c.t.Helper()
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		same := 0
-		var has []string
-		for _, one := range r.replicas {
-			one.mu.Lock()
-			v := one.chosen[key]
-			one.mu.Unlock()
+		var found []string
+		for _, replica := range c.replicas {
+			replica.mu.Lock()
+			v := replica.chosen[key]
+			replica.mu.Unlock()
 			if v != nil {
-				has = append(has, fmt.Sprintf("%d %s", v.Version, v.ID))
+				found = append(found, fmt.Sprintf("%d %s", v.Version, v.ID))
 				if v.Version == version && v.ID == id {
 					same++
 				}
@@ -154,72 +154,72 @@
 		if same == 3 {
 			return
 		}
-		if time.Since(begun) > 10*time.Second {
-			r.t.Fatalf("not everywhere version %d %s: %v", version, id, has)
+		if time.Since(start) > 10*time.Second {
+			c.t.Fatalf("not everywhere version %d %s: %v", version, id, found)
 		}
 	}
 }
 
-func patch(text string) json.RawMessage {
-	return json.RawMessage(fmt.Sprintf(`{"log_level":%q}`, text))
+func logLevelPatch(level string) json.RawMessage {
+	return json.RawMessage(fmt.Sprintf(`{"log_level":%q}`, level))
 }
 
 // One replica is cut off, and changes are asked for on both sides: the side with two takes its own, the other says that it has no
 // majority. When the way is back all three have the same, and the change that was in doubt gets one version under its id.
-func TestCut(t *testing.T) {
-	r := newRig(t)
-	if verdict, version, err := r.propose(0, Change{ID: "before", Patch: patch("info")}); verdict != Chosen || version != 1 || err != nil {
+func TestPartition(t *testing.T) {
+	cluster := newCluster(t)
+	if verdict, version, err := cluster.propose(0, Change{ID: "before", Patch: logLevelPatch("info")}); verdict != Chosen || version != 1 || err != nil {
 		t.Fatal(verdict, version, err)
 	}
-	r.await("all", 1, "before")
-	r.apart(func(a, b int) bool { return (a == 2) != (b == 2) })
-	if _, _, err := r.propose(2, Change{ID: "lonely", Patch: patch("warn")}); !errors.Is(err, errMajority) {
+	cluster.await("all", 1, "before")
+	cluster.partition(func(a, b int) bool { return (a == 2) != (b == 2) })
+	if _, _, err := cluster.propose(2, Change{ID: "lonely", Patch: logLevelPatch("warn")}); !errors.Is(err, errNoMajority) {
 		t.Errorf("on the side with one: %v", err)
 	}
-	verdict, version, err := r.propose(1, Change{ID: "majority", Patch: patch("error")})
+	verdict, version, err := cluster.propose(1, Change{ID: "majority", Patch: logLevelPatch("error")})
 	if verdict != Chosen || version != 2 || err != nil {
 		t.Errorf("on the side with two: %v %d %v", verdict, version, err)
 	}
-	r.apart(func(int, int) bool { return false })
-	r.await("all", 2, "majority")
-	verdict, version, err = r.propose(2, Change{ID: "lonely", Patch: patch("warn")})
+	cluster.partition(func(int, int) bool { return false })
+	cluster.await("all", 2, "majority")
+	verdict, version, err = cluster.propose(2, Change{ID: "lonely", Patch: logLevelPatch("warn")})
 	if verdict != Chosen || version != 3 || err != nil {
 		t.Errorf("asked for again: %v %d %v", verdict, version, err)
 	}
-	r.await("all", 3, "lonely")
+	cluster.await("all", 3, "lonely")
 	// Nobody hears anybody: nothing is taken, everything stands.
-	r.apart(func(a, b int) bool { return a != b })
+	cluster.partition(func(a, b int) bool { return a != b })
 	for at := range 3 {
-		if _, _, err := r.propose(at, Change{ID: "alone", Patch: patch("debug")}); !errors.Is(err, errMajority) {
+		if _, _, err := cluster.propose(at, Change{ID: "alone", Patch: logLevelPatch("debug")}); !errors.Is(err, errNoMajority) {
 			t.Errorf("replica %d, alone: %v", at, err)
 		}
 	}
-	r.apart(func(int, int) bool { return false })
-	r.await("all", 3, "lonely")
+	cluster.partition(func(int, int) bool { return false })
+	cluster.await("all", 3, "lonely")
 }
 
 // Many at once from the same version: one of them is taken, the others are told the version that stands. Without a version all are
 // taken, one after another.
-func TestAtOnce(t *testing.T) {
-	r := newRig(t)
-	const many = 9
+func TestConcurrentChanges(t *testing.T) {
+	cluster := newCluster(t)
+	const changes = 9
 	race := func(from *Version, name string) (chosen int, last Version) {
-		var all sync.WaitGroup
+		var proposers sync.WaitGroup
 		var mu sync.Mutex
 		seen := map[Version]string{}
-		for i := range many {
-			all.Go(func() {
+		for i := range changes {
+			proposers.Go(func() {
 				id := fmt.Sprint(name, i)
 				for { // contention may ask for patience
-					verdict, version, err := r.propose(i%3, Change{ID: id, ExpectedVersion: from, Patch: patch("info")})
+					verdict, version, err := cluster.propose(i%3, Change{ID: id, ExpectedVersion: from, Patch: logLevelPatch("info")})
 					if err != nil {
 						continue
 					}
 					mu.Lock()
 					defer mu.Unlock()
 					if verdict == Chosen || verdict == AlreadyChosen {
-						if was, taken := seen[version]; taken {
-							t.Errorf("version %d is %s and %s", version, was, id)
+						if other, taken := seen[version]; taken {
+							t.Errorf("version %d is %s and %s", version, other, id)
 						}
 						seen[version] = id
 						chosen++
@@ -229,54 +229,54 @@
 				}
 			})
 		}
-		all.Wait()
+		proposers.Wait()
 		return chosen, last
 	}
 	none := Version(0)
 	if chosen, last := race(&none, "first"); chosen != 1 || last != 1 {
-		t.Errorf("%d of %d from one version were taken, the last is %d", chosen, many, last)
+		t.Errorf("%d of %d from one version were taken, the last is %d", chosen, changes, last)
 	}
-	if chosen, last := race(nil, "more"); chosen != many || last != 1+many {
-		t.Errorf("%d of %d were taken, the last is %d", chosen, many, last)
+	if chosen, last := race(nil, "more"); chosen != changes || last != 1+changes {
+		t.Errorf("%d of %d were taken, the last is %d", chosen, changes, last)
 	}
 }
 
 // A replica that starts anew has what it promised, accepted and chose; one whose disk can't be read does not start.
-func TestStartsAnew(t *testing.T) {
-	r := newRig(t)
+func TestRestart(t *testing.T) {
+	cluster := newCluster(t)
 	for i, id := range []string{"one", "two"} {
-		if _, version, err := r.propose(0, Change{ID: id, Patch: patch("info")}); version != Version(i+1) || err != nil {
+		if _, version, err := cluster.propose(0, Change{ID: id, Patch: logLevelPatch("info")}); version != Version(i+1) || err != nil {
 			t.Fatal(version, err)
 		}
 	}
-	r.await("all", 2, "two")
+	cluster.await("all", 2, "two")
 	// A promise alone, to a ballot of which nothing more is heard, has to outlive the process too.
-	if _, err := r.replicas[1].change("all", func(of *Register) Reply { return of.Prepare(Ballot{Round: 99, Replica: 2}) }); err != nil {
+	if _, err := cluster.replicas[1].updateRegister("all", func(register *Register) Reply { return register.Prepare(Ballot{Round: 99, Replica: 2}) }); err != nil {
 		t.Fatal(err)
 	}
-	before := *r.replicas[1].registers["all"]
-	r.stop(1)
-	r.again(1)
-	if after := *r.replicas[1].registers["all"]; after.Promised != before.Promised || after.Accepted != before.Accepted || !Equal(after.Value, before.Value) {
+	before := *cluster.replicas[1].registers["all"]
+	cluster.stop(1)
+	cluster.restart(1)
+	if after := *cluster.replicas[1].registers["all"]; after.Promised != before.Promised || after.Accepted != before.Accepted || !Equal(after.Value, before.Value) {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
 	for i := range 3 { // all lose their power
-		r.stop(i)
+		cluster.stop(i)
 	}
 	for i := range 3 {
-		r.again(i)
+		cluster.restart(i)
 	}
-	if verdict, version, err := r.propose(2, Change{ID: "one"}); verdict != AlreadyChosen || version != 1 || err != nil {
+	if verdict, version, err := cluster.propose(2, Change{ID: "one"}); verdict != AlreadyChosen || version != 1 || err != nil {
 		t.Errorf("a change from before: %v %d %v", verdict, version, err)
 	}
-	paths, _ := filepath.Glob(filepath.Join(r.dirs[0], "*.json"))
+	paths, _ := filepath.Glob(filepath.Join(cluster.dirs[0], "*.json"))
 	if len(paths) != 1 {
 		t.Fatalf("%v", paths)
 	}
 	if err := os.WriteFile(paths[0], []byte(`{"key": "al`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewReplica(ReplicaOptions{Replicas: r.addrs, Dir: r.dirs[0]}, zerolog.Nop()); err == nil || !strings.Contains(err.Error(), paths[0]) {
+	if _, err := NewReplica(ReplicaOptions{Replicas: cluster.addrs, Dir: cluster.dirs[0]}, zerolog.Nop()); err == nil || !strings.Contains(err.Error(), paths[0]) {
 		t.Errorf("a register that can't be read: %v", err)
 	}
 }
@@ -284,18 +284,18 @@
 // A node that goes from one replica to another that is behind keeps what it runs; the one it comes to says what is newer once it has it.
 // Its reports go to the replica that it watches.
 func TestFollower(t *testing.T) {
-	r := newRig(t)
-	told := make(chan []*Value, 64)
-	f := NewFollower(FollowerOptions{Replicas: r.addrs, Keys: NodeKeys("alpha", "n1"), Node: "n1", Incarnation: "1", Seed: 7}, zerolog.Nop())
+	cluster := newCluster(t)
+	notified := make(chan []*Value, 64)
+	follower := NewFollower(FollowerOptions{Replicas: cluster.addrs, Keys: NodeKeys("alpha", "n1"), Node: "n1", Incarnation: "1", Seed: 7}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx, func(all []*Value) { told <- all }); close(ended) }()
+	go func() { follower.Run(ctx, func(all []*Value) { notified <- all }); close(ended) }()
 	defer func() { cancel(); <-ended }()
 	expect := func(what string, want ...string) {
 		t.Helper()
 		for deadline := time.After(10 * time.Second); ; {
 			select {
-			case all := <-told:
+			case all := <-notified:
 				var got []string
 				for _, v := range all {
 					got = append(got, fmt.Sprintf("%s %d", v.Key, v.Version))
@@ -308,82 +308,82 @@
 			}
 		}
 	}
-	ask := func(key Key, id string) {
+	propose := func(key Key, id string) {
 		t.Helper()
-		if _, _, err := r.propose(0, Change{Key: key, ID: id, Patch: patch("info")}); err != nil {
+		if _, _, err := cluster.propose(0, Change{Key: key, ID: id, Patch: logLevelPatch("info")}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ask("service/alpha", "a")
+	propose("service/alpha", "a")
 	expect("its service's", "service/alpha 1")
-	ask("service/beta", "b")
-	ask("node/n1", "c")
+	propose("service/beta", "b")
+	propose("node/n1", "c")
 	expect("its own", "service/alpha 1", "node/n1 1")
-	ask("all", "d")
+	propose("all", "d")
 	expect("all nodes'", "all 1", "service/alpha 1", "node/n1 1")
-	f.ReportApplied(map[Key]Version{"all": 1}, map[Key]Refusal{"node/n1": {1, "key tick"}})
-	reported := func() (n NodeReport, at int, known bool) {
-		for i, one := range r.replicas {
-			for _, of := range one.State().Nodes {
-				if of.Node == "n1" && of.Applied["all"] == 1 && of.Refused["node/n1"].Reason == "key tick" && one.State().Watchers > 0 {
-					return of, i, true
+	follower.ReportApplied(map[Key]Version{"all": 1}, map[Key]Refusal{"node/n1": {1, "key tick"}})
+	reported := func() (n NodeReport, watched int, known bool) {
+		for i, replica := range cluster.replicas {
+			for _, node := range replica.State().Nodes {
+				if node.Node == "n1" && node.Applied["all"] == 1 && node.Refused["node/n1"].Reason == "key tick" && replica.State().Watchers > 0 {
+					return node, i, true
 				}
 			}
 		}
 		return n, 0, false
 	}
-	var at int
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	var watched int
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		var known bool
-		if _, at, known = reported(); known {
+		if _, watched, known = reported(); known {
 			break
 		}
-		if time.Since(begun) > 10*time.Second {
+		if time.Since(start) > 10*time.Second {
 			t.Fatal("no report")
 		}
 	}
 	// The others know it too: should this replica be lost, the node must not seem to have gone with it.
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		know := 0
-		for _, one := range r.replicas {
-			if nodes := one.State().Nodes; len(nodes) == 1 && nodes[0].Applied["all"] == 1 {
-				know++
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+		informed := 0
+		for _, replica := range cluster.replicas {
+			if nodes := replica.State().Nodes; len(nodes) == 1 && nodes[0].Applied["all"] == 1 {
+				informed++
 			}
 		}
-		if know == 3 {
+		if informed == 3 {
 			break
 		}
-		if time.Since(begun) > 10*time.Second {
-			t.Fatalf("%d replicas know what it runs", know)
+		if time.Since(start) > 10*time.Second {
+			t.Fatalf("%d replicas know what it runs", informed)
 		}
 	}
 	// The replica that it watches ends; the two others are made to know nothing, as if they were behind.
-	r.stop(at)
-	for i, one := range r.replicas {
-		if i != at {
-			one.mu.Lock()
-			clear(one.chosen)
-			one.mu.Unlock()
+	cluster.stop(watched)
+	for i, replica := range cluster.replicas {
+		if i != watched {
+			replica.mu.Lock()
+			clear(replica.chosen)
+			replica.mu.Unlock()
 		}
 	}
-	for begun := time.Now(); f.View().Replica == "" || f.View().Replica == r.addrs[at]; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > 10*time.Second {
+	for start := time.Now(); follower.View().Replica == "" || follower.View().Replica == cluster.addrs[watched]; time.Sleep(10 * time.Millisecond) {
+		if time.Since(start) > 10*time.Second {
 			t.Fatal("it watches no other replica")
 		}
 	}
-	if look := f.View(); look.Received["all"] != 1 || look.Received["node/n1"] != 1 || len(told) > 0 {
-		t.Errorf("it went back: %v", look.Received)
+	if view := follower.View(); view.Received["all"] != 1 || view.Received["node/n1"] != 1 || len(notified) > 0 {
+		t.Errorf("it went back: %v", view.Received)
 	}
-	other := (at + 1) % 3
-	if _, version, err := r.replicas[other].Propose(t.Context(), &Change{Key: "all", ID: "e", Patch: patch("warn")}); version != 2 || err != nil {
+	other := (watched + 1) % 3
+	if _, version, err := cluster.replicas[other].Propose(t.Context(), &Change{Key: "all", ID: "e", Patch: logLevelPatch("warn")}); version != 2 || err != nil {
 		t.Fatal(version, err)
 	}
 	expect("what is newer", "all 2", "service/alpha 1", "node/n1 1")
 }
 
 // What no node could be meant by is refused, before anything is proposed.
-func TestBadChanges(t *testing.T) {
-	r := newRig(t)
+func TestInvalidChanges(t *testing.T) {
+	cluster := newCluster(t)
 	for body, want := range map[string]int{
 		`{"key":"all","id":"x","patch":{"log_level":"warn"}}`:             200,
 		`{"key":"everyone","id":"x","patch":{"log_level":"warn"}}`:        400,
@@ -396,9 +396,9 @@
 		`{"key":"all","id":"z","from":7,"patch":{"log_level":"warn"}}`:    409,
 		`{"key":"node/new","id":"z","back":true}`:                         409,
 		`{"key":"all","id":"` + strings.Repeat("z", 65) + `","patch":{}}`: 400,
-		strings.Repeat("x", mostBody+1):                                   400,
+		strings.Repeat("x", maxBodyBytes+1):                               400,
 	} {
-		response, err := http.Post("http://"+r.addrs[0]+"/change", "application/json", strings.NewReader(body))
+		response, err := http.Post("http://"+cluster.addrs[0]+"/change", "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -407,7 +407,7 @@
 			t.Errorf("%.60s: %d, not %d", body, response.StatusCode, want)
 		}
 	}
-	response, err := http.Get("http://" + r.addrs[0] + "/changes?held=all")
+	response, err := http.Get("http://" + cluster.addrs[0] + "/changes?held=all")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/round_test.go
+++ b/internal/store/round_test.go
@@ -15,198 +15,200 @@
 
 // world is some replicas, with messages that come in any order, twice, or never, ways that are cut, and replicas that start anew with what
 // their disks hold.
-type world struct {
-	rng       *rand.Rand
-	disks     []Register
-	way       []packet
-	cut       func(a, b int) bool
-	down      []bool
-	lives     []int
-	chosen    map[Version]*Value // of the one key
-	told      map[string]Version // to whoever asked
-	committed []map[Key]*Value
-	fault     string
+type simulation struct {
+	rng          *rand.Rand
+	registers    []Register
+	inTransit    []packet
+	isCut        func(a, b int) bool
+	down         []bool
+	incarnations []int
+	chosen       map[Version]*Value // of the one key
+	confirmed    map[string]Version // to whoever asked
+	learned      []map[Key]*Value
+	violation    string
 }
 
-func newWorld(seed uint64, replicas int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), disks: make([]Register, replicas), down: make([]bool, replicas), lives: make([]int, replicas),
-		chosen: map[Version]*Value{}, told: map[string]Version{}, cut: func(int, int) bool { return false }}
+func newSimulation(seed uint64, replicas int) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), registers: make([]Register, replicas), down: make([]bool, replicas), incarnations: make([]int, replicas),
+		chosen: map[Version]*Value{}, confirmed: map[string]Version{}, isCut: func(int, int) bool { return false }}
 	for range replicas {
-		w.committed = append(w.committed, map[Key]*Value{})
+		s.learned = append(s.learned, map[Key]*Value{})
 	}
-	return w
+	return s
 }
 
-func (w *world) send(from, to int, deliver func()) { w.way = append(w.way, packet{from, to, deliver}) }
+func (s *simulation) send(from, to int, deliver func()) {
+	s.inTransit = append(s.inTransit, packet{from, to, deliver})
+}
 
 // step delivers one packet, drawn at random; some are lost, some come again later.
-func (w *world) step() bool {
-	if len(w.way) == 0 {
+func (s *simulation) step() bool {
+	if len(s.inTransit) == 0 {
 		return false
 	}
-	i := w.rng.IntN(len(w.way))
-	m := w.way[i]
-	w.way[i] = w.way[len(w.way)-1]
-	w.way = w.way[:len(w.way)-1]
-	if w.rng.IntN(12) == 0 {
-		w.way = append(w.way, m)
+	i := s.rng.IntN(len(s.inTransit))
+	next := s.inTransit[i]
+	s.inTransit[i] = s.inTransit[len(s.inTransit)-1]
+	s.inTransit = s.inTransit[:len(s.inTransit)-1]
+	if s.rng.IntN(12) == 0 {
+		s.inTransit = append(s.inTransit, next)
 	}
-	if w.rng.IntN(10) > 0 && !w.down[m.to] && (m.from == m.to || !w.cut(m.from, m.to)) {
-		m.deliver()
+	if s.rng.IntN(10) > 0 && !s.down[next.to] && (next.from == next.to || !s.isCut(next.from, next.to)) {
+		next.deliver()
 	}
 	return true
 }
 
 // propose begins a round at a replica, with messages only; what a replica promises is on its disk at once.
-func (w *world) propose(at int, c *Change) {
-	if w.down[at] {
+func (s *simulation) propose(replica int, change *Change) {
+	if s.down[replica] {
 		return
 	}
-	life := w.lives[at]
-	b := Ballot{Round: w.disks[at].Promised.Round + 1, Replica: at}
-	r := NewRound(b, c, len(w.disks))
-	alive := func() bool { return !w.down[at] && w.lives[at] == life }
+	incarnation := s.incarnations[replica]
+	ballot := Ballot{Round: s.registers[replica].Promised.Round + 1, Replica: replica}
+	round := NewRound(ballot, change, len(s.registers))
+	alive := func() bool { return !s.down[replica] && s.incarnations[replica] == incarnation }
 	accept := func() {
-		v := r.value
-		for to := range w.disks {
-			w.send(at, to, func() {
-				p := w.disks[to].Accept(b, v)
-				w.send(to, at, func() {
-					if was := r.at; alive() {
-						if r.HandleAcceptReply(to, p); was != done && r.at == done {
-							w.choose(at, r)
+		value := round.value
+		for to := range s.registers {
+			s.send(replica, to, func() {
+				reply := s.registers[to].Accept(ballot, value)
+				s.send(to, replica, func() {
+					if phaseBefore := round.phase; alive() {
+						if round.HandleAcceptReply(to, reply); phaseBefore != done && round.phase == done {
+							s.recordChosen(replica, round)
 						}
 					}
 				})
 			})
 		}
 	}
-	r.HandlePrepareReply(at, w.disks[at].Prepare(b)) // its own first, or the round's number could be used again
-	for to := range w.disks {
-		if to == at {
+	round.HandlePrepareReply(replica, s.registers[replica].Prepare(ballot)) // its own first, or the round's number could be used again
+	for to := range s.registers {
+		if to == replica {
 			continue
 		}
-		w.send(at, to, func() {
-			p := w.disks[to].Prepare(b)
-			w.send(to, at, func() {
-				if was := r.at; alive() {
-					if r.HandlePrepareReply(to, p); was == preparing && r.at == accepting {
+		s.send(replica, to, func() {
+			reply := s.registers[to].Prepare(ballot)
+			s.send(to, replica, func() {
+				if phaseBefore := round.phase; alive() {
+					if round.HandlePrepareReply(to, reply); phaseBefore == preparing && round.phase == accepting {
 						accept()
 					}
 				}
 			})
 		})
 	}
-	if r.at == accepting {
+	if round.phase == accepting {
 		accept()
 	}
 }
 
-func (w *world) choose(at int, r *Round) {
-	if r.value == nil {
+func (s *simulation) recordChosen(replica int, round *Round) {
+	if round.value == nil {
 		return
 	}
-	if was := w.chosen[r.value.Version]; was != nil && !Equal(was, r.value) {
-		w.fault = fmt.Sprintf("version %d is %s and %s", r.value.Version, was.ID, r.value.ID)
+	if previous := s.chosen[round.value.Version]; previous != nil && !Equal(previous, round.value) {
+		s.violation = fmt.Sprintf("version %d is %s and %s", round.value.Version, previous.ID, round.value.ID)
 	}
-	w.chosen[r.value.Version] = r.value
-	MergeNewer(w.committed[at], r.value)
-	if r.verdict == Chosen || r.verdict == AlreadyChosen {
-		if was, known := w.told[r.change.ID]; known && was != r.version {
-			w.fault = fmt.Sprintf("%s was told as %d and %d", r.change.ID, was, r.version)
+	s.chosen[round.value.Version] = round.value
+	MergeNewer(s.learned[replica], round.value)
+	if round.verdict == Chosen || round.verdict == AlreadyChosen {
+		if previous, known := s.confirmed[round.change.ID]; known && previous != round.version {
+			s.violation = fmt.Sprintf("%s was told as %d and %d", round.change.ID, previous, round.version)
 		}
-		w.told[r.change.ID] = r.version
+		s.confirmed[round.change.ID] = round.version
 	}
 }
 
 // play runs one seed: changes from all sides with losses, cuts and new starts, then peace.
-func play(seed uint64, replicas int) string {
-	w := newWorld(seed, replicas)
+func simulate(seed uint64, replicas int) string {
+	s := newSimulation(seed, replicas)
 	for i := range 40 {
-		at := w.rng.IntN(replicas)
-		c := &Change{Key: "all", ID: fmt.Sprintf("c%d", max(0, i-w.rng.IntN(mostPast/2))), Patch: json.RawMessage(fmt.Sprint(i))}
-		if w.rng.IntN(3) == 0 {
-			from := Version(w.rng.IntN(8))
-			c.ExpectedVersion = &from
+		replica := s.rng.IntN(replicas)
+		change := &Change{Key: "all", ID: fmt.Sprintf("c%d", max(0, i-s.rng.IntN(maxHistory/2))), Patch: json.RawMessage(fmt.Sprint(i))}
+		if s.rng.IntN(3) == 0 {
+			from := Version(s.rng.IntN(8))
+			change.ExpectedVersion = &from
 		}
-		c.Patch = json.RawMessage(`"` + c.ID + `"`) // the same change says the same
-		if v := w.committed[at]["all"]; v != nil && w.rng.IntN(4) == 0 {
-			c.ExpectedVersion = &v.Version
+		change.Patch = json.RawMessage(`"` + change.ID + `"`) // the same change says the same
+		if v := s.learned[replica]["all"]; v != nil && s.rng.IntN(4) == 0 {
+			change.ExpectedVersion = &v.Version
 		}
-		w.propose(at, c)
-		switch w.rng.IntN(12) {
+		s.propose(replica, change)
+		switch s.rng.IntN(12) {
 		case 0:
-			lonely := w.rng.IntN(replicas)
-			w.cut = func(a, b int) bool { return a == lonely || b == lonely }
+			isolated := s.rng.IntN(replicas)
+			s.isCut = func(a, ballot int) bool { return a == isolated || ballot == isolated }
 		case 1:
-			w.cut = func(int, int) bool { return false }
+			s.isCut = func(int, int) bool { return false }
 		case 2:
-			one := w.rng.IntN(replicas)
-			w.down[one] = true
+			restarted := s.rng.IntN(replicas)
+			s.down[restarted] = true
 		case 3:
-			for one := range w.down {
-				if w.down[one] {
-					w.down[one] = false
-					w.lives[one]++
+			for restarted := range s.down {
+				if s.down[restarted] {
+					s.down[restarted] = false
+					s.incarnations[restarted]++
 				}
 			}
 		}
-		for range w.rng.IntN(30) {
-			w.step()
+		for range s.rng.IntN(30) {
+			s.step()
 		}
 	}
 	// Peace: what was told stands.
-	w.cut = func(int, int) bool { return false }
-	clear(w.down)
-	var last *Round
-	for try := 0; try < 50 && (last == nil || last.at != done); try++ {
-		for w.step() {
+	s.isCut = func(int, int) bool { return false }
+	clear(s.down)
+	var final *Round
+	for attempt := 0; attempt < 50 && (final == nil || final.phase != done); attempt++ {
+		for s.step() {
 		}
-		never := Version(1 << 40)
-		c := &Change{Key: "all", ID: "last", ExpectedVersion: &never}
-		b := Ballot{Round: w.disks[0].Promised.Round + 1 + uint64(try), Replica: 0}
-		last = NewRound(b, c, replicas)
-		for to := range w.disks {
-			last.HandlePrepareReply(to, w.disks[to].Prepare(b))
+		unusedVersion := Version(1 << 40)
+		change := &Change{Key: "all", ID: "last", ExpectedVersion: &unusedVersion}
+		ballot := Ballot{Round: s.registers[0].Promised.Round + 1 + uint64(attempt), Replica: 0}
+		final = NewRound(ballot, change, replicas)
+		for to := range s.registers {
+			final.HandlePrepareReply(to, s.registers[to].Prepare(ballot))
 		}
-		if last.at == accepting {
-			for to := range w.disks {
-				last.HandleAcceptReply(to, w.disks[to].Accept(b, last.value))
+		if final.phase == accepting {
+			for to := range s.registers {
+				final.HandleAcceptReply(to, s.registers[to].Accept(ballot, final.value))
 			}
 		}
 	}
 	switch {
-	case w.fault != "":
-		return w.fault
-	case last.at != done:
+	case s.violation != "":
+		return s.violation
+	case final.phase != done:
 		return "no end in peace"
-	case last.value == nil && len(w.told) > 0:
+	case final.value == nil && len(s.confirmed) > 0:
 		return "all is lost"
 	}
 	// A version that only a minority accepted may stand in the past of a later one that was chosen: then it counts.
 	history := map[Version]string{}
-	note := func(v Version, id string) {
-		if was, known := history[v]; known && was != id {
-			w.fault = fmt.Sprintf("version %d is %s and %s", v, was, id)
+	recordVersion := func(v Version, id string) {
+		if recorded, exists := history[v]; exists && recorded != id {
+			s.violation = fmt.Sprintf("version %d is %s and %s", v, recorded, id)
 		}
 		history[v] = id
 	}
-	for _, v := range w.chosen {
-		note(v.Version, v.ID)
-		for _, p := range v.History {
-			note(p.Version, p.ID)
+	for _, v := range s.chosen {
+		recordVersion(v.Version, v.ID)
+		for _, past := range v.History {
+			recordVersion(past.Version, past.ID)
 		}
 	}
-	if w.fault != "" {
-		return w.fault
+	if s.violation != "" {
+		return s.violation
 	}
-	for id, version := range w.told {
-		if history[version] != id || version > last.value.Version {
-			return fmt.Sprintf("%s was told as %d, which is %q; the last is %d", id, version, history[version], last.value.Version)
+	for id, version := range s.confirmed {
+		if history[version] != id || version > final.value.Version {
+			return fmt.Sprintf("%s was told as %d, which is %q; the last is %d", id, version, history[version], final.value.Version)
 		}
 	}
-	for v := Version(1); last.value != nil && v <= last.value.Version; v++ {
-		if c := w.chosen[v]; c != nil && v > 1 && w.chosen[v-1] != nil && string(c.PreviousPatch) != string(w.chosen[v-1].Patch) {
+	for v := Version(1); final.value != nil && v <= final.value.Version; v++ {
+		if change := s.chosen[v]; change != nil && v > 1 && s.chosen[v-1] != nil && string(change.PreviousPatch) != string(s.chosen[v-1].Patch) {
 			return fmt.Sprintf("version %d does not follow on %d", v, v-1)
 		}
 	}
@@ -222,8 +224,8 @@
 	}
 	for seed := range seeds {
 		for _, replicas := range []int{3, 5} {
-			if fault := play(seed, replicas); fault != "" {
-				t.Fatalf("seed %d, %d replicas: %s", seed, replicas, fault)
+			if violation := simulate(seed, replicas); violation != "" {
+				t.Fatalf("seed %d, %d replicas: %s", seed, replicas, violation)
 			}
 		}
 	}
@@ -263,10 +265,10 @@
 		}
 	}
 	v := first
-	for i := range 3 * mostPast {
+	for i := range 3 * maxHistory {
 		v, _, _ = NextValue(v, &Change{ID: fmt.Sprint(i)})
 	}
-	if len(v.History) != mostPast {
+	if len(v.History) != maxHistory {
 		t.Errorf("%d past changes are kept", len(v.History))
 	}
 }
