--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -1,4 +1,8 @@
-// Package apply lays the store's changes over a node's file and lets the node go by them, whole or not at all.
+// Package apply merges the configuration changes of the store into a node's configuration file and installs the result.
+//
+// Each change is checked on its own together with those already applied. A faulty change is refused as a whole and its
+// key keeps the version that is applied, so that the node always runs a valid configuration. The node reports to the
+// store which versions it has applied and which it has refused.
 package apply
 
 import (
@@ -21,47 +25,47 @@
 )
 
 const (
-	// gather is how long a change waits for others: a release brings many, and each switch of settings leaves the old ones standing for
-	// seconds.
+	// gatherDelay is how long a change waits for others. A release brings many changes, and with each switch the older
+	// settings stay in use for seconds.
 	gatherDelay = 300 * time.Millisecond
-	// spread is how long more, at random, before a node takes over. Danger: other settings make a module that has learned nothing yet, and
-	// a fleet in which all begin anew in one moment knows nothing of its load.
+	// maxJitter bounds the random delay that is added. New settings start a module that has learned nothing yet; if all
+	// nodes switched at the same moment, the whole fleet would know nothing of its load.
 	maxJitter = 2 * time.Second
-	// retry is the wait where what stands of older settings leaves no room for a switch.
+	// retryDelay is the delay before another attempt if the node still has too many older settings in use to switch.
 	retryDelay = time.Second
 )
 
-// ErrBusy is wrapped by what Install gives where the same may work a little later.
-var ErrBusy = errors.New("no room for other settings now")
+// ErrBusy is wrapped by the errors of Install that are temporary: the same configuration may be installed a little later.
+var ErrBusy = errors.New("the configuration can't be switched now")
 
-// Options say who takes changes over, and how.
+// Options configure an Applier.
 type Options struct {
-	Config *config.Config // with the key store
+	Config *config.Config // from the file alone; its Store must be set
 	Getenv func(string) string
-	// Install lets the node go by a configuration, or leaves it as it is.
+	// Install switches the node to a configuration. After an error the node must run the previous one.
 	Install func(*config.Config) error
-	// Check says what is wrong with a configuration beyond what reading it shows; nil: nothing is looked at.
+	// Validate, if not nil, returns an error for a configuration that parses but must not be installed.
 	Validate func(*config.Config) error
-	// Lock is held while something is installed: a file may be read anew at the same time.
+	// InstallLock is held while changes are applied, because the file may be reloaded at the same time.
 	InstallLock sync.Locker
-	Incarnation string // of this process
+	Incarnation string // identifies this process
 	Seed        uint64
 	Log         zerolog.Logger
 }
 
-// Applier is the actor.
+// Applier follows the store and applies its changes to the node.
 type Applier struct {
 	Options
 	follower *store.Follower
-	changed  chan struct{} // holds one
+	changed  chan struct{} // capacity 1; signals that values may have to be applied
 
-	mu       sync.Mutex // guards what follows
-	baseFile []byte     // as last taken over, without changes
+	mu       sync.Mutex // guards the fields below
+	baseFile []byte     // configuration file as last loaded, without changes
 	applied  map[store.Key]*store.Value
 	refused  map[store.Key]store.Refusal
 }
 
-// New makes the actor. Run follows.
+// New returns an Applier. It does nothing until Run is called.
 func New(options Options) *Applier {
 	conf := options.Config
 	var localIP net.IP
@@ -73,7 +77,7 @@
 			Incarnation: options.Incarnation, Zone: int(conf.Rules.Place.Zone), Seed: options.Seed, LocalIP: localIP}, options.Log)}
 }
 
-// Run follows the store until ctx is done.
+// Run follows the store and applies its changes until ctx is done.
 func (a *Applier) Run(ctx context.Context) {
 	var follower sync.WaitGroup
 	follower.Go(func() { a.follower.Run(ctx, func([]*store.Value) { a.wake() }) })
@@ -97,8 +101,10 @@
 	}
 }
 
+// switchDelay returns the delay between the arrival of a change and its application.
 func switchDelay() time.Duration { return gatherDelay + rand.N(maxJitter) }
 
+// wake makes Run apply pending values after its delay.
 func (a *Applier) wake() {
 	select {
 	case a.changed <- struct{}{}:
@@ -106,13 +112,15 @@
 	}
 }
 
-// take lays what is held over the file, key by key: what is faulty is refused whole and its key goes on as it was. It is false where
-// there was no room for it, and it has to be tried again.
+// applyPending merges the received values into the file, key by key, and installs the result. A faulty value is refused
+// and its key keeps the applied version. It returns false if the node was too busy and the attempt has to be repeated.
 func (a *Applier) applyPending() (done bool) {
 	a.InstallLock.Lock()
 	defer a.InstallLock.Unlock()
 	a.mu.Lock()
-	baseFile, previous, refused := a.baseFile, a.applied, maps.Clone(a.refused)
+	baseFile := a.baseFile
+	previous := a.applied
+	refused := maps.Clone(a.refused)
 	a.mu.Unlock()
 	applied := maps.Clone(previous)
 	var candidate *config.Config
@@ -132,14 +140,15 @@
 			continue
 		}
 		delete(refused, value.Key)
-		applied, candidate = withValue, parsed
+		applied = withValue
+		candidate = parsed
 	}
 	if candidate != nil {
 		switch err := a.Install(candidate); {
 		case errors.Is(err, ErrBusy):
 			return false
 		case err != nil:
-			// Nothing of it runs. Whichever of them is at fault, all that are new are told as refused.
+			// None of the new values is applied. It is unknown which one is at fault, so all of them are refused.
 			for key, value := range applied {
 				if current := previous[key]; current == nil || current.Version < value.Version {
 					refused[key] = store.Refusal{Version: value.Version, Reason: err.Error()}
@@ -151,18 +160,21 @@
 	}
 	versions := map[store.Key]store.Version{}
 	for key, value := range applied {
-		if versions[key] = value.Version; previous[key] != value {
+		versions[key] = value.Version
+		if previous[key] != value {
 			a.Log.Info().Str("key", string(key)).Uint64("version", uint64(value.Version)).Str("id", value.ID).Msg("change in force")
 		}
 	}
 	a.mu.Lock()
-	a.applied, a.refused = applied, refused
+	a.applied = applied
+	a.refused = refused
 	a.mu.Unlock()
 	a.follower.ReportApplied(versions, refused)
 	return true
 }
 
-// Over lays what runs over a file that was read anew.
+// WithChanges merges the applied values into a reloaded file and returns the resulting configuration, whose Raw is that
+// of the file.
 func (a *Applier) WithChanges(file *config.Config) (*config.Config, error) {
 	a.mu.Lock()
 	applied := a.applied
@@ -174,19 +186,22 @@
 	return conf, err
 }
 
-// Reread keeps the file that is in force, and lets what was refused with the one before be tried again.
+// SetFile sets the file that is now in force. Values refused with the previous file are tried again.
 func (a *Applier) SetFile(file []byte) {
 	a.mu.Lock()
-	a.baseFile, a.refused = file, map[store.Key]store.Refusal{}
+	a.baseFile = file
+	a.refused = map[store.Key]store.Refusal{}
 	a.mu.Unlock()
 	a.wake()
 }
 
-// Look is what is known of the store.
+// View returns the node's state with respect to the store, for operators.
 func (a *Applier) View() *store.View { return a.follower.View() }
 
-// Lay reads a file with changes laid over it (RFC 7396): those for all, a service's, a node's own last.
+// ParseWithChanges merges values into a configuration file (JSON Merge Patch, RFC 7396) and parses the result. The value
+// for all nodes is merged first, then that of the service, then that of the node.
 func ParseWithChanges(file []byte, values map[store.Key]*store.Value, getenv func(string) string, validate func(*config.Config) error) (*config.Config, error) {
+	// The keys are "all", "service/NAME" and "node/NAME".
 	precedence := func(key store.Key) int { return strings.Index("asn", string(key[:1])) }
 	merged := file
 	for _, key := range slices.SortedFunc(maps.Keys(values), func(a, b store.Key) int { return precedence(a) - precedence(b) }) {
@@ -206,17 +221,17 @@
 	return conf, err
 }
 
-// CheckChange says what is wrong with a change, by its key, as far as that can be told without the file that it will be laid over: it is
-// laid over one in which nothing is wrong.
+// ValidateChange checks a change before it is proposed. The files that it will be merged into are not known, so a valid
+// minimal one stands in for them.
 func ValidateChange(change *store.Change) error {
 	if change.RequiredFormat > config.Form {
-		return nil // of a later form: nodes that know it look at it
+		return nil // a later format; the nodes that support it check the change
 	}
 	_, err := ParseWithChanges([]byte(validConfig), map[store.Key]*store.Value{change.Key: {Key: change.Key, Patch: change.Patch}}, func(string) string { return "" }, nil)
 	return err
 }
 
-// plain is a configuration in which nothing is wrong.
+// validConfig is a valid minimal configuration.
 const validConfig = `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"tier":0,"tiers":["front"],"fleet_size":1,"slot_no":0,"az":0,
  "failure_domains":["a"],"kinds":["m"],"tick":5,"registry_mode":"ask",
  "categories":[{"name":"c","benefit":1,"effect":"idempotent","target_latency":300,"ttl":1000}],
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -18,7 +18,7 @@
 
 func noEnv(string) string { return "" }
 
-// values are changes by key, all of version 1.
+// versionOneValues returns a value of version 1 for each patch.
 func versionOneValues(patches map[store.Key]string) map[store.Key]*store.Value {
 	values := map[store.Key]*store.Value{}
 	for key, patch := range patches {
@@ -27,7 +27,8 @@
 	return values
 }
 
-// Changes are laid over each other in the order of their reach, and none may touch what is a node's own.
+// TestParseWithChanges checks that patches are merged from the widest key to the narrowest, and that faulty changes and
+// those to a setting that belongs to a node alone are refused.
 func TestParseWithChanges(t *testing.T) {
 	conf, err := ParseWithChanges([]byte(validConfig), versionOneValues(map[store.Key]string{
 		"node/n":    `{"settings":{"limits":{"max_pushes":7}}}`,
@@ -58,12 +59,13 @@
 		t.Error(err)
 	}
 	if err := ValidateChange(&store.Change{Key: "all", RequiredFormat: config.Form + 1, Patch: json.RawMessage(`{"later":1}`)}); err != nil {
-		t.Errorf("a form that this program does not know is for others to look at: %v", err)
+		t.Errorf("a change of a later format must be left to the nodes that support it: %v", err)
 	}
 }
 
-// What is faulty for one key leaves that key as it was, and takes the others over; what finds no room is tried again; what can't be
-// installed leaves everything as it was; a file that is read anew keeps its changes.
+// TestApplier checks that a faulty change leaves its key as it was while the others are applied, that an attempt on a busy
+// node is repeated, that a configuration that can't be installed leaves everything as it was, and that a reloaded file
+// keeps its changes and gives refused ones another try.
 func TestApplier(t *testing.T) {
 	replica, err := store.NewReplica(store.ReplicaOptions{Replicas: []string{"127.0.0.1:1"}, Dir: t.TempDir()}, zerolog.Nop())
 	if err != nil {
@@ -78,7 +80,8 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	busy, broken := 1, false
+	busy := 1       // attempts that fail with ErrBusy
+	broken := false // whether Install fails
 	installed := make(chan int, 16)
 	applier := New(Options{Config: conf, Getenv: noEnv, InstallLock: &sync.Mutex{}, Incarnation: "1", Log: zerolog.Nop(), Install: func(c *config.Config) error {
 		mu.Lock()
@@ -95,8 +98,14 @@
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { applier.Run(ctx); close(ended) }()
-	defer func() { cancel(); <-ended }()
+	go func() {
+		applier.Run(ctx)
+		close(ended)
+	}()
+	defer func() {
+		cancel()
+		<-ended
+	}()
 	propose := func(key store.Key, id, patch string) {
 		t.Helper()
 		if _, _, err := replica.Propose(t.Context(), &store.Change{Key: key, ID: id, Patch: json.RawMessage(patch)}); err != nil {
@@ -114,25 +123,25 @@
 	}
 	propose("service/s", "a", `{"settings":{"limits":{"max_pushes":4}}}`)
 	propose("node/n", "b", `{"settings":{"tick":"never"}}`)
-	await("one good, one faulty", func() bool { return appliedVersion("service/s") == 1 && applier.View().Refused["node/n"].Version == 1 })
+	await("one valid and one faulty change", func() bool { return appliedVersion("service/s") == 1 && applier.View().Refused["node/n"].Version == 1 })
 	if reason := applier.View().Refused["node/n"].Reason; !strings.Contains(reason, "setting tick") {
-		t.Errorf("refused by %q", reason)
+		t.Errorf("refused because of %q", reason)
 	}
 	if got := <-installed; got != 4 || len(installed) > 0 {
-		t.Errorf("installed %d, and %d more", got, len(installed))
+		t.Errorf("installed max_pushes %d, and %d more configurations", got, len(installed))
 	}
 	mu.Lock()
 	broken = true
 	mu.Unlock()
 	propose("service/s", "c", `{"settings":{"limits":{"max_pushes":6}}}`)
-	await("what can't be installed", func() bool { return applier.View().Refused["service/s"].Version == 2 })
+	await("configuration that can't be installed", func() bool { return applier.View().Refused["service/s"].Version == 2 })
 	if appliedVersion("service/s") != 1 {
-		t.Errorf("runs %d", appliedVersion("service/s"))
+		t.Errorf("applied version %d", appliedVersion("service/s"))
 	}
 	mu.Lock()
 	broken = false
 	mu.Unlock()
-	// The file is read anew: what runs is laid over it, and what was refused is tried with it.
+	// The file is reloaded: applied values are merged into it, and refused ones are tried again.
 	reloaded, err := config.Parse([]byte(strings.Replace(file, `"dial_timeout":100`, `"dial_timeout":70`, 1)), noEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -142,8 +151,8 @@
 		t.Errorf("%v: %+v", err, patched.Rules.Push)
 	}
 	applier.SetFile(reloaded.Raw)
-	await("tried again with the new file", func() bool { return appliedVersion("service/s") == 2 && applier.View().Refused["node/n"].Version == 1 })
+	await("another try with the reloaded file", func() bool { return appliedVersion("service/s") == 2 && applier.View().Refused["node/n"].Version == 1 })
 	if got := <-installed; got != 6 {
-		t.Errorf("installed %d", got)
+		t.Errorf("installed max_pushes %d", got)
 	}
 }
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -21,29 +21,31 @@
 )
 
 const (
-	// mostSilence ends a watch: an empty line comes each 2 s, and two that are missing are enough.
+	// maxSilence is how long a watch may bring no line before it is ended. The replica sends an empty line every 2 s;
+	// two missing ones, with some slack, count as a failure.
 	maxSilence       = 2*keepAliveInterval + 200*time.Millisecond
 	dialTimeout      = time.Second
-	firstLineTimeout = 3 * time.Second // for a watch's first line
+	firstLineTimeout = 3 * time.Second // from the start of a watch, including the dial
 	minRetryDelay    = 250 * time.Millisecond
-	maxRetryDelay    = 2 * time.Second // between two tries: a change is in force everywhere within 8 s
+	maxRetryDelay    = 2 * time.Second // between two watches; keeps changes in force everywhere within 8 s
 	reportTimeout    = 2 * time.Second
-	reportInterval   = 30 * time.Second // the same report, should the replica have lost it
+	reportInterval   = 30 * time.Second // average interval of repeated reports, in case the replica lost one
 	maxLineBytes     = 2 * maxPatchBytes
 )
 
-// FollowerOptions say who follows, and where.
+// FollowerOptions configure a Follower.
 type FollowerOptions struct {
-	Replicas    []string
-	Keys        []Key // its own, in the order in which they are laid over each other
-	Node        string
-	Incarnation string
+	Replicas    []string // addresses of all replicas; at least one
+	Keys        []Key    // keys that apply to the node, in the order in which their patches are merged
+	Node        string   // name of the node
+	Incarnation string   // identifies the process, so that reports of an earlier one can be told apart
 	Zone        int
-	Seed        uint64
-	LocalIP     net.IP // that calls come from; nil: any
+	Seed        uint64 // of the random choice of replicas and delays
+	LocalIP     net.IP // source address of connections; nil for any
 }
 
-// Keys are those of a node: all nodes', its service's, its own; a later one is laid over an earlier.
+// NodeKeys returns the keys that apply to a node: the one for all nodes, that of its service if it has one, and its
+// own. The patch of a later key takes precedence over that of an earlier one.
 func NodeKeys(service, node string) []Key {
 	keys := []Key{"all"}
 	if service != "" {
@@ -52,22 +54,23 @@
 	return append(keys, Key("node/"+node))
 }
 
-// Follower is a node's actor: it watches one replica after another, hands on what is newer, and reports what the node runs.
+// Follower is the node's client of the store. It watches one replica, switches to another when the watch fails, passes
+// on newer values, and reports to the replica which versions the node has applied.
 type Follower struct {
 	options      FollowerOptions
 	log          zerolog.Logger
 	client       *http.Client
 	rng          *rand.Rand
-	replicaIndex int // the replica that is watched
+	replicaIndex int // of the replica that is watched, or tried next
 
 	mu          sync.Mutex
-	received    map[Key]*Value // as told; the node may run less
+	received    map[Key]*Value // the node may have applied fewer of them
 	report      Report
-	reportDue   chan struct{} // holds one: there is something to report
-	watchedAddr string        // address; "": none
+	reportDue   chan struct{} // capacity 1; signals that a report has to be sent
+	watchedAddr string        // "" while no replica is watched
 }
 
-// NewFollower makes the actor.
+// NewFollower returns a Follower that starts at a random replica. It does nothing until Run is called.
 func NewFollower(options FollowerOptions, log zerolog.Logger) *Follower {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	if options.LocalIP != nil {
@@ -81,8 +84,8 @@
 	return f
 }
 
-// Run follows until ctx is done. Tell gets all that is held, in the order of the keys, whenever something is newer; it must not wait
-// for long.
+// Run watches the store until ctx is done. It calls notify with all received values, in the order of the keys,
+// whenever one of them is newer. Notify must return quickly, because the watch reads nothing meanwhile.
 func (f *Follower) Run(ctx context.Context, notify func([]*Value)) {
 	var reporter sync.WaitGroup
 	reporter.Go(func() { f.sendReports(ctx) })
@@ -96,7 +99,8 @@
 		if lines > 0 {
 			retryDelay = minRetryDelay
 		}
-		// Danger: all nodes of a lost replica come to the two others at once; they come at random, and ever later while none is there.
+		// When a replica is lost, all its nodes would move to the other two at the same moment. A random replica and a
+		// random delay, which doubles while no replica is reachable, spread them out.
 		f.replicaIndex = (f.replicaIndex + 1 + f.rng.IntN(max(1, len(f.options.Replicas)-1))) % len(f.options.Replicas)
 		select {
 		case <-ctx.Done():
@@ -106,9 +110,11 @@
 	}
 }
 
-// errSilent says that a watch brought nothing for too long.
+// errSilent reports that a watch brought no line for too long.
 var errSilent = errors.New("silent")
 
+// watch follows the current replica until the connection fails or stays silent. It returns how many lines it read,
+// keep-alives included, and why it ended.
 func (f *Follower) watch(ctx context.Context, notify func([]*Value)) (lines int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -162,14 +168,15 @@
 	}
 }
 
-// take keeps a value that is newer. Danger: replicas may be behind each other, and a node that goes from one to the next must not go back.
+// storeIfNewer stores a value for one of the node's keys if it is newer, and reports whether it did. A replica may be
+// behind the one watched before; without this check a node that switches replicas could return to an older version.
 func (f *Follower) storeIfNewer(value *Value) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Contains(f.options.Keys, value.Key) && MergeNewer(f.received, value)
 }
 
-// Held is all that the node was told, in the order of its keys.
+// Values returns the newest values that the node has received, in the order of its keys.
 func (f *Follower) Values() (values []*Value) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,7 +194,8 @@
 	f.watchedAddr = addr
 }
 
-// again says that the report has to be made anew: the replica is another one, or what runs is.
+// requestReport makes sendReports send a report: either the watched replica or the set of applied versions is new, or
+// the last report failed.
 func (f *Follower) requestReport() {
 	select {
 	case f.reportDue <- struct{}{}:
@@ -195,16 +203,19 @@
 	}
 }
 
-// Runs says what the node runs now, and what it refused.
+// ReportApplied sets the versions that the node has applied and those that it has refused, and sends them to the
+// watched replica.
 func (f *Follower) ReportApplied(applied map[Key]Version, refused map[Key]Refusal) {
 	f.mu.Lock()
-	f.report.Applied, f.report.Refused = maps.Clone(applied), maps.Clone(refused)
+	f.report.Applied = maps.Clone(applied)
+	f.report.Refused = maps.Clone(refused)
 	f.report.Sequence++
 	f.mu.Unlock()
 	f.requestReport()
 }
 
-// reports tells the replica that is watched what the node runs, once for each change of that, and now and then.
+// sendReports sends the node's report to the watched replica: after each change of the report, after each switch to
+// another replica, and from time to time.
 func (f *Follower) sendReports(ctx context.Context) {
 	for {
 		select {
@@ -218,7 +229,7 @@
 		body, err := json.Marshal(&f.report)
 		f.mu.Unlock()
 		if addr == "" || err != nil {
-			continue // the next watch's first line asks for it
+			continue // the first line of the next watch requests it again
 		}
 		if err := f.postReport(ctx, addr, body); err != nil && ctx.Err() == nil {
 			f.log.Debug().Err(err).Msg("report not taken")
@@ -227,6 +238,7 @@
 	}
 }
 
+// postReport sends an encoded report to the replica at addr.
 func (f *Follower) postReport(ctx context.Context, addr string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -246,15 +258,15 @@
 	return nil
 }
 
-// Look is what the node knows of its store, for whoever looks at it.
+// View describes a node's state with respect to the store, for operators.
 type View struct {
-	Replica  string          `json:"replica"` // watched now; "": none
+	Replica  string          `json:"replica"` // address of the watched replica; "" for none
 	Received map[Key]Version `json:"told"`
 	Applied  map[Key]Version `json:"runs"`
 	Refused  map[Key]Refusal `json:"refused,omitempty"`
 }
 
-// Look gives it.
+// View returns the current state.
 func (f *Follower) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -29,72 +29,73 @@
 	maxBodyBytes      = 256 << 10
 	maxWatchers       = 4096
 	maxReports        = 4096
-	reportRetention   = time.Hour             // of a node that is not watching any more
-	phaseTimeout      = time.Second           // for a majority's answers
-	maxAttempts       = 6                     // to change a key, before it is told that there is no majority
-	syncInterval      = time.Second           // a replica looks whether another has chosen what it missed
-	keepAliveInterval = 2 * time.Second       // a line on a watch while nothing changes
-	writeTimeout      = 2 * time.Second       // for a watcher to take a line
-	initialBackoff    = 20 * time.Millisecond // after a round that was overtaken, and up to as much again, twice as long each time
+	reportRetention   = time.Hour             // since a node's last report
+	phaseTimeout      = time.Second           // for the replies of the other replicas to one request
+	maxAttempts       = 6                     // rounds of one proposal before it fails for want of a majority
+	syncInterval      = time.Second           // between two looks for missed values at other replicas
+	keepAliveInterval = 2 * time.Second       // between the keep-alive lines of a watch
+	writeTimeout      = 2 * time.Second       // for a watcher to read a line
+	initialBackoff    = 20 * time.Millisecond // after a failed round; doubles each time, plus up to 100 % jitter
 )
 
-// ReplicaOptions say who a replica is.
+// ReplicaOptions configure a Replica.
 type ReplicaOptions struct {
-	Index    int      // of this one among Peers
-	Replicas []string // addresses of all, this one's among them, the same at each
-	Dir      string   // where registers are kept
-	// Check says what is wrong with a change before it is proposed; nil: nothing is looked at.
+	Index    int      // of this replica in Replicas
+	Replicas []string // addresses of all replicas including this one, in the same order everywhere
+	Dir      string   // directory of the register files
+	// Validate, if not nil, returns an error for a change that must not be proposed.
 	Validate func(*Change) error
-	// Dial opens a connection to another replica; nil: net's.
+	// Dial opens a connection to another replica. Nil uses the default dialer of net/http.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// kept is a key as it stands on disk.
+// keyFile is the state of a key as it is stored on disk.
 type keyFile struct {
 	Key      Key      `json:"key"`
 	Register Register `json:"register"`
 	Chosen   *Value   `json:"chosen,omitempty"`
 }
 
-// Report is what a node says that it runs.
+// Report states which versions a node has applied and which it has refused.
 type Report struct {
 	Node        string          `json:"node"`
-	Sequence    uint64          `json:"number"` // counts what a process has had to say
-	Incarnation string          `json:"life"`   // of its process
+	Sequence    uint64          `json:"number"` // increases with each change of the report
+	Incarnation string          `json:"life"`   // identifies the node's process
 	Zone        int             `json:"zone"`
 	Keys        []Key           `json:"keys"`
 	Applied     map[Key]Version `json:"runs"`
 	Refused     map[Key]Refusal `json:"refused,omitempty"`
 }
 
-// Refusal is a version that a node has not taken over, and why.
+// Refusal is a version that a node has refused to apply, and the reason.
 type Refusal struct {
 	Version Version `json:"version"`
 	Reason  string  `json:"why"`
 }
 
-// reported is a report and when it came.
+// receivedReport is a report with the time at which it arrived.
 type receivedReport struct {
 	Report
 	receivedAt time.Time
 }
 
-// Replica is the actor of one of the machines set aside for control.
+// Replica is one member of the store, usually on a machine reserved for control tasks. It takes part in the rounds of
+// the other replicas, proposes the changes that operators request, and serves the watches and reports of nodes.
 type Replica struct {
 	options ReplicaOptions
 	log     zerolog.Logger
 	client  *http.Client
 
-	mu          sync.Mutex // guards what follows; held while a register goes to disk
+	mu          sync.Mutex // guards the fields below; also held while a register is written to disk
 	registers   map[Key]*Register
 	chosen      map[Key]*Value
-	valueChosen chan struct{} // closed and made anew when something is chosen
+	valueChosen chan struct{} // closed and replaced when a value is chosen
 	watchers    int
 	reports     map[string]*receivedReport
 }
 
-// NewReplica reads what the disk holds. Danger: a register that can't be read must not count as empty; it may have accepted what was
-// chosen. So a faulty file is an error.
+// NewReplica returns a replica with the registers found in its directory. An unreadable register file is an error: if it
+// counted as empty, the replica could forget that it had accepted a chosen value.
 func NewReplica(options ReplicaOptions, log zerolog.Logger) (*Replica, error) {
 	r := &Replica{options: options, log: log, registers: map[Key]*Register{}, chosen: map[Key]*Value{}, valueChosen: make(chan struct{}), reports: map[string]*receivedReport{}}
 	r.client = &http.Client{Timeout: phaseTimeout, Transport: &http.Transport{DialContext: options.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
@@ -112,7 +113,7 @@
 		}
 		var stored keyFile
 		if err := json.Unmarshal(raw, &stored); err != nil || stored.Key == "" {
-			return nil, fmt.Errorf("%s: no register: %v", path, err)
+			return nil, fmt.Errorf("%s: invalid register file: %v", path, err)
 		}
 		r.registers[stored.Key] = &stored.Register
 		if stored.Chosen != nil {
@@ -122,9 +123,10 @@
 	return r, nil
 }
 
-// save puts a key on disk, whole or not at all. The lock is held.
+// save writes the state of a key to disk atomically. The caller holds the lock.
 //
-// Danger: a promise that is told and then forgotten by a machine that loses its power lets an earlier ballot through.
+// The data is synced, because a promise that was sent and is then lost in a power failure would let an earlier ballot
+// succeed.
 func (r *Replica) save(key Key) error {
 	raw, err := json.Marshal(keyFile{key, *r.registers[key], r.chosen[key]})
 	if err != nil {
@@ -151,9 +153,10 @@
 	return nil
 }
 
+// errTooManyKeys reports that the limit of stored keys or reports is reached.
 var errTooManyKeys = errors.New("more keys than are kept")
 
-// register finds a key's, or makes room for a new one. The lock is held.
+// register returns the register of a key, and creates it if there is none. The caller holds the lock.
 func (r *Replica) register(key Key) (*Register, error) {
 	if register := r.registers[key]; register != nil {
 		return register, nil
@@ -166,7 +169,8 @@
 	return register, nil
 }
 
-// change does something to a register, and keeps it before anybody hears of it. What can't be kept has not happened.
+// updateRegister applies an update to the register of a key and saves it before the reply is returned. If it can't be
+// saved, the update is undone.
 func (r *Replica) updateRegister(key Key, update func(*Register) Reply) (Reply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +190,7 @@
 	return reply, nil
 }
 
-// take takes over a chosen value and wakes those who watch.
+// learn stores a chosen value, if it is newer, and wakes the watches.
 func (r *Replica) learn(value *Value) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,17 +198,19 @@
 		return
 	}
 	if err := r.save(value.Key); err != nil {
-		r.log.Error().Err(err).Str("key", string(value.Key)).Msg("chosen value not kept") // others have it; it comes again by sync
+		r.log.Error().Err(err).Str("key", string(value.Key)).Msg("chosen value not kept") // a majority has it; a later sync brings it again
 	}
 	r.log.Info().Str("key", string(value.Key)).Uint64("version", uint64(value.Version)).Str("id", value.ID).Msg("change is chosen")
 	close(r.valueChosen)
 	r.valueChosen = make(chan struct{})
 }
 
-// errMajority says that too few replicas answered. The change may come in force all the same.
+// errNoMajority reports that too few replicas replied. The change may still be chosen later.
 var errNoMajority = errors.New("no majority of the replicas answers; the change may be in force or not: ask for it again under its id")
 
-// Propose brings a change in force, or says what stands in its way.
+// Propose runs rounds until the change is chosen, turns out not to be applicable, or too many attempts have failed. The
+// version is that of the change if it is or was chosen, and otherwise the current one. After an error the change may or
+// may not be chosen; it can be proposed again under the same ID.
 func (r *Replica) Propose(ctx context.Context, change *Change) (Verdict, Version, error) {
 	for attempt := range maxAttempts {
 		round, err := r.runRound(ctx, change)
@@ -230,10 +236,10 @@
 	return "", 0, errNoMajority
 }
 
-// round plays one round with all replicas, until it is over or a phase has had its time.
+// runRound runs one round with all replicas until it is decided or a phase times out.
 func (r *Replica) runRound(ctx context.Context, change *Change) (*Round, error) {
 	var ballot Ballot
-	// Danger: a round's number is used once. The replica promises it to itself, on disk, before anybody else hears of it.
+	// A ballot must never be used twice, so the replica first promises it to itself, on disk, before it sends it.
 	ownReply, err := r.updateRegister(change.Key, func(register *Register) Reply {
 		ballot = Ballot{Round: register.Promised.Round + 1, Replica: r.options.Index}
 		return register.Prepare(ballot)
@@ -244,7 +250,8 @@
 	round := NewRound(ballot, change, len(r.options.Replicas))
 	round.HandlePrepareReply(r.options.Index, ownReply)
 	r.runPhase(ctx, round, preparing, "prepare", message{Key: change.Key, Ballot: ballot}, round.HandlePrepareReply)
-	// Danger: a later ballot seen anywhere is this replica's next one, or it would be overtaken for ever.
+	// Adopting the highest ballot seen makes the next attempt start above it. Otherwise each attempt would be preempted
+	// again.
 	defer func() {
 		if round.phase == preempted {
 			r.updateRegister(change.Key, func(register *Register) Reply {
@@ -255,7 +262,8 @@
 	if round.phase != accepting {
 		return round, nil
 	}
-	if ownReply, err = r.updateRegister(change.Key, func(register *Register) Reply { return register.Accept(ballot, round.value) }); err != nil {
+	ownReply, err = r.updateRegister(change.Key, func(register *Register) Reply { return register.Accept(ballot, round.value) })
+	if err != nil {
 		return nil, err
 	}
 	round.HandleAcceptReply(r.options.Index, ownReply)
@@ -263,14 +271,15 @@
 	return round, nil
 }
 
-// message is what replicas send each other.
+// message is a prepare or accept request. A prepare request has no value.
 type message struct {
 	Key    Key    `json:"key"`
 	Ballot Ballot `json:"ballot"`
 	Value  *Value `json:"value,omitempty"`
 }
 
-// phase asks the other replicas side by side, and takes their answers as they come.
+// runPhase sends a request to all other replicas concurrently and handles their replies as they arrive, until the round
+// leaves the current phase or the phase times out.
 func (r *Replica) runPhase(ctx context.Context, round *Round, current phase, endpoint string, request message, handleReply func(int, Reply)) {
 	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
 	defer cancel()
@@ -304,7 +313,7 @@
 	}
 }
 
-// ask posts to another replica.
+// post sends a JSON document to another replica and decodes its answer into out, unless that is nil.
 func (r *Replica) post(ctx context.Context, addr, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -328,7 +337,8 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxKeys*maxPatchBytes)).Decode(out)
 }
 
-// pass tells the other replicas something, and waits for none of them: what is chosen and missed they find by sync, a report comes again.
+// broadcast sends a document to all other replicas without waiting for them. A lost one does no lasting harm: a chosen
+// value is found by sync, and a report is repeated.
 func (r *Replica) broadcast(path string, body any) {
 	for i, addr := range r.options.Replicas {
 		if i != r.options.Index {
@@ -341,7 +351,7 @@
 	}
 }
 
-// held are the versions of what is chosen here.
+// chosenVersions returns the version of each chosen value that the replica knows.
 func (r *Replica) chosenVersions() map[Key]Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -352,7 +362,7 @@
 	return versions
 }
 
-// digest tells whether two replicas hold the same.
+// digest returns a hash by which two replicas find out whether they know the same versions.
 func digest(versions map[Key]Version) uint64 {
 	hash := xxhash.New()
 	for _, key := range slices.Sorted(maps.Keys(versions)) {
@@ -361,12 +371,14 @@
 	return hash.Sum64()
 }
 
+// syncRequest asks another replica for newer values. The versions are sent only after the digests have turned out to
+// differ.
 type syncRequest struct {
 	Digest   uint64          `json:"digest,string"`
 	Versions map[Key]Version `json:"held,omitempty"`
 }
 
-// Run looks at the other replicas in turn for what was missed, until ctx is done.
+// Run asks the other replicas in turn for chosen values that this one has missed, until ctx is done.
 func (r *Replica) Run(ctx context.Context) {
 	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
@@ -384,7 +396,7 @@
 		var newer []*Value
 		requestCtx, cancel := context.WithTimeout(ctx, phaseTimeout)
 		err := r.post(requestCtx, r.options.Replicas[peer], "/sync", syncRequest{Digest: digest(versions)}, &newer)
-		if err == nil && newer == nil { // it holds something else
+		if err == nil && newer == nil { // null: the digests differ
 			err = r.post(requestCtx, r.options.Replicas[peer], "/sync", syncRequest{Versions: versions, Digest: digest(versions)}, &newer)
 		}
 		cancel()
@@ -397,14 +409,14 @@
 	}
 }
 
-// forget lets reports go of nodes that have not been heard for long.
+// expireReports removes the reports of nodes that have sent none for reportRetention.
 func (r *Replica) expireReports() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.reports, func(_ string, report *receivedReport) bool { return time.Since(report.receivedAt) > reportRetention })
 }
 
-// ServeHTTP is the replica's side of all calls: of replicas, of nodes and of operators.
+// ServeHTTP handles the requests of other replicas, of nodes and of operators.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	request.Body = http.MaxBytesReader(w, request.Body, maxBodyBytes)
 	switch request.Method + " " + request.URL.Path {
@@ -429,7 +441,8 @@
 		handleJSON(w, request, func(report *Report) (any, error) {
 			err := r.recordReport(report)
 			if err == nil && request.URL.Path == "/report" {
-				r.broadcast("/reported", report) // Danger: with a replica, what its nodes run would be lost, and none would seem to lag
+				// Otherwise the reports of its nodes would be lost with this replica, and none of them would seem to lag.
+				r.broadcast("/reported", report)
 			}
 			return struct{}{}, err
 		})
@@ -440,12 +453,13 @@
 	}
 }
 
+// writeJSON writes a value as the JSON body of a response.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
 }
 
-// handle reads a call's document and writes its answer.
+// handleJSON decodes the request's body, calls the handler and writes its result or error.
 func handleJSON[T any](w http.ResponseWriter, request *http.Request, handler func(*T) (any, error)) {
 	document := new(T)
 	if err := json.NewDecoder(request.Body).Decode(document); err != nil {
@@ -460,7 +474,8 @@
 	writeJSON(w, result)
 }
 
-// missing gives what the other does not hold; null where it has to say what it holds.
+// valuesNewerThan returns the chosen values that the requesting replica does not know. It returns nil, which is sent as
+// null, if the digests differ and the request carries no versions: the other replica then has to send them.
 func (r *Replica) valuesNewerThan(known *syncRequest) []*Value {
 	values := []*Value{}
 	if known.Digest == digest(r.chosenVersions()) {
@@ -479,15 +494,15 @@
 	return values
 }
 
-// Answer is what an operator is told of a change.
+// ChangeResponse is the response to a change request.
 type ChangeResponse struct {
 	Verdict Verdict `json:"verdict,omitempty"`
 	Version Version `json:"version"`
 	Reason  string  `json:"why,omitempty"`
 }
 
-// asked is a change that an operator asks for: 200 where it is in force, 409 where another version stands, 400 where it is faulty, 503 without
-// a majority.
+// serveChange handles an operator's change request. The status is 200 if the change is chosen, 409 if it conflicts with
+// the current version or there is nothing to roll back, 400 if it is invalid and 503 if no majority replies.
 func (r *Replica) serveChange(w http.ResponseWriter, request *http.Request) {
 	var change Change
 	decoder := json.NewDecoder(request.Body)
@@ -521,7 +536,7 @@
 	}
 }
 
-// check refuses what no node could be meant by.
+// validate checks the form of a change: its key, its ID, and that it has either a patch or asks for a rollback.
 func (c *Change) validate() error {
 	kind, name, _ := strings.Cut(string(c.Key), "/")
 	switch {
@@ -537,7 +552,7 @@
 	return nil
 }
 
-// heard takes a node's report.
+// recordReport stores a node's report unless a later one of the same process is known.
 func (r *Replica) recordReport(report *Report) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -548,13 +563,14 @@
 		return errTooManyKeys
 	}
 	if previous := r.reports[report.Node]; previous != nil && previous.Incarnation == report.Incarnation && previous.Sequence > report.Sequence {
-		return nil // it comes by another replica, and late
+		return nil // delayed, by way of another replica
 	}
 	r.reports[report.Node] = &receivedReport{*report, time.Now()}
 	return nil
 }
 
-// watch tells a node what is newer than what it holds, and then each change as it is chosen.
+// serveWatch streams to a node the values newer than the versions in its query, then each newer value as it is chosen.
+// Each line is a value or, as a keep-alive, empty. The first line is sent at once.
 func (r *Replica) serveWatch(w http.ResponseWriter, request *http.Request) {
 	versions := map[Key]Version{}
 	for pair := range strings.SplitSeq(request.URL.Query().Get("held"), ",") {
@@ -597,7 +613,8 @@
 		var output []byte
 		for _, value := range newer {
 			trimmed := *value
-			trimmed.PreviousPatch, trimmed.History = nil, nil
+			trimmed.PreviousPatch = nil
+			trimmed.History = nil
 			line, err := json.Marshal(&trimmed)
 			if err != nil {
 				return
@@ -605,11 +622,12 @@
 			output = append(append(output, line...), '\n')
 		}
 		if first && len(output) == 0 {
-			output = []byte("\n") // it is up to date
+			output = []byte("\n") // the node is up to date
 		}
 		for {
 			if len(output) > 0 {
-				controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // Danger: a node that takes nothing would be held for ever
+				// Without a deadline, a node that reads nothing would occupy its watch forever.
+				controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 				if _, err := w.Write(output); err != nil || controller.Flush() != nil {
 					return
 				}
@@ -628,7 +646,7 @@
 	}
 }
 
-// State is what a replica knows, for operators.
+// ReplicaState describes what a replica knows, for operators.
 type ReplicaState struct {
 	Index    int          `json:"number"`
 	Watchers int          `json:"watchers"`
@@ -636,13 +654,13 @@
 	Nodes    []NodeReport `json:"nodes"`
 }
 
-// NodeReport is a node's last report and how old it is.
+// NodeReport is a node's last report with its age in milliseconds.
 type NodeReport struct {
 	Report
 	AgeMs float64 `json:"age_ms"`
 }
 
-// State gives what the replica knows now, by key and by node.
+// State returns the chosen values in the order of their keys and the reports in the order of the nodes' names.
 func (r *Replica) State() *ReplicaState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 )
 
-// rig is three replicas in this process, with ways between them that can be cut, and nodes on either side.
+// cluster is three replicas in the test process. Connections between replicas can be cut.
 type cluster struct {
 	t        *testing.T
 	addrs    []string
@@ -28,7 +28,7 @@
 	stops    []context.CancelFunc
 
 	mu    sync.Mutex
-	isCut func(a, b int) bool // replicas by number; nodes from 10 on
+	isCut func(a, b int) bool // by replica index
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -40,7 +40,8 @@
 			t.Fatal(err)
 		}
 		listeners = append(listeners, listener)
-		c.addrs, c.dirs = append(c.addrs, listener.Addr().String()), append(c.dirs, t.TempDir())
+		c.addrs = append(c.addrs, listener.Addr().String())
+		c.dirs = append(c.dirs, t.TempDir())
 	}
 	for i, listener := range listeners {
 		c.start(i, listener)
@@ -53,7 +54,7 @@
 	return c
 }
 
-// dial refuses what is cut.
+// dial returns a dial function for replica from that fails to connect to replicas it is cut off from.
 func (c *cluster) dial(from int) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		for to, replicaAddr := range c.addrs {
@@ -72,7 +73,7 @@
 	}
 }
 
-// cutConn brings and takes nothing while its way is cut.
+// partitionConn is a connection that breaks on the first write while its two replicas are cut off from each other.
 type partitionConn struct {
 	net.Conn
 	cluster *cluster
@@ -93,6 +94,7 @@
 	return c.Conn.Write(b)
 }
 
+// start starts replica i on a listener, with whatever its directory holds.
 func (c *cluster) start(i int, listener net.Listener) {
 	var err error
 	c.replicas[i], err = NewReplica(ReplicaOptions{Index: i, Replicas: c.addrs, Dir: c.dirs[i], Dial: c.dial(i)}, zerolog.Nop())
@@ -106,12 +108,14 @@
 	go c.replicas[i].Run(ctx)
 }
 
+// stop ends replica i and breaks its connections.
 func (c *cluster) stop(i int) {
 	c.stops[i]()
 	c.servers[i].CloseClientConnections()
 	c.servers[i].Close()
 }
 
+// restart starts replica i again under its address.
 func (c *cluster) restart(i int) {
 	listener, err := net.Listen("tcp", c.addrs[i])
 	if err != nil {
@@ -120,21 +124,23 @@
 	c.start(i, listener)
 }
 
+// partition sets which replicas are cut off from each other.
 func (c *cluster) partition(isCut func(a, b int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isCut = isCut
 }
 
-func (cluster *cluster) propose(at int, change Change) (Verdict, Version, error) {
-	cluster.t.Helper()
+// propose proposes a change, of key "all" unless it names another, at a replica.
+func (c *cluster) propose(replica int, change Change) (Verdict, Version, error) {
+	c.t.Helper()
 	if change.Key == "" {
 		change.Key = "all"
 	}
-	return cluster.replicas[at].Propose(cluster.t.Context(), &change)
+	return c.replicas[replica].Propose(c.t.Context(), &change)
 }
 
-// await waits until all three hold one version of a key, with one content.
+// await waits until all three replicas know the given version of a key, with the given change ID.
 func (c *cluster) await(key Key, version Version, id string) {
 	c.t.Helper()
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -155,7 +161,7 @@
 			return
 		}
 		if time.Since(start) > 10*time.Second {
-			c.t.Fatalf("not everywhere version %d %s: %v", version, id, found)
+			c.t.Fatalf("the replicas do not all know version %d %s: %v", version, id, found)
 		}
 	}
 }
@@ -164,8 +170,9 @@
 	return json.RawMessage(fmt.Sprintf(`{"log_level":%q}`, level))
 }
 
-// One replica is cut off, and changes are asked for on both sides: the side with two takes its own, the other says that it has no
-// majority. When the way is back all three have the same, and the change that was in doubt gets one version under its id.
+// TestPartition cuts off one replica and proposes changes on both sides: the side with two replicas chooses its change,
+// the other reports that it has no majority. Once the partition heals, all three agree, and the failed change can be
+// proposed again under its ID and gets a single version.
 func TestPartition(t *testing.T) {
 	cluster := newCluster(t)
 	if verdict, version, err := cluster.propose(0, Change{ID: "before", Patch: logLevelPatch("info")}); verdict != Chosen || version != 1 || err != nil {
@@ -174,44 +181,44 @@
 	cluster.await("all", 1, "before")
 	cluster.partition(func(a, b int) bool { return (a == 2) != (b == 2) })
 	if _, _, err := cluster.propose(2, Change{ID: "lonely", Patch: logLevelPatch("warn")}); !errors.Is(err, errNoMajority) {
-		t.Errorf("on the side with one: %v", err)
+		t.Errorf("in the minority: %v", err)
 	}
 	verdict, version, err := cluster.propose(1, Change{ID: "majority", Patch: logLevelPatch("error")})
 	if verdict != Chosen || version != 2 || err != nil {
-		t.Errorf("on the side with two: %v %d %v", verdict, version, err)
+		t.Errorf("in the majority: %v %d %v", verdict, version, err)
 	}
 	cluster.partition(func(int, int) bool { return false })
 	cluster.await("all", 2, "majority")
 	verdict, version, err = cluster.propose(2, Change{ID: "lonely", Patch: logLevelPatch("warn")})
 	if verdict != Chosen || version != 3 || err != nil {
-		t.Errorf("asked for again: %v %d %v", verdict, version, err)
+		t.Errorf("proposed again: %v %d %v", verdict, version, err)
 	}
 	cluster.await("all", 3, "lonely")
-	// Nobody hears anybody: nothing is taken, everything stands.
+	// With every replica cut off, no change is chosen and the current value stays.
 	cluster.partition(func(a, b int) bool { return a != b })
-	for at := range 3 {
-		if _, _, err := cluster.propose(at, Change{ID: "alone", Patch: logLevelPatch("debug")}); !errors.Is(err, errNoMajority) {
-			t.Errorf("replica %d, alone: %v", at, err)
+	for replica := range 3 {
+		if _, _, err := cluster.propose(replica, Change{ID: "alone", Patch: logLevelPatch("debug")}); !errors.Is(err, errNoMajority) {
+			t.Errorf("replica %d, cut off: %v", replica, err)
 		}
 	}
 	cluster.partition(func(int, int) bool { return false })
 	cluster.await("all", 3, "lonely")
 }
 
-// Many at once from the same version: one of them is taken, the others are told the version that stands. Without a version all are
-// taken, one after another.
+// TestConcurrentChanges proposes many changes at once. If all expect the same version, one is chosen and the others
+// conflict; without an expected version all are chosen, one after another.
 func TestConcurrentChanges(t *testing.T) {
 	cluster := newCluster(t)
 	const changes = 9
-	race := func(from *Version, name string) (chosen int, last Version) {
+	race := func(expected *Version, name string) (chosen int, last Version) {
 		var proposers sync.WaitGroup
 		var mu sync.Mutex
 		seen := map[Version]string{}
 		for i := range changes {
 			proposers.Go(func() {
 				id := fmt.Sprint(name, i)
-				for { // contention may ask for patience
-					verdict, version, err := cluster.propose(i%3, Change{ID: id, ExpectedVersion: from, Patch: logLevelPatch("info")})
+				for { // contention can use up all attempts of a proposal
+					verdict, version, err := cluster.propose(i%3, Change{ID: id, ExpectedVersion: expected, Patch: logLevelPatch("info")})
 					if err != nil {
 						continue
 					}
@@ -234,14 +241,15 @@
 	}
 	none := Version(0)
 	if chosen, last := race(&none, "first"); chosen != 1 || last != 1 {
-		t.Errorf("%d of %d from one version were taken, the last is %d", chosen, changes, last)
+		t.Errorf("%d of %d changes that expect one version were chosen, the last version is %d", chosen, changes, last)
 	}
 	if chosen, last := race(nil, "more"); chosen != changes || last != 1+changes {
-		t.Errorf("%d of %d were taken, the last is %d", chosen, changes, last)
+		t.Errorf("%d of %d changes were chosen, the last version is %d", chosen, changes, last)
 	}
 }
 
-// A replica that starts anew has what it promised, accepted and chose; one whose disk can't be read does not start.
+// TestRestart checks that a restarted replica has what it promised, accepted and learned before, and that a replica with
+// an unreadable register does not start.
 func TestRestart(t *testing.T) {
 	cluster := newCluster(t)
 	for i, id := range []string{"one", "two"} {
@@ -250,7 +258,7 @@
 		}
 	}
 	cluster.await("all", 2, "two")
-	// A promise alone, to a ballot of which nothing more is heard, has to outlive the process too.
+	// A promise to a ballot that goes no further has to outlive the process too.
 	if _, err := cluster.replicas[1].updateRegister("all", func(register *Register) Reply { return register.Prepare(Ballot{Round: 99, Replica: 2}) }); err != nil {
 		t.Fatal(err)
 	}
@@ -260,14 +268,14 @@
 	if after := *cluster.replicas[1].registers["all"]; after.Promised != before.Promised || after.Accepted != before.Accepted || !Equal(after.Value, before.Value) {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
-	for i := range 3 { // all lose their power
+	for i := range 3 { // stop all of them
 		cluster.stop(i)
 	}
 	for i := range 3 {
 		cluster.restart(i)
 	}
 	if verdict, version, err := cluster.propose(2, Change{ID: "one"}); verdict != AlreadyChosen || version != 1 || err != nil {
-		t.Errorf("a change from before: %v %d %v", verdict, version, err)
+		t.Errorf("repeated change from before the restart: %v %d %v", verdict, version, err)
 	}
 	paths, _ := filepath.Glob(filepath.Join(cluster.dirs[0], "*.json"))
 	if len(paths) != 1 {
@@ -277,34 +285,40 @@
 		t.Fatal(err)
 	}
 	if _, err := NewReplica(ReplicaOptions{Replicas: cluster.addrs, Dir: cluster.dirs[0]}, zerolog.Nop()); err == nil || !strings.Contains(err.Error(), paths[0]) {
-		t.Errorf("a register that can't be read: %v", err)
+		t.Errorf("unreadable register: %v", err)
 	}
 }
 
-// A node that goes from one replica to another that is behind keeps what it runs; the one it comes to says what is newer once it has it.
-// Its reports go to the replica that it watches.
+// TestFollower checks that a node receives the changes of its own keys only, that its reports reach all replicas, and
+// that after a switch to a replica that is behind it keeps its newer values and receives still newer ones.
 func TestFollower(t *testing.T) {
 	cluster := newCluster(t)
 	notified := make(chan []*Value, 64)
 	follower := NewFollower(FollowerOptions{Replicas: cluster.addrs, Keys: NodeKeys("alpha", "n1"), Node: "n1", Incarnation: "1", Seed: 7}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { follower.Run(ctx, func(all []*Value) { notified <- all }); close(ended) }()
-	defer func() { cancel(); <-ended }()
+	go func() {
+		follower.Run(ctx, func(values []*Value) { notified <- values })
+		close(ended)
+	}()
+	defer func() {
+		cancel()
+		<-ended
+	}()
 	expect := func(what string, want ...string) {
 		t.Helper()
 		for deadline := time.After(10 * time.Second); ; {
 			select {
-			case all := <-notified:
+			case values := <-notified:
 				var got []string
-				for _, v := range all {
+				for _, v := range values {
 					got = append(got, fmt.Sprintf("%s %d", v.Key, v.Version))
 				}
 				if strings.Join(got, ", ") == strings.Join(want, ", ") {
 					return
 				}
 			case <-deadline:
-				t.Fatalf("%s: not told %v", what, want)
+				t.Fatalf("%s: not notified of %v", what, want)
 			}
 		}
 	}
@@ -315,14 +329,14 @@
 		}
 	}
 	propose("service/alpha", "a")
-	expect("its service's", "service/alpha 1")
+	expect("change of its service", "service/alpha 1")
 	propose("service/beta", "b")
 	propose("node/n1", "c")
-	expect("its own", "service/alpha 1", "node/n1 1")
+	expect("change of the node", "service/alpha 1", "node/n1 1")
 	propose("all", "d")
-	expect("all nodes'", "all 1", "service/alpha 1", "node/n1 1")
+	expect("change for all nodes", "all 1", "service/alpha 1", "node/n1 1")
 	follower.ReportApplied(map[Key]Version{"all": 1}, map[Key]Refusal{"node/n1": {1, "key tick"}})
-	reported := func() (n NodeReport, watched int, known bool) {
+	reported := func() (report NodeReport, watched int, known bool) {
 		for i, replica := range cluster.replicas {
 			for _, node := range replica.State().Nodes {
 				if node.Node == "n1" && node.Applied["all"] == 1 && node.Refused["node/n1"].Reason == "key tick" && replica.State().Watchers > 0 {
@@ -330,7 +344,7 @@
 				}
 			}
 		}
-		return n, 0, false
+		return report, 0, false
 	}
 	var watched int
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -342,7 +356,7 @@
 			t.Fatal("no report")
 		}
 	}
-	// The others know it too: should this replica be lost, the node must not seem to have gone with it.
+	// The other replicas must know the report too: if the watched one is lost, the node must not seem lost with it.
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		informed := 0
 		for _, replica := range cluster.replicas {
@@ -354,10 +368,10 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatalf("%d replicas know what it runs", informed)
+			t.Fatalf("%d replicas know the report", informed)
 		}
 	}
-	// The replica that it watches ends; the two others are made to know nothing, as if they were behind.
+	// The watched replica ends. The two others forget all values, as if they were behind.
 	cluster.stop(watched)
 	for i, replica := range cluster.replicas {
 		if i != watched {
@@ -368,20 +382,20 @@
 	}
 	for start := time.Now(); follower.View().Replica == "" || follower.View().Replica == cluster.addrs[watched]; time.Sleep(10 * time.Millisecond) {
 		if time.Since(start) > 10*time.Second {
-			t.Fatal("it watches no other replica")
+			t.Fatal("the follower watches no other replica")
 		}
 	}
 	if view := follower.View(); view.Received["all"] != 1 || view.Received["node/n1"] != 1 || len(notified) > 0 {
-		t.Errorf("it went back: %v", view.Received)
+		t.Errorf("the follower lost values: %v", view.Received)
 	}
 	other := (watched + 1) % 3
 	if _, version, err := cluster.replicas[other].Propose(t.Context(), &Change{Key: "all", ID: "e", Patch: logLevelPatch("warn")}); version != 2 || err != nil {
 		t.Fatal(version, err)
 	}
-	expect("what is newer", "all 2", "service/alpha 1", "node/n1 1")
+	expect("newer change", "all 2", "service/alpha 1", "node/n1 1")
 }
 
-// What no node could be meant by is refused, before anything is proposed.
+// TestInvalidChanges checks that malformed changes get status 400 and those that can't be carried out 409.
 func TestInvalidChanges(t *testing.T) {
 	cluster := newCluster(t)
 	for body, want := range map[string]int{
@@ -404,7 +418,7 @@
 		}
 		response.Body.Close()
 		if response.StatusCode != want {
-			t.Errorf("%.60s: %d, not %d", body, response.StatusCode, want)
+			t.Errorf("%.60s: status %d, want %d", body, response.StatusCode, want)
 		}
 	}
 	response, err := http.Get("http://" + cluster.addrs[0] + "/changes?held=all")
@@ -413,6 +427,6 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusBadRequest {
-		t.Errorf("a watch without versions: %d", response.StatusCode)
+		t.Errorf("watch without versions: status %d", response.StatusCode)
 	}
 }
--- a/internal/store/round.go
+++ b/internal/store/round.go
@@ -1,24 +1,27 @@
 package store
 
-// phase is what a round waits for.
+// phase is the stage of a round.
 type phase uint8
 
 const (
-	preparing phase = iota // promises
-	accepting              // acceptances
-	done                   // a majority has accepted
-	preempted              // a later ballot is in the way
+	preparing phase = iota // waiting for promises
+	accepting              // waiting for acceptances
+	done                   // a majority has accepted the value
+	preempted              // later ballots make a majority impossible
 )
 
-// Round is one attempt to change a key. From preparing it goes on to accepting with a majority of promises, from there to done with
-// a majority of acceptances; one refusal that can't be outvoted ends it.
+// Round is one attempt to change a key, the proposer of CASPaxos. A majority of promises moves it from preparing to
+// accepting, a majority of acceptances from there to done. It is preempted once so many replicas have rejected the
+// ballot that a majority is no longer possible.
 //
-//	state      input                          effect                     next
-//	preparing  promise, a majority now        value made of the latest   accepting
-//	preparing  refusal, no majority possible                             overtaken
-//	accepting  acceptance, a majority now     value is chosen            done
-//	accepting  refusal, no majority possible                             overtaken
-//	any        anything of a replica twice    none                       the same
+//	phase      input                             effect                              next
+//	preparing  promise that makes a majority     next value built from the latest    accepting
+//	preparing  rejection, no majority possible                                       preempted
+//	accepting  acceptance that makes a majority  value is chosen                     done
+//	accepting  rejection, no majority possible                                       preempted
+//	any        second reply of a replica         ignored                             unchanged
+//
+// A round whose change results in no value is done as soon as a majority has promised.
 type Round struct {
 	Ballot        Ballot
 	change        *Change
@@ -27,20 +30,20 @@
 	promises      map[int]Reply
 	acceptedBy    map[int]bool
 	rejectedBy    map[int]bool
-	highestBallot Ballot // the highest that was in the way
+	highestBallot Ballot // highest ballot seen in a rejection
 	value         *Value
 	verdict       Verdict
 	version       Version
 }
 
-// NewRound begins with a ballot that its replica has never used.
+// NewRound returns a round in the preparing phase. Its ballot must be one that its replica has never used before.
 func NewRound(ballot Ballot, change *Change, replicas int) *Round {
 	return &Round{Ballot: ballot, change: change, replicas: replicas, promises: map[int]Reply{}, acceptedBy: map[int]bool{}, rejectedBy: map[int]bool{}}
 }
 
 func (r *Round) majority() int { return r.replicas/2 + 1 }
 
-// refuse counts a replica that has promised a later ballot.
+// recordRejection counts a replica that has promised a later ballot.
 func (r *Round) recordRejection(from int, ballot Ballot) {
 	r.rejectedBy[from] = true
 	if ballot.Compare(r.highestBallot) > 0 {
@@ -51,7 +54,7 @@
 	}
 }
 
-// Promised takes a replica's answer to the ballot.
+// HandlePrepareReply processes a replica's reply to the prepare request.
 func (r *Round) HandlePrepareReply(from int, reply Reply) {
 	if _, answered := r.promises[from]; answered || r.rejectedBy[from] || r.phase != preparing {
 		return
@@ -64,7 +67,8 @@
 	if len(r.promises) < r.majority() {
 		return
 	}
-	// Danger: of what was accepted before, the latest may have been chosen; any other must give way to it.
+	// The value accepted under the highest ballot may already be chosen. Building on any other value would overwrite a
+	// chosen one.
 	var latest Reply
 	for _, reply := range r.promises {
 		if reply.Value != nil && (latest.Value == nil || reply.Accepted.Compare(latest.Accepted) > 0) {
@@ -72,13 +76,14 @@
 		}
 	}
 	r.value, r.verdict, r.version = NextValue(latest.Value, r.change)
-	r.phase, r.rejectedBy = accepting, map[int]bool{}
-	if r.value == nil { // nothing stands, and the change makes nothing
+	r.phase = accepting
+	r.rejectedBy = map[int]bool{}
+	if r.value == nil { // the key has no value and the change creates none
 		r.phase = done
 	}
 }
 
-// Accepted takes a replica's answer to the value.
+// HandleAcceptReply processes a replica's reply to the accept request.
 func (r *Round) HandleAcceptReply(from int, reply Reply) {
 	if r.acceptedBy[from] || r.rejectedBy[from] || r.phase != accepting {
 		return
@@ -87,7 +92,8 @@
 		r.recordRejection(from, reply.Promised)
 		return
 	}
-	if r.acceptedBy[from] = true; len(r.acceptedBy) >= r.majority() {
+	r.acceptedBy[from] = true
+	if len(r.acceptedBy) >= r.majority() {
 		r.phase = done
 	}
 }
--- a/internal/store/round_test.go
+++ b/internal/store/round_test.go
@@ -7,25 +7,25 @@
 	"testing"
 )
 
-// packet is one on its way between replicas in the simulation.
+// packet is a message between two simulated replicas. Its delivery runs the handler of the receiver.
 type packet struct {
 	from, to int
 	deliver  func()
 }
 
-// world is some replicas, with messages that come in any order, twice, or never, ways that are cut, and replicas that start anew with what
-// their disks hold.
+// simulation runs replicas on a simulated network that reorders, duplicates and loses messages and can be partitioned.
+// Replicas fail and restart with the registers that they had on disk.
 type simulation struct {
 	rng          *rand.Rand
-	registers    []Register
+	registers    []Register // on disk, by replica
 	inTransit    []packet
 	isCut        func(a, b int) bool
 	down         []bool
-	incarnations []int
-	chosen       map[Version]*Value // of the one key
-	confirmed    map[string]Version // to whoever asked
-	learned      []map[Key]*Value
-	violation    string
+	incarnations []int              // by replica; goes up with each restart
+	chosen       map[Version]*Value // of the only key
+	confirmed    map[string]Version // by change ID: the version that a client was told
+	learned      []map[Key]*Value   // chosen values that a replica knows
+	violation    string             // latest violated property; "" for none
 }
 
 func newSimulation(seed uint64, replicas int) *simulation {
@@ -41,7 +41,8 @@
 	s.inTransit = append(s.inTransit, packet{from, to, deliver})
 }
 
-// step delivers one packet, drawn at random; some are lost, some come again later.
+// step takes a random packet from the network and delivers it. Some are lost and some stay in transit for a second
+// delivery. It reports false if no packet was in transit.
 func (s *simulation) step() bool {
 	if len(s.inTransit) == 0 {
 		return false
@@ -59,7 +60,8 @@
 	return true
 }
 
-// propose begins a round at a replica, with messages only; what a replica promises is on its disk at once.
+// propose starts a round at a replica. All replies of other replicas arrive as packets; a change of a register counts as
+// saved at once.
 func (s *simulation) propose(replica int, change *Change) {
 	if s.down[replica] {
 		return
@@ -83,7 +85,7 @@
 			})
 		}
 	}
-	round.HandlePrepareReply(replica, s.registers[replica].Prepare(ballot)) // its own first, or the round's number could be used again
+	round.HandlePrepareReply(replica, s.registers[replica].Prepare(ballot)) // first, so that the ballot is never used again
 	for to := range s.registers {
 		if to == replica {
 			continue
@@ -104,6 +106,7 @@
 	}
 }
 
+// recordChosen notes the result of a finished round, and a violation if it contradicts an earlier one.
 func (s *simulation) recordChosen(replica int, round *Round) {
 	if round.value == nil {
 		return
@@ -115,13 +118,14 @@
 	MergeNewer(s.learned[replica], round.value)
 	if round.verdict == Chosen || round.verdict == AlreadyChosen {
 		if previous, known := s.confirmed[round.change.ID]; known && previous != round.version {
-			s.violation = fmt.Sprintf("%s was told as %d and %d", round.change.ID, previous, round.version)
+			s.violation = fmt.Sprintf("change %s was confirmed as version %d and %d", round.change.ID, previous, round.version)
 		}
 		s.confirmed[round.change.ID] = round.version
 	}
 }
 
-// play runs one seed: changes from all sides with losses, cuts and new starts, then peace.
+// simulate runs one seed: changes at random replicas during message loss, partitions and restarts, then a last round on
+// a fault-free network. It returns the violated property, or "".
 func simulate(seed uint64, replicas int) string {
 	s := newSimulation(seed, replicas)
 	for i := range 40 {
@@ -131,7 +135,7 @@
 			from := Version(s.rng.IntN(8))
 			change.ExpectedVersion = &from
 		}
-		change.Patch = json.RawMessage(`"` + change.ID + `"`) // the same change says the same
+		change.Patch = json.RawMessage(`"` + change.ID + `"`) // a repeated change has the same content
 		if v := s.learned[replica]["all"]; v != nil && s.rng.IntN(4) == 0 {
 			change.ExpectedVersion = &v.Version
 		}
@@ -139,12 +143,12 @@
 		switch s.rng.IntN(12) {
 		case 0:
 			isolated := s.rng.IntN(replicas)
-			s.isCut = func(a, ballot int) bool { return a == isolated || ballot == isolated }
+			s.isCut = func(a, b int) bool { return a == isolated || b == isolated }
 		case 1:
 			s.isCut = func(int, int) bool { return false }
 		case 2:
-			restarted := s.rng.IntN(replicas)
-			s.down[restarted] = true
+			failed := s.rng.IntN(replicas)
+			s.down[failed] = true
 		case 3:
 			for restarted := range s.down {
 				if s.down[restarted] {
@@ -157,7 +161,7 @@
 			s.step()
 		}
 	}
-	// Peace: what was told stands.
+	// On a fault-free network a round must succeed, and everything confirmed before must still hold.
 	s.isCut = func(int, int) bool { return false }
 	clear(s.down)
 	var final *Round
@@ -181,11 +185,11 @@
 	case s.violation != "":
 		return s.violation
 	case final.phase != done:
-		return "no end in peace"
+		return "no round succeeds on a fault-free network"
 	case final.value == nil && len(s.confirmed) > 0:
-		return "all is lost"
+		return "all confirmed changes are lost"
 	}
-	// A version that only a minority accepted may stand in the past of a later one that was chosen: then it counts.
+	// A version that only a minority accepted may be in the history of a later chosen value: then it counts as chosen.
 	history := map[Version]string{}
 	recordVersion := func(v Version, id string) {
 		if recorded, exists := history[v]; exists && recorded != id {
@@ -204,19 +208,20 @@
 	}
 	for id, version := range s.confirmed {
 		if history[version] != id || version > final.value.Version {
-			return fmt.Sprintf("%s was told as %d, which is %q; the last is %d", id, version, history[version], final.value.Version)
+			return fmt.Sprintf("change %s was confirmed as version %d, which is %q; the last version is %d", id, version, history[version], final.value.Version)
 		}
 	}
 	for v := Version(1); final.value != nil && v <= final.value.Version; v++ {
 		if change := s.chosen[v]; change != nil && v > 1 && s.chosen[v-1] != nil && string(change.PreviousPatch) != string(s.chosen[v-1].Patch) {
-			return fmt.Sprintf("version %d does not follow on %d", v, v-1)
+			return fmt.Sprintf("version %d is not based on version %d", v, v-1)
 		}
 	}
 	return ""
 }
 
-// One content a version, versions that follow each other, and what was told stands: over thousands of seeds of lost, doubled and
-// reordered messages, cuts, and replicas that start anew.
+// TestRegisterProperties guards the safety of the protocol: each version has one content, each version is based on the
+// one before, and a confirmed change is never lost, whatever messages are lost, duplicated or reordered and whichever
+// replicas are cut off or restart.
 func TestRegisterProperties(t *testing.T) {
 	seeds := uint64(3000)
 	if testing.Short() {
@@ -231,37 +236,37 @@
 	}
 }
 
-// What a change makes of what stands, case by case.
-func TestNext(t *testing.T) {
-	version := func(v Version) *Version { return &v }
+// TestNextValue checks the result of each kind of change on each kind of current value.
+func TestNextValue(t *testing.T) {
+	pointerTo := func(version Version) *Version { return &version }
 	first, _, _ := NextValue(nil, &Change{Key: "all", ID: "a", Patch: json.RawMessage(`1`)})
 	second, _, _ := NextValue(first, &Change{Key: "all", ID: "b", Patch: json.RawMessage(`2`)})
 	for name, c := range map[string]struct {
-		now     *Value
+		current *Value
 		change  Change
 		verdict Verdict
 		version Version
 		patch   string
 	}{
-		"the first":                       {nil, Change{ID: "a", Patch: json.RawMessage(`1`)}, Chosen, 1, "1"},
-		"one after it":                    {first, Change{ID: "b", Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"from the version that stands":    {first, Change{ID: "b", ExpectedVersion: version(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"two at once: the second":         {second, Change{ID: "c", ExpectedVersion: version(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
-		"from a version that never was":   {nil, Change{ID: "c", ExpectedVersion: version(4)}, Conflict, 0, ""},
-		"the same twice":                  {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, AlreadyChosen, 2, "2"},
-		"the same again, after another":   {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, AlreadyChosen, 1, "2"},
-		"the way back":                    {second, Change{ID: "d", Rollback: true}, Chosen, 3, "1"},
-		"no way back from the first":      {first, Change{ID: "d", Rollback: true}, NothingToRollBack, 1, "1"},
-		"no way back from nothing":        {nil, Change{ID: "d", Rollback: true}, NothingToRollBack, 0, ""},
-		"the way back, and another since": {second, Change{ID: "d", Rollback: true, ExpectedVersion: version(1)}, Conflict, 2, "2"},
+		"first change":                           {nil, Change{ID: "a", Patch: json.RawMessage(`1`)}, Chosen, 1, "1"},
+		"second change":                          {first, Change{ID: "b", Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
+		"expected version is current":            {first, Change{ID: "b", ExpectedVersion: pointerTo(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
+		"expected version is outdated":           {second, Change{ID: "c", ExpectedVersion: pointerTo(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
+		"expected version never existed":         {nil, Change{ID: "c", ExpectedVersion: pointerTo(4)}, Conflict, 0, ""},
+		"repeated at once":                       {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, AlreadyChosen, 2, "2"},
+		"repeated after another change":          {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, AlreadyChosen, 1, "2"},
+		"rollback":                               {second, Change{ID: "d", Rollback: true}, Chosen, 3, "1"},
+		"rollback of the first version":          {first, Change{ID: "d", Rollback: true}, NothingToRollBack, 1, "1"},
+		"rollback of a key without a value":      {nil, Change{ID: "d", Rollback: true}, NothingToRollBack, 0, ""},
+		"rollback, expected version is outdated": {second, Change{ID: "d", Rollback: true, ExpectedVersion: pointerTo(1)}, Conflict, 2, "2"},
 	} {
-		got, verdict, at := NextValue(c.now, &c.change)
+		got, verdict, version := NextValue(c.current, &c.change)
 		patch := ""
 		if got != nil {
 			patch = string(got.Patch)
 		}
-		if verdict != c.verdict || at != c.version || patch != c.patch {
-			t.Errorf("%s: %s, version %d, patch %s", name, verdict, at, patch)
+		if verdict != c.verdict || version != c.version || patch != c.patch {
+			t.Errorf("%s: %s, version %d, patch %s", name, verdict, version, patch)
 		}
 	}
 	v := first
@@ -269,6 +274,6 @@
 		v, _, _ = NextValue(v, &Change{ID: fmt.Sprint(i)})
 	}
 	if len(v.History) != maxHistory {
-		t.Errorf("%d past changes are kept", len(v.History))
+		t.Errorf("history has %d changes", len(v.History))
 	}
 }
