--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,9 +1,9 @@
-// Package routes says which pool an op goes to: by host, path, method and headers, the most specific route first. It is
-// compiled once and looked up without allocation, and it does no I/O.
+// Package routes selects the pool of an op by the host, path, method and headers of its request. The most specific
+// route is tried first. A table of routes is compiled once; looking up a request in it does no I/O and allocates nothing.
 //
-// A request is matched by the bytes of its target as they go on to the server. A target that a server could read
-// otherwise than this package does (dot segments, empty segments, escapes of characters that need none) is refused, so
-// that no route can be got round.
+// Paths are compared byte for byte, as they are forwarded to the server. A path that a server could interpret
+// differently (one with dot segments, empty segments or unnecessary escapes) is rejected, so that no client can bypass
+// a route by writing its path in another way.
 package routes
 
 import (
@@ -16,97 +16,99 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pool is a pool's place in the configuration.
+// PoolIndex is the index of a pool in the configuration.
 type PoolIndex uint16
 
-// Kind says how a route's path is compared.
+// PathType determines how the path of a route is compared with that of a request.
 type PathType uint8
 
 const (
-	Exact    PathType = iota // the whole path
-	Template                 // as many segments, {name} for any one
-	Prefix                   // whole segments at the front; "/" is every path
+	Exact    PathType = iota // the whole path is equal
+	Template                 // the same number of segments; {name} stands for any non-empty one
+	Prefix                   // the first segments are equal; "/" matches every path
 )
 
-func (k PathType) String() string { return [...]string{"exact", "template", "prefix"}[k] }
+// String returns the name of the path type.
+func (t PathType) String() string { return [...]string{"exact", "template", "prefix"}[t] }
 
-// Header is a condition on one header.
+// HeaderMatch is a condition on one header. A header that occurs more than once in a request never matches.
 type HeaderMatch struct {
 	Name     string // in canonical form
-	Value    string // equal to the one value; of a header that is given twice neither counts
-	AnyValue bool   // it is enough that it is there
+	Value    string // the value it must have
+	AnyValue bool   // matches any value; Value is ignored
 }
 
-// Share is a pool's part of a route.
+// WeightedPool is a pool of a route with its share of the callers.
 type WeightedPool struct {
 	Pool   PoolIndex
-	Weight uint32 // of the sum of the route's weights
+	Weight uint32 // relative to the sum of the route's weights
 }
 
-// Route is one line of the configuration.
+// Route is one route of the configuration. A request matches it if host, path, method and all headers match.
 type Route struct {
-	Name     string
-	Host     string // lower case, no port; "*.example.org" is any host below; "" is any
+	Name     string // unique in a table
+	Host     string // in lower case, without port; "*.example.org" matches all its subdomains, "" any host
 	PathType PathType
 	Path     string
-	Methods  []string // none: any
-	Headers  []HeaderMatch
-	Pools    []WeightedPool // in the order in which callers fill them; at least one
-	Mirror   *PoolIndex     // gets a copy of reads, whose answer is thrown away
+	Methods  []string       // empty matches any method
+	Headers  []HeaderMatch  // all of them must match
+	Pools    []WeightedPool // at least one; callers are assigned to them in this order
+	Mirror   *PoolIndex     // receives a copy of each read, and its answer is discarded; nil for none
 }
 
-// Request is what is matched.
+// Request holds the parts of a request that routes are matched with. Host, path and method are unchanged from the
+// request line and the Host header; the path excludes the query.
 type Request struct {
-	Host, Path, Method string // as they came; the path without its query
+	Host, Path, Method string
 	Header             http.Header
 }
 
-// Table is a set of routes, ready to be looked up. It never changes and may be used from any goroutine.
+// Table is a compiled set of routes. It is immutable and safe for concurrent use.
 type Table struct {
 	routes        []Route
-	weightSums    []uint32 // of each route's weights
+	weightSums    []uint32 // sum of the weights of each route
 	exactHosts    map[string]*segmentNode
-	wildcardHosts map[string]*segmentNode // of "*.example.org", by "example.org"
+	wildcardHosts map[string]*segmentNode // "*.example.org" has the key "example.org"
 	anyHost       *segmentNode
-	hasEscapes    bool // a path has an escape, so that their letters' case matters
+	hasEscapes    bool // whether a route's path has an escape, so that the case of escapes matters
 }
 
-// branch is a place in the tree of path segments. Routes that end in one place are tried in their order.
+// segmentNode is a node in the tree of path segments. The routes that end at a node are tried in the order of its lists.
 type segmentNode struct {
-	children     map[string]*segmentNode
-	param        *segmentNode
-	routes       []int32 // routes
-	prefixRoutes []int32
+	children     map[string]*segmentNode // by literal segment
+	param        *segmentNode            // for a segment that is a template parameter
+	routes       []int32                 // indexes of exact and template routes
+	prefixRoutes []int32                 // indexes of prefix routes
 }
 
 const (
-	maxSegments = 64 // of a request's path
-	maxParams   = 8  // of a template; each can cost a second look
+	maxSegments = 64 // of a request's path; bounds the recursion of match
+	maxParams   = 8  // of a template, because matching may try two branches at each
 )
 
-// Warning is something that works and is hardly meant.
+// Warning describes a part of a valid configuration that is probably a mistake.
 type Warning string
 
-// Compile makes a table. An error names the route. A route that can never be reached is a warning.
+// Compile builds a table. An error names the route that is invalid. Each route that no request can reach gets a warning.
 func Compile(routes []Route) (*Table, []Warning, error) {
 	t := &Table{routes: slices.Clone(routes), exactHosts: make(map[string]*segmentNode), wildcardHosts: make(map[string]*segmentNode), anyHost: &segmentNode{}}
 	names := make(map[string]bool, len(routes))
 	for i := range t.routes {
-		r := &t.routes[i]
-		if err := r.validate(); err != nil {
-			return nil, nil, fmt.Errorf("route %q: %w", r.Name, err)
+		route := &t.routes[i]
+		if err := route.validate(); err != nil {
+			return nil, nil, fmt.Errorf("route %q: %w", route.Name, err)
 		}
-		if names[r.Name] {
-			return nil, nil, fmt.Errorf("route %q: there are two of that name", r.Name)
+		if names[route.Name] {
+			return nil, nil, fmt.Errorf("route %q: the name is used twice", route.Name)
 		}
-		names[r.Name] = true
-		t.hasEscapes = t.hasEscapes || strings.Contains(r.Path, "%")
+		names[route.Name] = true
+		t.hasEscapes = t.hasEscapes || strings.Contains(route.Path, "%")
 		sum := uint32(0)
-		for _, s := range r.Pools {
-			sum += s.Weight
+		for _, pool := range route.Pools {
+			sum += pool.Weight
 		}
 		t.weightSums = append(t.weightSums, sum)
-		t.insert(r, int32(i))
+		t.insert(route, int32(i))
 	}
 	var warnings []Warning
 	for _, root := range t.roots() {
@@ -115,6 +117,7 @@
 	return t, warnings, nil
 }
 
+// roots returns the tree of each host in a fixed order, so that warnings come in a fixed order.
 func (t *Table) roots() []*segmentNode {
 	roots := []*segmentNode{t.anyHost}
 	for _, byName := range []map[string]*segmentNode{t.exactHosts, t.wildcardHosts} {
@@ -130,22 +133,23 @@
 	return roots
 }
 
+// validate checks a route on its own.
 func (r *Route) validate() error {
 	host := strings.TrimPrefix(r.Host, "*.")
 	switch {
 	case r.Name == "":
-		return errors.New("has no name")
+		return errors.New("the name is missing")
 	case strings.ToLower(host) != host || strings.ContainsAny(host, ":/*"):
-		return fmt.Errorf("host %q is not in lower case, or has a port or a star inside", r.Host)
+		return fmt.Errorf("host %q must be in lower case, without a port and without a star other than a leading \"*.\"", r.Host)
 	case len(r.Pools) == 0:
-		return errors.New("names no pool")
+		return errors.New("no pool is given")
 	}
 	totalWeight := uint64(0)
-	for _, s := range r.Pools {
-		totalWeight += uint64(s.Weight)
+	for _, pool := range r.Pools {
+		totalWeight += uint64(pool.Weight)
 	}
 	if totalWeight == 0 || totalWeight > 1<<31 {
-		return fmt.Errorf("its weights add up to %d", totalWeight)
+		return fmt.Errorf("the weights add up to %d; 1 to 2147483648 is allowed", totalWeight)
 	}
 	path := r.Path
 	if r.PathType == Template {
@@ -155,11 +159,11 @@
 			case strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}") && len(segment) > 2:
 				params++
 			case strings.ContainsAny(segment, "{}"):
-				return fmt.Errorf("path %q: %q is neither a {name} nor plain", r.Path, segment)
+				return fmt.Errorf("path %q: segment %q is neither a {name} nor a literal", r.Path, segment)
 			}
 		}
 		if params > maxParams {
-			return fmt.Errorf("path %q has more than %d names", r.Path, maxParams)
+			return fmt.Errorf("path %q has more than %d parameters", r.Path, maxParams)
 		}
 		path = strings.NewReplacer("{", "", "}", "").Replace(path)
 	}
@@ -167,36 +171,38 @@
 		return fmt.Errorf("path %q: %w", r.Path, err)
 	}
 	if strings.Contains(path, "%") && hasLowercaseEscape(path) {
-		return fmt.Errorf("path %q: escapes are written with capital letters", r.Path)
+		return fmt.Errorf("path %q: escapes must be in upper case", r.Path)
 	}
-	for _, h := range r.Headers {
-		if h.Name == "" || http.CanonicalHeaderKey(h.Name) != h.Name {
-			return fmt.Errorf("header %q is not in its canonical form", h.Name)
+	for _, header := range r.Headers {
+		if header.Name == "" || http.CanonicalHeaderKey(header.Name) != header.Name {
+			return fmt.Errorf("header %q is not in canonical form", header.Name)
 		}
 	}
 	return nil
 }
 
-// place puts a route where its path ends.
-func (t *Table) insert(r *Route, index int32) {
+// insert adds a route to the node at which its path ends.
+func (t *Table) insert(route *Route, index int32) {
 	node := t.anyHost
-	if r.Host != "" {
-		roots, name := t.exactHosts, r.Host
-		if suffix, isWildcard := strings.CutPrefix(r.Host, "*."); isWildcard {
-			roots, name = t.wildcardHosts, suffix
+	if route.Host != "" {
+		roots := t.exactHosts
+		name := route.Host
+		if suffix, isWildcard := strings.CutPrefix(route.Host, "*."); isWildcard {
+			roots = t.wildcardHosts
+			name = suffix
 		}
 		if roots[name] == nil {
 			roots[name] = &segmentNode{}
 		}
 		node = roots[name]
 	}
-	path := r.Path[1:]
-	if r.PathType == Prefix {
+	path := route.Path[1:]
+	if route.PathType == Prefix {
 		path = strings.TrimSuffix(path, "/")
 	}
-	if path != "" || r.PathType != Prefix {
+	if path != "" || route.PathType != Prefix {
 		for segment := range strings.SplitSeq(path, "/") {
-			if r.PathType == Template && strings.HasPrefix(segment, "{") {
+			if route.PathType == Template && strings.HasPrefix(segment, "{") {
 				if node.param == nil {
 					node.param = &segmentNode{}
 				}
@@ -212,31 +218,33 @@
 			node = node.children[segment]
 		}
 	}
-	if r.PathType == Prefix {
+	if route.PathType == Prefix {
 		node.prefixRoutes = append(node.prefixRoutes, index)
 	} else {
 		node.routes = append(node.routes, index)
 	}
 }
 
-// order sorts the routes that end in one place: those with a method before those for any, more headers first, then as
-// they stand in the file. Two that differ in nothing shadow one another.
+// sortRoutes sorts the routes that end at a node and at all nodes below it: those for certain methods come first, then
+// those with more headers, then those that come first in the configuration. It adds a warning for each route that
+// follows one which matches all its requests.
 func (t *Table) sortRoutes(node *segmentNode, warnings *[]Warning) {
 	for _, candidates := range [][]int32{node.routes, node.prefixRoutes} {
 		slices.SortStableFunc(candidates, func(a, b int32) int {
-			x, y := &t.routes[a], &t.routes[b]
-			if (len(x.Methods) > 0) != (len(y.Methods) > 0) {
-				if len(x.Methods) > 0 {
+			first := &t.routes[a]
+			second := &t.routes[b]
+			if (len(first.Methods) > 0) != (len(second.Methods) > 0) {
+				if len(first.Methods) > 0 {
 					return -1
 				}
 				return 1
 			}
-			return len(y.Headers) - len(x.Headers)
+			return len(second.Headers) - len(first.Headers)
 		})
 		for i, index := range candidates {
 			for _, earlier := range candidates[:i] {
 				if t.routes[earlier].covers(&t.routes[index]) {
-					*warnings = append(*warnings, Warning(fmt.Sprintf("route %q is never reached: %q takes all that it would",
+					*warnings = append(*warnings, Warning(fmt.Sprintf("route %q is unreachable: route %q matches all its requests",
 						t.routes[index].Name, t.routes[earlier].Name)))
 					break
 				}
@@ -256,55 +264,59 @@
 	}
 }
 
-// covers says that r takes every request that other would, both ending in one place.
+// covers reports whether r matches every request that other matches. Both must end at the same node.
 func (r *Route) covers(other *Route) bool {
 	if len(r.Methods) > 0 {
 		if len(other.Methods) == 0 {
 			return false
 		}
-		for _, m := range other.Methods {
-			if !slices.Contains(r.Methods, m) {
+		for _, method := range other.Methods {
+			if !slices.Contains(r.Methods, method) {
 				return false
 			}
 		}
 	}
-	for _, h := range r.Headers {
-		if !slices.ContainsFunc(other.Headers, func(o HeaderMatch) bool { return o == h || h.AnyValue && o.Name == h.Name }) {
+	for _, header := range r.Headers {
+		if !slices.ContainsFunc(other.Headers, func(otherHeader HeaderMatch) bool {
+			return otherHeader == header || header.AnyValue && otherHeader.Name == header.Name
+		}) {
 			return false
 		}
 	}
 	return true
 }
 
-// Route gives a route by the number that Lookup gave.
+// Route returns the route with the given index, as returned by Lookup.
 func (t *Table) Route(index int) *Route { return &t.routes[index] }
 
-// Len is how many routes there are.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// ErrPath says that a path is not matched, since a server may read it otherwise.
+// Errors for paths that are rejected because servers may interpret them differently.
 var (
 	ErrNotAbsolute     = errors.New("the path does not begin with a slash")
 	ErrDotSegment      = errors.New("the path has a dot segment")
 	ErrEmptySegment    = errors.New("the path has an empty segment")
-	ErrBadEscape       = errors.New("the path has an escape that is broken, or of a character that needs none or may not be there")
-	ErrBadByte         = errors.New("the path has a byte that has no place in one")
+	ErrBadEscape       = errors.New("the path has an escape that is malformed, unnecessary or not allowed")
+	ErrBadByte         = errors.New("the path has a byte that is not allowed in a path")
 	ErrTooManySegments = errors.New("the path has too many segments")
-	ErrLowercaseEscape = errors.New("the path has an escape in small letters")
+	ErrLowercaseEscape = errors.New("the path has an escape in lower case")
 )
 
-// Lookup finds the route of a request. found is false if none fits; err says why the request can't be matched at all,
-// and is to be answered with a 400.
+// Lookup returns the index of the route that a request matches. Routes for the exact host come first, then those for a
+// wildcard, the longest suffix first, then those for any host. Found is false if no route matches. An error means that
+// the path is rejected; the request should be answered with status 400.
 func (t *Table) Lookup(request *Request) (index int, found bool, err error) {
 	if err := ValidatePath(request.Path); err != nil {
 		return 0, false, err
 	}
 	if t.hasEscapes && hasLowercaseEscape(request.Path) {
-		return 0, false, ErrLowercaseEscape // Danger: it would pass by the route that is written with capitals
+		// It would otherwise bypass a route whose path has the same escape in upper case.
+		return 0, false, ErrLowercaseEscape
 	}
 	var buffer [maxHostBytes]byte
 	host := normalizeHost(request.Host, &buffer)
-	if root := t.exactHosts[string(host)]; root != nil { // the compiler makes no string of it
+	if root := t.exactHosts[string(host)]; root != nil { // the compiler avoids the allocation of a string here
 		if match := t.match(root, request.Path[1:], request); match >= 0 {
 			return int(match), true, nil
 		}
@@ -329,11 +341,11 @@
 	return 0, false, nil
 }
 
-// maxHost is the longest host name that there is.
+// maxHostBytes is the maximum length of a host name.
 const maxHostBytes = 255
 
-// bare is a host in small letters without its port and without a dot at its end. One that is too long is no host of
-// ours.
+// normalizeHost returns a host in lower case, without its port and without a trailing dot. For a host that is too long
+// it returns nil, which matches no configured host. The result uses the buffer.
 func normalizeHost(host string, buffer *[maxHostBytes]byte) []byte {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -352,8 +364,8 @@
 	return buffer[:len(host)]
 }
 
-// walk goes down the tree: a plain segment before a name, and what is longer before a prefix. It gives -1 if nothing
-// fits.
+// match returns the index of the most specific route below a node for the rest of a path, or -1 if none matches. A
+// literal segment goes before a parameter, and a longer path before a shorter prefix.
 func (t *Table) match(node *segmentNode, path string, request *Request) int32 {
 	segment, rest, hasMore := strings.Cut(path, "/")
 	for _, child := range [2]*segmentNode{node.children[segment], node.param} {
@@ -376,57 +388,59 @@
 	return t.firstMatch(node.prefixRoutes, request)
 }
 
-// first is the first route of a place whose method and headers fit.
+// firstMatch returns the first candidate whose method and headers match, or -1.
 func (t *Table) firstMatch(candidates []int32, request *Request) int32 {
 	for _, index := range candidates {
-		r := &t.routes[index]
-		if (len(r.Methods) == 0 || slices.Contains(r.Methods, request.Method)) && r.matchesHeaders(request.Header) {
+		route := &t.routes[index]
+		if (len(route.Methods) == 0 || slices.Contains(route.Methods, request.Method)) && route.matchesHeaders(request.Header) {
 			return index
 		}
 	}
 	return -1
 }
 
+// matchesHeaders reports whether a request's headers meet all conditions of the route.
 func (r *Route) matchesHeaders(header http.Header) bool {
 	for i := range r.Headers {
-		h := &r.Headers[i]
-		// Danger: of a header that is given twice a server may take either.
-		if values := header[h.Name]; len(values) != 1 || !h.AnyValue && values[0] != h.Value {
+		match := &r.Headers[i]
+		// A header that occurs twice matches nothing, because a server may use either value.
+		if values := header[match.Name]; len(values) != 1 || !match.AnyValue && values[0] != match.Value {
 			return false
 		}
 	}
 	return true
 }
 
-// Pick gives the pool of a caller. One caller stays with one pool while shares move: as the first pool's share shrinks,
-// callers only leave it, and as it grows they only come back.
+// PickPool returns the pool of a caller for the route with the given index. The choice is a stable hash: while the
+// weight of the first pool shrinks, callers only leave it, and while it grows, they only return.
 func (t *Table) PickPool(index int, caller string) PoolIndex {
-	r := &t.routes[index]
-	if len(r.Pools) == 1 {
-		return r.Pools[0].Pool
+	route := &t.routes[index]
+	if len(route.Pools) == 1 {
+		return route.Pools[0].Pool
 	}
-	// The route's name counts too, so that it is not the same callers who try out each new thing.
+	// The route's name is hashed too. Otherwise the same callers would be the first to try each new version.
 	hash := xxhash.Digest{}
 	hash.Reset()
-	hash.WriteString(r.Name)
+	hash.WriteString(route.Name)
 	hash.WriteString("\x00")
 	hash.WriteString(caller)
 	point := uint64(uint32(hash.Sum64()>>32)) * uint64(t.weightSums[index]) >> 32
-	for _, pool := range r.Pools {
+	for _, pool := range route.Pools {
 		if point < uint64(pool.Weight) {
 			return pool.Pool
 		}
 		point -= uint64(pool.Weight)
 	}
-	return r.Pools[len(r.Pools)-1].Pool
+	return route.Pools[len(route.Pools)-1].Pool
 }
 
-// Plain says whether a path means the same to whoever reads it.
+// ValidatePath returns an error for a path that servers may interpret differently.
 func ValidatePath(path string) error {
 	if path == "" || path[0] != '/' {
 		return ErrNotAbsolute
 	}
-	segments, start := 0, 1
+	segments := 0
+	start := 1 // of the current segment
 	for i := 1; i <= len(path); i++ {
 		if i < len(path) {
 			switch c := path[i]; {
@@ -448,7 +462,8 @@
 		case segment == "" && i < len(path):
 			return ErrEmptySegment
 		}
-		if segments++; segments > maxSegments {
+		segments++
+		if segments > maxSegments {
 			return ErrTooManySegments
 		}
 		start = i + 1
@@ -456,13 +471,15 @@
 	return nil
 }
 
-// fitEscape says whether an escape is whole and of a character that must be written so. Danger: a dot, a letter, a slash
-// or a backslash that is written as an escape is read as itself by some servers and not by others.
+// isAllowedEscape reports whether s starts with a complete escape of a character that needs one. Escaped letters, dots,
+// slashes and backslashes are not allowed, because some servers decode them before they interpret the path and others
+// do not.
 func isAllowedEscape(s string) bool {
 	if len(s) < 3 {
 		return false
 	}
-	high, low := hexDigit(s[1]), hexDigit(s[2])
+	high := hexDigit(s[1])
+	low := hexDigit(s[2])
 	if high < 0 || low < 0 {
 		return false
 	}
@@ -474,6 +491,7 @@
 	return c >= ' ' && c != 0x7f && !strings.ContainsRune("-._~/\\", rune(c))
 }
 
+// hexDigit returns the value of a hexadecimal digit, or -1 if c is none.
 func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -486,7 +504,7 @@
 	return -1
 }
 
-// lowerEscape says whether a path has an escape with a small letter.
+// hasLowercaseEscape reports whether a path has an escape with a lower-case digit.
 func hasLowercaseEscape(path string) bool {
 	for i := 0; i+2 < len(path); i++ {
 		if path[i] == '%' && (path[i+1] >= 'a' || path[i+2] >= 'a') {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -35,7 +35,7 @@
 	{Name: "slash", PathType: Exact, Path: "/end/", Pools: singlePool(11)},
 }
 
-// The most specific route first: host, then path, then method, then headers.
+// TestLookup checks that the most specific route is found: by host, then path, then method, then headers.
 func TestLookup(t *testing.T) {
 	table := compile(t, sampleRoutes)
 	for _, c := range []struct{ host, method, path, beta, want string }{
@@ -44,12 +44,12 @@
 		{"", "GET", "/book", "", "book"},
 		{"", "POST", "/book", "", "post"},
 		{"", "GET", "/book", "1", "beta"},
-		{"", "POST", "/book", "1", "post"}, // a method goes before headers
+		{"", "POST", "/book", "1", "post"}, // a method has precedence over headers
 		{"", "GET", "/book", "1,1", "book"},
 		{"", "GET", "/book/", "", "book tree"},
-		{"", "GET", "/booking", "", "all"}, // a prefix is of whole segments
+		{"", "GET", "/booking", "", "all"}, // a prefix matches whole segments only
 		{"", "GET", "/book/monday/slots", "", "slot"},
-		{"", "GET", "/book/today/slots", "", "today"}, // plain segments on the left go first
+		{"", "GET", "/book/today/slots", "", "today"}, // a literal further left has precedence
 		{"", "GET", "/book/monday/rooms", "", "book tree"},
 		{"", "GET", "/book/today/slots/1", "", "book tree"},
 		{"a.example.org", "GET", "/book/x", "", "host"},
@@ -68,9 +68,9 @@
 		if c.beta != "" {
 			request.Header["X-Beta"] = strings.Split(c.beta, ",")
 		}
-		n, found, err := table.Lookup(&request)
-		if err != nil || !found || table.Route(n).Name != c.want {
-			t.Errorf("%+v: %v %v %q", c, err, found, table.Route(n).Name)
+		index, found, err := table.Lookup(&request)
+		if err != nil || !found || table.Route(index).Name != c.want {
+			t.Errorf("%+v: %v %v %q", c, err, found, table.Route(index).Name)
 		}
 	}
 	partial := compile(t, sampleRoutes[1:2])
@@ -79,7 +79,8 @@
 	}
 }
 
-// What a server could read otherwise is refused; what is matched is what is sent.
+// TestAmbiguousPaths checks that paths are rejected by which a client could bypass a route, because a server may
+// interpret them differently, and that unusual but unambiguous paths are accepted.
 func TestAmbiguousPaths(t *testing.T) {
 	table := compile(t, sampleRoutes)
 	for path, want := range map[string]error{
@@ -118,27 +119,29 @@
 	}
 }
 
+// TestCompileErrors checks that each kind of invalid route is rejected with an error that names the problem.
 func TestCompileErrors(t *testing.T) {
-	for want, r := range map[string]Route{
-		`route "": has no name`:      {PathType: Prefix, Path: "/", Pools: singlePool(0)},
-		"names no pool":              {Name: "x", Path: "/"},
-		"weights add up to 0":        {Name: "x", Path: "/", Pools: []WeightedPool{{0, 0}}},
-		`host "A"`:                   {Name: "x", Host: "A", Path: "/", Pools: singlePool(0)},
-		`host "a:80"`:                {Name: "x", Host: "a:80", Path: "/", Pools: singlePool(0)},
-		"begin with a slash":         {Name: "x", Path: "a", Pools: singlePool(0)},
-		"dot segment":                {Name: "x", Path: "/a/..", Pools: singlePool(0)},
-		"capital letters":            {Name: "x", Path: "/%c3", Pools: singlePool(0)},
-		`"{b" is neither`:            {Name: "x", PathType: Template, Path: "/a/{b", Pools: singlePool(0)},
-		"more than 8 names":          {Name: "x", PathType: Template, Path: strings.Repeat("/{a}", 9), Pools: singlePool(0)},
-		`header "x-beta" is not in`:  {Name: "x", Path: "/", Headers: []HeaderMatch{{Name: "x-beta"}}, Pools: singlePool(0)},
-		"there are two of that name": {Name: "all", Path: "/", Pools: singlePool(0)},
+	for want, route := range map[string]Route{
+		`route "": the name is missing`: {PathType: Prefix, Path: "/", Pools: singlePool(0)},
+		"no pool is given":              {Name: "x", Path: "/"},
+		"weights add up to 0":           {Name: "x", Path: "/", Pools: []WeightedPool{{0, 0}}},
+		`host "A"`:                      {Name: "x", Host: "A", Path: "/", Pools: singlePool(0)},
+		`host "a:80"`:                   {Name: "x", Host: "a:80", Path: "/", Pools: singlePool(0)},
+		"begin with a slash":            {Name: "x", Path: "a", Pools: singlePool(0)},
+		"dot segment":                   {Name: "x", Path: "/a/..", Pools: singlePool(0)},
+		"escapes must be in upper case": {Name: "x", Path: "/%c3", Pools: singlePool(0)},
+		`"{b" is neither`:               {Name: "x", PathType: Template, Path: "/a/{b", Pools: singlePool(0)},
+		"more than 8 parameters":        {Name: "x", PathType: Template, Path: strings.Repeat("/{a}", 9), Pools: singlePool(0)},
+		`header "x-beta" is not in`:     {Name: "x", Path: "/", Headers: []HeaderMatch{{Name: "x-beta"}}, Pools: singlePool(0)},
+		"the name is used twice":        {Name: "all", Path: "/", Pools: singlePool(0)},
 	} {
-		if _, _, err := Compile([]Route{sampleRoutes[0], r}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := Compile([]Route{sampleRoutes[0], route}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
 }
 
+// TestUnreachableRoutes checks that a route gets a warning if an earlier one matches all its requests.
 func TestUnreachableRoutes(t *testing.T) {
 	beta := []HeaderMatch{{Name: "X-Beta", Value: "1"}}
 	_, warnings, err := Compile([]Route{
@@ -149,13 +152,14 @@
 		{Name: "e", Path: "/a", Pools: singlePool(0)},
 		{Name: "f", Path: "/a", Host: "h", Pools: singlePool(0)},
 	})
-	if err != nil || len(warnings) != 2 || !strings.Contains(string(warnings[0]), `"b" is never reached: "a"`) ||
-		!strings.Contains(string(warnings[1]), `"e" is never reached: "d"`) {
+	if err != nil || len(warnings) != 2 || !strings.Contains(string(warnings[0]), `"b" is unreachable: route "a"`) ||
+		!strings.Contains(string(warnings[1]), `"e" is unreachable: route "d"`) {
 		t.Errorf("%v %v", err, warnings)
 	}
 }
 
-// While a share moves from one pool to the other, each caller moves once, and the split is what the weights say.
+// TestWeightedPools checks that callers are split as the weights say, and that no caller returns to the first pool while
+// the weight of the second one grows.
 func TestWeightedPools(t *testing.T) {
 	const callers = 20000
 	inSecondPool := make([]bool, callers)
@@ -165,54 +169,64 @@
 		for i := range callers {
 			isSecond := table.PickPool(0, fmt.Sprint("caller ", i)) == 2
 			if inSecondPool[i] && !isSecond {
-				t.Fatalf("at %d%% caller %d goes back", percent, i)
+				t.Fatalf("at %d%% caller %d returns to the first pool", percent, i)
 			}
-			if inSecondPool[i] = isSecond; isSecond {
+			inSecondPool[i] = isSecond
+			if isSecond {
 				count++
 			}
 		}
 		if deviation := float64(count)/callers - float64(percent)/100; math.Abs(deviation) > 0.015 {
-			t.Errorf("at %d%%: %d of %d", percent, count, callers)
+			t.Errorf("at %d%%: %d of %d callers in the second pool", percent, count, callers)
 		}
 	}
 }
 
-// many makes routes of all kinds, and requests that hit them.
+// generateRoutes returns n routes of all path types, and for each a request that matches it.
 func generateRoutes(n int) (routes []Route, requests []Request) {
 	for i := range n {
 		route := Route{Name: fmt.Sprint("r", i), Pools: singlePool(PoolIndex(i)), Host: []string{"", "api.example.org", "*.example.net"}[i%3]}
 		request := Request{Host: []string{"x", "api.example.org:443", "a.example.net"}[i%3], Method: "GET", Header: http.Header{}}
 		switch i % 4 {
 		case 0:
-			route.PathType, route.Path, request.Path = Exact, fmt.Sprintf("/service-%d/list", i), fmt.Sprintf("/service-%d/list", i)
+			route.PathType = Exact
+			route.Path = fmt.Sprintf("/service-%d/list", i)
+			request.Path = fmt.Sprintf("/service-%d/list", i)
 		case 1:
-			route.PathType, route.Path, request.Path = Template, fmt.Sprintf("/service-%d/{id}/slots", i), fmt.Sprintf("/service-%d/77/slots", i)
+			route.PathType = Template
+			route.Path = fmt.Sprintf("/service-%d/{id}/slots", i)
+			request.Path = fmt.Sprintf("/service-%d/77/slots", i)
 		default:
-			route.PathType, route.Path, request.Path = Prefix, fmt.Sprintf("/service-%d", i), fmt.Sprintf("/service-%d/a/b", i)
+			route.PathType = Prefix
+			route.Path = fmt.Sprintf("/service-%d", i)
+			request.Path = fmt.Sprintf("/service-%d/a/b", i)
 		}
-		routes, requests = append(routes, route), append(requests, request)
+		routes = append(routes, route)
+		requests = append(requests, request)
 	}
 	return routes, requests
 }
 
+// TestLookupManyRoutesWithoutAllocation checks that each of many routes is found, without allocation.
 func TestLookupManyRoutesWithoutAllocation(t *testing.T) {
 	routes, requests := generateRoutes(1000)
 	table := compile(t, routes)
 	for i := range requests {
-		if n, found, err := table.Lookup(&requests[i]); err != nil || !found || n != i {
-			t.Fatalf("request %d: route %d, %v, %v", i, n, found, err)
+		if index, found, err := table.Lookup(&requests[i]); err != nil || !found || index != i {
+			t.Fatalf("request %d: route %d, %v, %v", i, index, found, err)
 		}
 	}
 	i := 0
 	if allocations := testing.AllocsPerRun(1000, func() {
-		n, _, _ := table.Lookup(&requests[i%1000])
-		table.PickPool(n, "caller")
+		index, _, _ := table.Lookup(&requests[i%1000])
+		table.PickPool(index, "caller")
 		i++
 	}); allocations != 0 {
-		t.Errorf("%v allocations a look-up", allocations)
+		t.Errorf("%v allocations per lookup", allocations)
 	}
 }
 
+// BenchmarkLookup measures lookups in tables of several sizes.
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -226,7 +240,8 @@
 	}
 }
 
-// FuzzLookup: a target that is matched is plain, and the route's own literal segments are found in it byte for byte.
+// FuzzLookup checks that a path that matches is unambiguous, and that it fits the path of the matched route byte for
+// byte.
 func FuzzLookup(f *testing.F) {
 	for _, path := range []string{"/book/today/slots", "/%62ook", "/x/../book", "/book//", "/caf%C3%A9", "/a%2fb", "/book/%2e"} {
 		f.Add("a.example.org:80", path, "GET")
@@ -236,23 +251,23 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, host, path, method string) {
-		n, found, err := table.Lookup(&Request{Host: host, Path: path, Method: method})
+		index, found, err := table.Lookup(&Request{Host: host, Path: path, Method: method})
 		if err != nil || !found {
 			return
 		}
-		r := table.Route(n)
-		switch r.PathType {
+		route := table.Route(index)
+		switch route.PathType {
 		case Exact:
-			if path != r.Path {
-				t.Errorf("%q matched as %q", path, r.Path)
+			if path != route.Path {
+				t.Errorf("%q matched as %q", path, route.Path)
 			}
 		case Prefix:
-			if p := strings.TrimSuffix(r.Path, "/"); path != p && !strings.HasPrefix(path, p+"/") {
-				t.Errorf("%q matched as prefix %q", path, r.Path)
+			if p := strings.TrimSuffix(route.Path, "/"); path != p && !strings.HasPrefix(path, p+"/") {
+				t.Errorf("%q matched as prefix %q", path, route.Path)
 			}
 		case Template:
-			if strings.Count(path, "/") != strings.Count(r.Path, "/") {
-				t.Errorf("%q matched as %q", path, r.Path)
+			if strings.Count(path, "/") != strings.Count(route.Path, "/") {
+				t.Errorf("%q matched as %q", path, route.Path)
 			}
 		}
 		if strings.Contains(path, "/../") || strings.HasSuffix(path, "/..") || strings.Contains(strings.ToLower(path), "%2e") {
