--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,10 +1,11 @@
-// Package failover decides when ops of a pool that can't serve go to the next one, how many of them, and when they come
-// back. It does no I/O and has no clock: a pool's actor tells what it has seen in each beat, and asks for each op where
-// it goes.
+// Package failover decides when the ops of a pool that can't serve are sent to the next pool, how many of them, and
+// when they return. It does no I/O and has no clock: the actor of a pool passes its statistics to Tick once per control
+// interval, and calls Choose for each op.
 //
-// The level is entered on what shows that the pool's servers are gone, and never on a shed of low benefit: a pool that
-// refuses what it can't carry serves its best ops. It is left by trial: a growing part of the ops goes home, and the level
-// ends when all of them have been served there for a while.
+// Failover starts only when the statistics show that the pool's servers can't be reached, never because ops of low
+// benefit are refused: an overloaded pool that sheds load still serves its ops of the highest benefit. It ends by
+// a trial, much like the half-open state of a circuit breaker: a growing share of the ops is sent back to the pool, and
+// the pool is home again once it has served all of them.
 package failover
 
 import (
@@ -13,59 +14,60 @@
 	"canvasrouter/policy"
 )
 
-// Level is where a pool's ops go.
+// State determines where the ops of a pool are sent.
 type State uint8
 
 const (
-	Home  State = iota // all to the pool itself
-	Away               // to the next, as far as that one bears it
-	Trial              // a part to the pool itself, to see whether it serves again
+	Home  State = iota // all ops are sent to the pool itself
+	Away               // ops are sent to the next pool, up to the spill limit
+	Trial              // a share of the ops is sent to the pool, to find out whether it serves again
 )
 
-func (l State) String() string { return [...]string{"home", "away", "trial"}[l] }
+// String returns the name of the state.
+func (s State) String() string { return [...]string{"home", "away", "trial"}[s] }
 
-// Rule holds the few settings.
+// Config holds the settings of a Controller.
 type Config struct {
-	Interval policy.Micros // between two calls of Beat
-	MinDwell policy.Micros // the least time away; doubled each time that the pool fails again soon after
-	MaxDwell policy.Micros // the longest that it is doubled to
+	Interval policy.Micros // between two calls of Tick
+	MinDwell policy.Micros // minimum time in state Away; doubled each time the pool soon fails again
+	MaxDwell policy.Micros // upper bound of the doubling
 }
 
-// Defaults are figures that keep changes of level under four a minute, whatever the pool does.
+// DefaultConfig returns settings with which the pool leaves and enters Home at most four times a minute, whatever its
+// servers do.
 func DefaultConfig() Config {
 	return Config{Interval: policy.Second, MinDwell: 20 * policy.Second, MaxDwell: 160 * policy.Second}
 }
 
 const (
-	minTopOps         = 4        // ops of the highest benefit in a beat; fewer prove nothing
-	lostShare         = 1.0 / 8  // share of them served, under which the pool can't serve
-	recoveredShare    = 3.0 / 4  // share of a trial served, over which it grows
-	initialTrialShare = 1.0 / 64 // share of the ops that a trial begins with
-	lostIntervals     = 2        // beats in a row that show the pool lost
-	fastSpillGrowth   = 1.0 / 2  // of the spill in a beat, until the next pool is strained for the first time
-	slowSpillGrowth   = 1.0 / 64 // of it afterwards
-	spillReduction    = 3.0 / 4  // of the spill in a beat that strained the next pool
-	initialSpillShare = 1.0 / 4  // of what the next pool served, that the spill begins with
-	strainedShare     = 1.0 / 16 // share of the next pool's own best ops refused, over which it is strained
-	flappingDwells    = 4        // dwells at home after which an old failure is forgotten
+	minTopOps            = 4        // ops of the highest benefit in an interval; fewer prove nothing
+	lostShare            = 1.0 / 8  // the pool can't serve if it served a smaller share of these
+	recoveredShare       = 3.0 / 4  // a trial goes on if the pool served at least this share of them
+	initialTrialShare    = 1.0 / 64 // share of the ops sent to the pool when a trial starts
+	lostIntervals        = 2        // consecutive intervals that must show the pool lost
+	fastSpillGrowth      = 1.0 / 2  // of the spill limit per interval, until the next pool is first strained
+	slowSpillGrowth      = 1.0 / 64 // of the spill limit per interval, afterwards
+	spillReductionFactor = 3.0 / 4  // of the spill limit, after an interval in which the next pool was strained
+	initialSpillShare    = 1.0 / 4  // of the ops that the next pool served: the first spill limit
+	strainedShare        = 1.0 / 16 // the next pool is strained if it failed to serve a larger share of its top ops
+	flappingDwells       = 4        // times the dwell: a pool that fails earlier after its return is flapping
 )
 
-// Seen is what a pool's actor has seen in one beat.
+// Stats holds what a pool's actor observed in one control interval.
 type Stats struct {
 	ReadyServers int // servers on the list that are ready
-	DownServers  int // of them that the module sends nothing to, since they failed
-	TopOps       int // ops with the highest benefit that came to the pool itself, spilled ones of others left out
-	TopServed    int // of them served
-	FailedPushes int // pushes that found no server: connections that failed or broke, time-outs
-	EndedPushes  int // pushes that ended
-	ServedOps    int // ops served, of whatever benefit
+	DownServers  int // ready servers that get no pushes because they failed
+	TopOps       int // ops of the highest benefit sent to the pool, without those that other pools spilled to it
+	TopServed    int // those of TopOps that were served
+	FailedPushes int // pushes that reached no server: failed or broken connections, timeouts
+	EndedPushes  int // pushes that ended, however they ended
+	ServedOps    int // ops of any benefit that were served
 }
 
-// gone says that the pool has no server that serves.
+// isLost reports whether the pool has no server that serves.
 //
-// Danger: under a mere overload nearly all of the low benefit is refused; that pool serves, and to move its load would
-// take the next one down with it. So only ops of the highest benefit count, and only if the pushes say that servers
-// can't be reached.
+// An overloaded pool refuses nearly all ops of low benefit, but it still serves, and moving its load would overload the
+// next pool too. So only ops of the highest benefit count, and only if most pushes failed to reach a server.
 func (s *Stats) isLost() bool {
 	if s.ReadyServers == 0 || s.DownServers >= s.ReadyServers {
 		return true
@@ -73,45 +75,49 @@
 	return s.TopOps >= minTopOps && float64(s.TopServed) < lostShare*float64(s.TopOps) && 2*s.FailedPushes > s.EndedPushes
 }
 
-// State is one pool's failover. The zero value is not one; use New.
+// Controller is the failover state machine of one pool. The zero value is not usable; call New.
 type Controller struct {
 	config          Config
 	state           State
-	badIntervals    int           // beats in a row that show it gone
-	stateSince      policy.Micros // of the level
-	dwell           policy.Micros
-	lastReturn      policy.Micros // last time that it came home
-	trialShare      float64       // of the ops that a trial sends home
-	trialCredit     [2]float64    // of the best ops, and of the others
-	nextWasStrained bool          // the next pool was strained since the level was entered
-	spillLimit      float64       // ops a beat that the next pool is given at the most
-	spilled         float64       // in this beat
-	refused         int
+	badIntervals    int           // consecutive intervals that showed the pool lost
+	stateSince      policy.Micros // when the current state was entered
+	dwell           policy.Micros // current minimum time in state Away
+	lastReturn      policy.Micros // when Home was last entered
+	trialShare      float64       // share of the ops that a trial sends to the pool
+	trialCredit     [2]float64    // accumulated share of the top ops, and of the others
+	nextWasStrained bool          // whether the next pool was strained since the failover started
+	spillLimit      float64       // maximum number of ops sent to the next pool per interval
+	spilled         float64       // ops sent to the next pool in this interval
+	refused         int           // ops refused in this interval
 	homeTransitions int
 }
 
-// New makes the failover of a pool that starts at home.
+// New returns the controller of a pool in state Home.
 func New(config Config) *Controller {
 	return &Controller{config: config, dwell: config.MinDwell, lastReturn: -config.MaxDwell}
 }
 
-// Level is the present one, Changes how often it was entered or left, Spill the ops a beat that the next pool gets at
-// the most, Share the part of the ops that goes home.
-func (s *Controller) State() State         { return s.state }
-func (s *Controller) HomeTransitions() int { return s.homeTransitions }
-func (s *Controller) SpillLimit() float64  { return s.spillLimit }
+// State returns the current state.
+func (c *Controller) State() State { return c.state }
 
-func (s *Controller) HomeShare() float64 {
-	switch s.state {
+// HomeTransitions returns how often Home was entered or left.
+func (c *Controller) HomeTransitions() int { return c.homeTransitions }
+
+// SpillLimit returns the maximum number of ops sent to the next pool per interval.
+func (c *Controller) SpillLimit() float64 { return c.spillLimit }
+
+// HomeShare returns the share of the ops that is sent to the pool itself.
+func (c *Controller) HomeShare() float64 {
+	switch c.state {
 	case Home:
 		return 1
 	case Trial:
-		return s.trialShare
+		return c.trialShare
 	}
 	return 0
 }
 
-// row is one line of the table.
+// transition is a row of the state table. Its functions get the time and the statistics of the pool and of the next one.
 type transition struct {
 	from      State
 	condition func(*Controller, policy.Micros, *Stats, *Stats) bool
@@ -119,7 +125,8 @@
 	action    func(*Controller, policy.Micros, *Stats, *Stats)
 }
 
-// The first row that fits is carried out.
+// transitions is the state table. In each interval the first row is carried out that starts from the current state and
+// whose condition holds.
 var transitions = [...]transition{
 	{Home, (*Controller).hasFailed, Away, (*Controller).startFailover},
 	{Away, (*Controller).dwellElapsed, Trial, (*Controller).startTrial},
@@ -130,134 +137,156 @@
 	{Trial, always, Trial, (*Controller).adjustSpill},
 }
 
+// always is the condition of rows that apply if none before them did.
 func always(*Controller, policy.Micros, *Stats, *Stats) bool { return true }
 
-// Beat takes what was seen of the pool and of the next one since the last beat, and gives a line for the log when the
-// level changes.
-func (s *Controller) Tick(now policy.Micros, own, next *Stats) (log string) {
+// Tick processes the statistics of the pool and of the next one for the interval that ends now. It returns a line for
+// the log if the state changes, and otherwise "".
+func (c *Controller) Tick(now policy.Micros, own, next *Stats) (log string) {
 	if own.isLost() {
-		s.badIntervals++
+		c.badIntervals++
 	} else {
-		s.badIntervals = 0
+		c.badIntervals = 0
 	}
 	for i := range transitions {
-		if r := &transitions[i]; r.from == s.state && r.condition(s, now, own, next) {
-			if r.action(s, now, own, next); r.to != s.state {
-				log = fmt.Sprintf("pool goes from %s to %s: %d of %d servers down, %d of %d best ops served", s.state, r.to,
+		if row := &transitions[i]; row.from == c.state && row.condition(c, now, own, next) {
+			row.action(c, now, own, next)
+			if row.to != c.state {
+				log = fmt.Sprintf("pool goes from %s to %s: %d of %d servers down, %d of %d best ops served", c.state, row.to,
 					own.DownServers, own.ReadyServers, own.TopServed, own.TopOps)
-				if r.to == Home || s.state == Home {
-					s.homeTransitions++
+				if row.to == Home || c.state == Home {
+					c.homeTransitions++
 				}
-				s.state, s.stateSince = r.to, now
+				c.state = row.to
+				c.stateSince = now
 			}
 			break
 		}
 	}
-	s.spilled, s.refused = 0, 0
+	c.spilled = 0
+	c.refused = 0
 	return log
 }
 
-// fails: Danger: one bad beat may be a hiccup of the list, or a stall; two are not. A pool that has no server on its list
-// at all is gone at once.
-func (s *Controller) hasFailed(_ policy.Micros, own, _ *Stats) bool {
-	return s.badIntervals >= lostIntervals || s.badIntervals > 0 && own.ReadyServers == 0
+// hasFailed reports whether the pool is lost. A single lost interval may be a brief fault of the server list or a stall,
+// so two are required, unless the list has no ready server at all.
+func (c *Controller) hasFailed(_ policy.Micros, own, _ *Stats) bool {
+	return c.badIntervals >= lostIntervals || c.badIntervals > 0 && own.ReadyServers == 0
 }
 
-// leave begins with little. Danger: all of a lost site's load at once would take the next pool down as well.
-func (s *Controller) startFailover(now policy.Micros, _, next *Stats) {
-	if now-s.lastReturn < flappingDwells*s.dwell {
-		s.dwell = min(2*s.dwell, s.config.MaxDwell) // it came home and failed again: flapping
+// startFailover starts with a small spill limit, because the whole load of a lost site would overload the next pool. A
+// pool that failed again soon after its return is flapping and stays away longer.
+func (c *Controller) startFailover(now policy.Micros, _, next *Stats) {
+	if now-c.lastReturn < flappingDwells*c.dwell {
+		c.dwell = min(2*c.dwell, c.config.MaxDwell)
 	} else {
-		s.dwell = s.config.MinDwell
+		c.dwell = c.config.MinDwell
 	}
-	s.spillLimit, s.nextWasStrained = max(1, initialSpillShare*float64(next.ServedOps)), false
+	c.spillLimit = max(1, initialSpillShare*float64(next.ServedOps))
+	c.nextWasStrained = false
 }
 
-func (s *Controller) dwellElapsed(now policy.Micros, own, _ *Stats) bool {
-	return now-s.stateSince >= s.dwell && own.ReadyServers > 0
+// dwellElapsed reports whether a trial may start: the pool was away long enough and has a ready server.
+func (c *Controller) dwellElapsed(now policy.Micros, own, _ *Stats) bool {
+	return now-c.stateSince >= c.dwell && own.ReadyServers > 0
 }
 
-func (s *Controller) startTrial(now policy.Micros, own, next *Stats) {
-	s.trialShare, s.trialCredit = initialTrialShare, [2]float64{}
-	s.adjustSpill(now, own, next)
+// startTrial begins to send a small share of the ops to the pool.
+func (c *Controller) startTrial(now policy.Micros, own, next *Stats) {
+	c.trialShare = initialTrialShare
+	c.trialCredit = [2]float64{}
+	c.adjustSpill(now, own, next)
 }
 
-// steer moves the spill to what the next pool bears: up while there was more to send and its own best ops went through.
-func (s *Controller) adjustSpill(_ policy.Micros, _, next *Stats) {
+// adjustSpill adapts the spill limit to the capacity of the next pool. The limit falls while the next pool is strained,
+// that is, fails to serve its own top ops, and otherwise grows while ops had to be refused.
+func (c *Controller) adjustSpill(_ policy.Micros, _, next *Stats) {
 	switch {
 	case next.isLost() || float64(next.TopOps-next.TopServed) > strainedShare*float64(next.TopOps):
-		s.spillLimit, s.nextWasStrained = max(1, s.spillLimit*spillReduction), true
-	case s.refused > 0 && !s.nextWasStrained:
-		s.spillLimit += s.spillLimit * fastSpillGrowth
-	case s.refused > 0:
-		s.spillLimit += s.spillLimit * slowSpillGrowth
+		c.spillLimit = max(1, c.spillLimit*spillReductionFactor)
+		c.nextWasStrained = true
+	case c.refused > 0 && !c.nextWasStrained:
+		c.spillLimit += c.spillLimit * fastSpillGrowth
+	case c.refused > 0:
+		c.spillLimit += c.spillLimit * slowSpillGrowth
 	}
 }
 
-func (s *Controller) trialFailed(_ policy.Micros, own, _ *Stats) bool {
-	return s.badIntervals >= lostIntervals || own.TopOps >= minTopOps && float64(own.TopServed) < recoveredShare*float64(own.TopOps)
+// trialFailed reports whether the pool is lost again or served too few of the trial's top ops.
+func (c *Controller) trialFailed(_ policy.Micros, own, _ *Stats) bool {
+	return c.badIntervals >= lostIntervals || own.TopOps >= minTopOps && float64(own.TopServed) < recoveredShare*float64(own.TopOps)
 }
 
-// again waits longer for the next trial than for this one.
-func (s *Controller) abortTrial(now policy.Micros, own, next *Stats) {
-	s.dwell = min(2*s.dwell, s.config.MaxDwell)
-	s.adjustSpill(now, own, next)
+// abortTrial doubles the time until the next trial.
+func (c *Controller) abortTrial(now policy.Micros, own, next *Stats) {
+	c.dwell = min(2*c.dwell, c.config.MaxDwell)
+	c.adjustSpill(now, own, next)
 }
 
-func (s *Controller) trialComplete(_ policy.Micros, own, _ *Stats) bool {
-	return s.trialShare >= 1 && float64(own.TopServed) >= recoveredShare*float64(own.TopOps)
+// trialComplete reports whether the pool got all ops and served enough of the top ones.
+func (c *Controller) trialComplete(_ policy.Micros, own, _ *Stats) bool {
+	return c.trialShare >= 1 && float64(own.TopServed) >= recoveredShare*float64(own.TopOps)
 }
 
-func (s *Controller) returnHome(now policy.Micros, _, _ *Stats) { s.lastReturn, s.spillLimit = now, 0 }
+// returnHome ends the failover.
+func (c *Controller) returnHome(now policy.Micros, _, _ *Stats) {
+	c.lastReturn = now
+	c.spillLimit = 0
+}
 
-// goesWell: a trial that nobody took part in proves nothing. Danger: a pool that comes back is cold.
-func (s *Controller) trialSucceeds(_ policy.Micros, own, _ *Stats) bool {
+// trialSucceeds reports whether the pool served enough of the trial's top ops. A trial without any proves nothing.
+func (c *Controller) trialSucceeds(_ policy.Micros, own, _ *Stats) bool {
 	return own.TopOps > 0 && float64(own.TopServed) >= recoveredShare*float64(own.TopOps)
 }
 
-func (s *Controller) growTrial(now policy.Micros, own, next *Stats) {
-	s.trialShare = min(1, 2*s.trialShare)
-	s.adjustSpill(now, own, next)
+// growTrial doubles the share of the ops that is sent to the pool. It does not send all at once, because the servers of a
+// pool that returns are cold.
+func (c *Controller) growTrial(now policy.Micros, own, next *Stats) {
+	c.trialShare = min(1, 2*c.trialShare)
+	c.adjustSpill(now, own, next)
 }
 
-// Way is where an op goes.
+// Decision is where an op is sent.
 type Decision uint8
 
 const (
-	ToPool Decision = iota
-	ToNext
-	Refuse // neither bears it: nacked, nothing of it has run
+	ToPool Decision = iota // to the pool itself
+	ToNext                 // to the next pool
+	Refuse                 // to neither; the op is nacked and no part of it has run
 )
 
-func (w Decision) String() string { return [...]string{"pool", "next", "refused"}[w] }
+// String returns the name of the decision.
+func (d Decision) String() string { return [...]string{"pool", "next", "refused"}[d] }
 
-// Choose gives an op's way. Best says that it has the highest benefit of the pool's categories: while the spill is short
-// it goes to those alone.
-func (s *Controller) Choose(topBenefit bool) Decision {
-	if s.state == Home {
+// Choose decides where an op is sent. TopBenefit tells whether it has the highest benefit of the pool's categories: such
+// ops may use the whole spill limit, others only part of it.
+func (c *Controller) Choose(topBenefit bool) Decision {
+	if c.state == Home {
 		return ToPool
 	}
-	if s.state == Trial {
-		// Best ops and others take turns of their own. Danger: a trial that the best never fall to proves nothing.
-		credit := &s.trialCredit[0]
+	if c.state == Trial {
+		// Top ops and others are counted separately. With a common count the trial might get no top op and prove nothing.
+		credit := &c.trialCredit[0]
 		if !topBenefit {
-			credit = &s.trialCredit[1]
+			credit = &c.trialCredit[1]
 		}
-		if *credit += s.trialShare; *credit >= 1 {
+		*credit += c.trialShare
+		if *credit >= 1 {
 			*credit--
 			return ToPool
 		}
 	}
-	// The last quarter of the spill is kept for the best.
-	if s.spilled+1 > s.spillLimit || !topBenefit && s.spilled+1 > s.spillLimit*3/4 {
-		s.refused++
+	// The last quarter of the spill limit is reserved for top ops.
+	if c.spilled+1 > c.spillLimit || !topBenefit && c.spilled+1 > c.spillLimit*3/4 {
+		c.refused++
 		return Refuse
 	}
-	s.spilled++
+	c.spilled++
 	return ToNext
 }
 
-// Cross says whether an op that may have run in one pool may be pushed in another: only if a repeat does no harm there.
+// MayPushToOtherPool reports whether an op that was pushed in one pool may be pushed in another. An op that may have run
+// must only be repeated if that does no harm: it is redeliverable, or it is deduplicated across both pools.
 func MayPushToOtherPool(semantics policy.Repeat, mayHaveRun, dedupSpansBoth bool) bool {
 	return !mayHaveRun || semantics == policy.Redeliverable || semantics == policy.Deduplicated && dedupSpansBoth
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -15,31 +15,33 @@
 	"canvasrouter/policy"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "write the trace files in testdata")
 
-// world is two pools in the simplest form: each serves up to its capacity in a beat, the best ops first.
+// simulation is a simple model of two pools. Each serves up to its capacity per interval; the primary serves top ops
+// first, the next pool loses from all ops alike.
 type simulation struct {
 	*Controller
 	now          policy.Micros
-	capacity     float64 // of the primary, in ops a beat
-	unresponsive bool    // the primary's servers are listed and answer nothing
-	listed       int
-	nextCapacity float64 // capacity of the next pool
-	nextOwnOps   int     // its own ops a beat, half of them best
-	ops          int     // of the primary's clients a beat, half of them best
-	served       int
-	nextTopLost  int // of the next pool's own best ops not served
-	lastSpill    int
+	capacity     float64 // of the primary, in ops per interval
+	unresponsive bool    // whether the primary's servers are listed but do not answer
+	listed       int     // servers of the primary on the list
+	nextCapacity float64 // of the next pool, in ops per interval
+	nextOwnOps   int     // ops of the next pool's own clients per interval, half of them top ops
+	ops          int     // ops of the primary's clients per interval, half of them top ops
+	served       int     // ops of the primary's clients that were served, since the last event
+	nextTopLost  int     // top ops of the next pool's own clients that were not served
+	lastSpill    int     // ops sent to the next pool in the last interval
 }
 
 func newSimulation() *simulation {
 	return &simulation{Controller: New(DefaultConfig()), capacity: 100, listed: 6, nextCapacity: 100, nextOwnOps: 40, ops: 80}
 }
 
-func (s *simulation) step() string {
+// step runs one interval and returns the log line of a state change.
+func (sim *simulation) step() string {
 	var toPool, topToPool, toNext int
-	for i := range s.ops {
-		switch s.Choose(i%2 == 0) {
+	for i := range sim.ops {
+		switch sim.Choose(i%2 == 0) {
 		case ToPool:
 			toPool++
 			if i%2 == 0 {
@@ -49,35 +51,37 @@
 			toNext++
 		}
 	}
-	own := Stats{ReadyServers: s.listed, TopOps: topToPool, EndedPushes: toPool}
-	if s.unresponsive || s.listed == 0 {
-		own.FailedPushes, own.DownServers = toPool, min(s.listed, toPool)
-		if s.Controller.State() != Home {
-			own.DownServers = 0 // nobody has asked them lately
+	own := Stats{ReadyServers: sim.listed, TopOps: topToPool, EndedPushes: toPool}
+	if sim.unresponsive || sim.listed == 0 {
+		own.FailedPushes = toPool
+		own.DownServers = min(sim.listed, toPool)
+		if sim.Controller.State() != Home {
+			own.DownServers = 0 // no recent push has found them down
 		}
 	} else {
-		own.ServedOps = min(toPool, int(s.capacity))
+		own.ServedOps = min(toPool, int(sim.capacity))
 		own.TopServed = min(topToPool, own.ServedOps)
 	}
-	load := s.nextOwnOps + toNext
-	served := min(load, int(s.nextCapacity))
-	nextTopOps := s.nextOwnOps / 2
+	load := sim.nextOwnOps + toNext
+	served := min(load, int(sim.nextCapacity))
+	nextTopOps := sim.nextOwnOps / 2
 	nextTopServed := nextTopOps
-	if load > int(s.nextCapacity) { // overfull pools lose from all
-		nextTopServed = nextTopOps * int(s.nextCapacity) / load
+	if load > int(sim.nextCapacity) { // an overloaded pool loses from all ops alike
+		nextTopServed = nextTopOps * int(sim.nextCapacity) / load
 	}
 	next := Stats{ReadyServers: 6, TopOps: nextTopOps, TopServed: nextTopServed, ServedOps: served, EndedPushes: load}
-	s.nextTopLost += nextTopOps - nextTopServed
-	s.served += own.ServedOps + max(0, served-s.nextOwnOps)
-	s.lastSpill = toNext
-	s.now += s.config.Interval
-	return s.Tick(s.now, &own, &next)
+	sim.nextTopLost += nextTopOps - nextTopServed
+	sim.served += own.ServedOps + max(0, served-sim.nextOwnOps)
+	sim.lastSpill = toNext
+	sim.now += sim.config.Interval
+	return sim.Tick(sim.now, &own, &next)
 }
 
-// play runs a script: each line "N what" runs N beats after a change. It gives a trace of the level's changes.
+// runScript runs a script in which each line "N EVENT" applies an event and then runs N intervals. It returns a trace of
+// the state changes.
 func runScript(t *testing.T, script string) string {
 	t.Helper()
-	s := newSimulation()
+	sim := newSimulation()
 	var trace strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(script))
 	for lines.Scan() {
@@ -87,32 +91,37 @@
 		}
 		switch event {
 		case "lost":
-			s.unresponsive = true
+			sim.unresponsive = true
 		case "delisted":
-			s.listed = 0
+			sim.listed = 0
 		case "back":
-			s.unresponsive, s.listed, s.capacity = false, 6, 100
+			sim.unresponsive = false
+			sim.listed = 6
+			sim.capacity = 100
 		case "cold":
-			s.unresponsive, s.listed, s.capacity = false, 6, 30
+			sim.unresponsive = false
+			sim.listed = 6
+			sim.capacity = 30
 		case "overload":
-			s.ops = 400
+			sim.ops = 400
 		case "calm":
-			s.ops = 80
+			sim.ops = 80
 		case "nextfull":
-			s.nextOwnOps = 90
+			sim.nextOwnOps = 90
 		}
 		fmt.Fprintf(&trace, "-- %s\n", lines.Text())
-		s.served = 0
+		sim.served = 0
 		for range intervals {
-			if log := s.step(); log != "" {
-				fmt.Fprintf(&trace, "%3d s %s\n", s.now/policy.Second, log)
+			if log := sim.step(); log != "" {
+				fmt.Fprintf(&trace, "%3d s %s\n", sim.now/policy.Second, log)
 			}
 		}
-		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", s.State(), s.HomeShare(), s.lastSpill, s.served, s.nextTopLost)
+		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", sim.State(), sim.HomeShare(), sim.lastSpill, sim.served, sim.nextTopLost)
 	}
 	return trace.String()
 }
 
+// TestTraces compares the state changes and results of several scripts with the traces in testdata.
 func TestTraces(t *testing.T) {
 	for name, script := range map[string]string{
 		"lost-and-back":  "5 calm\n30 lost\n60 back",
@@ -134,35 +143,36 @@
 	}
 }
 
-// Whatever a primary does, its level changes four times a minute at the most, and the next pool's own best ops get
-// through but for what the search for its bound costs.
+// TestFlapping checks that a primary whose servers fail and recover at random leaves or enters Home at most four times a
+// minute, and that the next pool loses no more of its own top ops than the search for its capacity costs.
 func TestFlapping(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		s := newSimulation()
+		sim := newSimulation()
 		var transitions []policy.Micros
 		intervals := 600
 		for range intervals {
 			if rng.IntN(4) == 0 {
-				s.unresponsive = !s.unresponsive
+				sim.unresponsive = !sim.unresponsive
 			}
-			before := s.HomeTransitions()
-			s.step()
-			if s.HomeTransitions() > before {
-				transitions = append(transitions, s.now)
+			before := sim.HomeTransitions()
+			sim.step()
+			if sim.HomeTransitions() > before {
+				transitions = append(transitions, sim.now)
 			}
 		}
 		for i := range transitions {
 			if i+4 < len(transitions) && transitions[i+4]-transitions[i] < 60*policy.Second {
-				t.Errorf("seed %d: five changes within %d s", seed, (transitions[i+4]-transitions[i])/policy.Second)
+				t.Errorf("seed %d: five home transitions within %d s", seed, (transitions[i+4]-transitions[i])/policy.Second)
 			}
 		}
-		if topOps := s.nextOwnOps / 2 * intervals; s.nextTopLost*33 > topOps {
-			t.Errorf("seed %d: the next pool lost %d of its %d best ops", seed, s.nextTopLost, topOps)
+		if topOps := sim.nextOwnOps / 2 * intervals; sim.nextTopLost*33 > topOps {
+			t.Errorf("seed %d: the next pool lost %d of its own %d top ops", seed, sim.nextTopLost, topOps)
 		}
 	}
 }
 
+// TestMayPushToOtherPool checks that an op that may have run is repeated in another pool only if that does no harm.
 func TestMayPushToOtherPool(t *testing.T) {
 	for _, c := range []struct {
 		semantics                  policy.Repeat
