--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -3,9 +3,9 @@
 // interval, and calls Choose for each op.
 //
 // Failover starts only when the statistics show that the pool's servers can't be reached, never because ops of low
-// benefit are refused: an overloaded pool that sheds load still serves its ops of the highest benefit. It ends by
-// a trial, much like the half-open state of a circuit breaker: a growing share of the ops is sent back to the pool, and
-// the pool is home again once it has served all of them.
+// benefit are refused: an overloaded pool that sheds load still serves its ops of the highest benefit. It ends by a
+// trial, much like the half-open state of a circuit breaker: a growing share of the ops is sent to the pool again, and
+// the failover is over once all ops are sent there and it serves them.
 package failover
 
 import (
@@ -59,7 +59,7 @@
 	DownServers  int // ready servers that get no pushes because they failed
 	TopOps       int // ops of the highest benefit sent to the pool, without those that other pools spilled to it
 	TopServed    int // those of TopOps that were served
-	FailedPushes int // pushes that reached no server: failed or broken connections, timeouts
+	FailedPushes int // pushes that found no working server: failed or broken connections, timeouts
 	EndedPushes  int // pushes that ended, however they ended
 	ServedOps    int // ops of any benefit that were served
 }
@@ -94,6 +94,7 @@
 
 // New returns the controller of a pool in state Home.
 func New(config Config) *Controller {
+	// The last return lies in the past, so that the first failure does not count as flapping.
 	return &Controller{config: config, dwell: config.MinDwell, lastReturn: -config.MaxDwell}
 }
 
@@ -214,7 +215,8 @@
 
 // trialFailed reports whether the pool is lost again or served too few of the trial's top ops.
 func (c *Controller) trialFailed(_ policy.Micros, own, _ *Stats) bool {
-	return c.badIntervals >= lostIntervals || own.TopOps >= minTopOps && float64(own.TopServed) < recoveredShare*float64(own.TopOps)
+	return c.badIntervals >= lostIntervals ||
+		own.TopOps >= minTopOps && float64(own.TopServed) < recoveredShare*float64(own.TopOps)
 }
 
 // abortTrial doubles the time until the next trial.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -92,7 +92,12 @@
 
 // New returns a Limiter without pending ops. The configuration must be valid.
 func New(config Config) *Limiter {
-	l := &Limiter{config: config, poolPending: make([]int, len(config.Pools)), tenantPending: make([]int, len(config.Tenants)), pushTokens: config.RetryBudget.Burst}
+	l := &Limiter{
+		config:        config,
+		poolPending:   make([]int, len(config.Pools)),
+		tenantPending: make([]int, len(config.Tenants)),
+		pushTokens:    config.RetryBudget.Burst,
+	}
 	l.recount()
 	return l
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -91,7 +91,12 @@
 
 // Compile builds a table. An error names the route that is invalid. Each route that no request can reach gets a warning.
 func Compile(routes []Route) (*Table, []Warning, error) {
-	t := &Table{routes: slices.Clone(routes), exactHosts: make(map[string]*segmentNode), wildcardHosts: make(map[string]*segmentNode), anyHost: &segmentNode{}}
+	t := &Table{
+		routes:        slices.Clone(routes),
+		exactHosts:    make(map[string]*segmentNode),
+		wildcardHosts: make(map[string]*segmentNode),
+		anyHost:       &segmentNode{},
+	}
 	names := make(map[string]bool, len(routes))
 	for i := range t.routes {
 		route := &t.routes[i]
--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -72,9 +72,22 @@
 	if conf.Store.Bind.IsValid() {
 		localIP = conf.Store.Bind.AsSlice()
 	}
-	return &Applier{Options: options, baseFile: conf.Raw, changed: make(chan struct{}, 1), applied: map[store.Key]*store.Value{}, refused: map[store.Key]store.Refusal{},
-		follower: store.NewFollower(store.FollowerOptions{Replicas: conf.Store.Replicas, Keys: store.NodeKeys(conf.Store.Service, conf.Name), Node: conf.Name,
-			Incarnation: options.Incarnation, Zone: int(conf.Rules.Place.Zone), Seed: options.Seed, LocalIP: localIP}, options.Log)}
+	return &Applier{
+		Options:  options,
+		baseFile: conf.Raw,
+		changed:  make(chan struct{}, 1),
+		applied:  map[store.Key]*store.Value{},
+		refused:  map[store.Key]store.Refusal{},
+		follower: store.NewFollower(store.FollowerOptions{
+			Replicas:    conf.Store.Replicas,
+			Keys:        store.NodeKeys(conf.Store.Service, conf.Name),
+			Node:        conf.Name,
+			Incarnation: options.Incarnation,
+			Zone:        int(conf.Rules.Place.Zone),
+			Seed:        options.Seed,
+			LocalIP:     localIP,
+		}, options.Log),
+	}
 }
 
 // Run follows the store and applies its changes until ctx is done.
@@ -94,7 +107,8 @@
 			return
 		case <-time.After(delay):
 		}
-		if delay = switchDelay(); !a.applyPending() {
+		delay = switchDelay()
+		if !a.applyPending() {
 			delay = retryDelay
 			a.wake()
 		}
@@ -200,7 +214,8 @@
 
 // ParseWithChanges merges values into a configuration file (JSON Merge Patch, RFC 7396) and parses the result. The value
 // for all nodes is merged first, then that of the service, then that of the node.
-func ParseWithChanges(file []byte, values map[store.Key]*store.Value, getenv func(string) string, validate func(*config.Config) error) (*config.Config, error) {
+func ParseWithChanges(file []byte, values map[store.Key]*store.Value, getenv func(string) string,
+	validate func(*config.Config) error) (*config.Config, error) {
 	// The keys are "all", "service/NAME" and "node/NAME".
 	precedence := func(key store.Key) int { return strings.Index("asn", string(key[:1])) }
 	merged := file
@@ -227,7 +242,8 @@
 	if change.RequiredFormat > config.Form {
 		return nil // a later format; the nodes that support it check the change
 	}
-	_, err := ParseWithChanges([]byte(validConfig), map[store.Key]*store.Value{change.Key: {Key: change.Key, Patch: change.Patch}}, func(string) string { return "" }, nil)
+	values := map[store.Key]*store.Value{change.Key: {Key: change.Key, Patch: change.Patch}}
+	_, err := ParseWithChanges([]byte(validConfig), values, func(string) string { return "" }, nil)
 	return err
 }
 
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -76,10 +76,21 @@
 	if options.LocalIP != nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: options.LocalIP}
 	}
-	f := &Follower{options: options, log: log, received: map[Key]*Value{}, reportDue: make(chan struct{}, 1),
-		rng:    rand.New(rand.NewPCG(options.Seed, 0x57a7e)),
-		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
-		report: Report{Node: options.Node, Incarnation: options.Incarnation, Zone: options.Zone, Keys: options.Keys, Applied: map[Key]Version{}}}
+	f := &Follower{
+		options:   options,
+		log:       log,
+		received:  map[Key]*Value{},
+		reportDue: make(chan struct{}, 1),
+		rng:       rand.New(rand.NewPCG(options.Seed, 0x57a7e)),
+		client:    &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
+		report: Report{
+			Node:        options.Node,
+			Incarnation: options.Incarnation,
+			Zone:        options.Zone,
+			Keys:        options.Keys,
+			Applied:     map[Key]Version{},
+		},
+	}
 	f.replicaIndex = f.rng.IntN(max(1, len(options.Replicas)))
 	return f
 }
@@ -151,11 +162,13 @@
 			return lines, errors.Join(err, context.Cause(ctx))
 		}
 		silenceTimer.Reset(maxSilence)
-		if lines++; lines == 1 {
+		lines++
+		if lines == 1 {
 			f.setWatchedAddr(addr)
 			f.requestReport()
 		}
-		if line = bytes.TrimSpace(line); len(line) == 0 {
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
 			continue
 		}
 		value := &Value{}
@@ -188,6 +201,7 @@
 	return values
 }
 
+// setWatchedAddr sets the address that reports are sent to.
 func (f *Follower) setWatchedAddr(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -266,11 +280,16 @@
 	Refused  map[Key]Refusal `json:"refused,omitempty"`
 }
 
-// View returns the current state.
+// View returns the node's current state with respect to the store.
 func (f *Follower) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	view := &View{Replica: f.watchedAddr, Received: map[Key]Version{}, Applied: maps.Clone(f.report.Applied), Refused: maps.Clone(f.report.Refused)}
+	view := &View{
+		Replica:  f.watchedAddr,
+		Received: map[Key]Version{},
+		Applied:  maps.Clone(f.report.Applied),
+		Refused:  maps.Clone(f.report.Refused),
+	}
 	for key, value := range f.received {
 		view.Received[key] = value.Version
 	}
--- a/internal/store/register.go
+++ b/internal/store/register.go
@@ -39,10 +39,10 @@
 type Change struct {
 	Key             Key             `json:"key"`
 	ID              string          `json:"id"`              // chosen by the client; a repeated request carries the same ID
-	ExpectedVersion *Version        `json:"from,omitempty"`  // the change conflicts unless this is the current version; nil accepts any
+	ExpectedVersion *Version        `json:"from,omitempty"`  // must be the current version; nil accepts any
 	RequiredFormat  int             `json:"needs,omitempty"` // configuration format that a node must support
 	Patch           json.RawMessage `json:"patch,omitempty"` // complete patch of the key; replaces the previous one
-	Rollback        bool            `json:"back,omitempty"`  // restores the patch before the current one; Patch is then empty
+	Rollback        bool            `json:"back,omitempty"`  // restore the previous patch; Patch is then empty
 }
 
 // Value is one version of a key.
@@ -91,7 +91,8 @@
 		}
 		proposed.Version = current.Version + 1
 		proposed.PreviousPatch = current.Patch
-		proposed.History = append([]PastChange{{current.ID, current.Version}}, current.History[:min(len(current.History), maxHistory-1)]...)
+		kept := current.History[:min(len(current.History), maxHistory-1)]
+		proposed.History = append([]PastChange{{current.ID, current.Version}}, kept...)
 	}
 	currentVersion := proposed.Version - 1
 	switch {
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -97,8 +97,22 @@
 // NewReplica returns a replica with the registers found in its directory. An unreadable register file is an error: if it
 // counted as empty, the replica could forget that it had accepted a chosen value.
 func NewReplica(options ReplicaOptions, log zerolog.Logger) (*Replica, error) {
-	r := &Replica{options: options, log: log, registers: map[Key]*Register{}, chosen: map[Key]*Value{}, valueChosen: make(chan struct{}), reports: map[string]*receivedReport{}}
-	r.client = &http.Client{Timeout: phaseTimeout, Transport: &http.Transport{DialContext: options.Dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
+	r := &Replica{
+		options:     options,
+		log:         log,
+		registers:   map[Key]*Register{},
+		chosen:      map[Key]*Value{},
+		valueChosen: make(chan struct{}),
+		reports:     map[string]*receivedReport{},
+	}
+	r.client = &http.Client{
+		Timeout: phaseTimeout,
+		Transport: &http.Transport{
+			DialContext:         options.Dial,
+			MaxIdleConnsPerHost: 8,
+			IdleConnTimeout:     30 * time.Second,
+		},
+	}
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -198,7 +212,8 @@
 		return
 	}
 	if err := r.save(value.Key); err != nil {
-		r.log.Error().Err(err).Str("key", string(value.Key)).Msg("chosen value not kept") // a majority has it; a later sync brings it again
+		// The replica goes on: a majority has the value, and a sync after a restart brings it again.
+		r.log.Error().Err(err).Str("key", string(value.Key)).Msg("chosen value not kept")
 	}
 	r.log.Info().Str("key", string(value.Key)).Uint64("version", uint64(value.Version)).Str("id", value.ID).Msg("change is chosen")
 	close(r.valueChosen)
@@ -250,8 +265,8 @@
 	round := NewRound(ballot, change, len(r.options.Replicas))
 	round.HandlePrepareReply(r.options.Index, ownReply)
 	r.runPhase(ctx, round, preparing, "prepare", message{Key: change.Key, Ballot: ballot}, round.HandlePrepareReply)
-	// Adopting the highest ballot seen makes the next attempt start above it. Otherwise each attempt would be preempted
-	// again.
+	// Adopting the highest round seen makes the next attempt start above it. Otherwise each attempt would be preempted
+	// again. Replica -1 comes before every real ballot of that round, so none of them is rejected because of this.
 	defer func() {
 		if round.phase == preempted {
 			r.updateRegister(change.Key, func(register *Register) Reply {
@@ -262,7 +277,9 @@
 	if round.phase != accepting {
 		return round, nil
 	}
-	ownReply, err = r.updateRegister(change.Key, func(register *Register) Reply { return register.Accept(ballot, round.value) })
+	ownReply, err = r.updateRegister(change.Key, func(register *Register) Reply {
+		return register.Accept(ballot, round.value)
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -280,7 +297,8 @@
 
 // runPhase sends a request to all other replicas concurrently and handles their replies as they arrive, until the round
 // leaves the current phase or the phase times out.
-func (r *Replica) runPhase(ctx context.Context, round *Round, current phase, endpoint string, request message, handleReply func(int, Reply)) {
+func (r *Replica) runPhase(ctx context.Context, round *Round, current phase, endpoint string, request message,
+	handleReply func(int, Reply)) {
 	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
 	defer cancel()
 	type answer struct {
@@ -413,7 +431,9 @@
 func (r *Replica) expireReports() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.reports, func(_ string, report *receivedReport) bool { return time.Since(report.receivedAt) > reportRetention })
+	maps.DeleteFunc(r.reports, func(_ string, report *receivedReport) bool {
+		return time.Since(report.receivedAt) > reportRetention
+	})
 }
 
 // ServeHTTP handles the requests of other replicas, of nodes and of operators.
@@ -434,7 +454,10 @@
 			})
 		})
 	case "POST /chosen":
-		handleJSON(w, request, func(value *Value) (any, error) { r.learn(value); return struct{}{}, nil })
+		handleJSON(w, request, func(value *Value) (any, error) {
+			r.learn(value)
+			return struct{}{}, nil
+		})
 	case "POST /sync":
 		handleJSON(w, request, func(known *syncRequest) (any, error) { return r.valuesNewerThan(known), nil })
 	case "POST /report", "POST /reported":
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -32,7 +32,13 @@
 }
 
 func newCluster(t *testing.T) *cluster {
-	c := &cluster{t: t, isCut: func(int, int) bool { return false }, replicas: make([]*Replica, 3), servers: make([]*httptest.Server, 3), stops: make([]context.CancelFunc, 3)}
+	c := &cluster{
+		t:        t,
+		isCut:    func(int, int) bool { return false },
+		replicas: make([]*Replica, 3),
+		servers:  make([]*httptest.Server, 3),
+		stops:    make([]context.CancelFunc, 3),
+	}
 	var listeners []net.Listener
 	for range 3 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/store/round.go
+++ b/internal/store/round.go
@@ -38,7 +38,14 @@
 
 // NewRound returns a round in the preparing phase. Its ballot must be one that its replica has never used before.
 func NewRound(ballot Ballot, change *Change, replicas int) *Round {
-	return &Round{Ballot: ballot, change: change, replicas: replicas, promises: map[int]Reply{}, acceptedBy: map[int]bool{}, rejectedBy: map[int]bool{}}
+	return &Round{
+		Ballot:     ballot,
+		change:     change,
+		replicas:   replicas,
+		promises:   map[int]Reply{},
+		acceptedBy: map[int]bool{},
+		rejectedBy: map[int]bool{},
+	}
 }
 
 func (r *Round) majority() int { return r.replicas/2 + 1 }
--- a/internal/store/round_test.go
+++ b/internal/store/round_test.go
@@ -29,8 +29,15 @@
 }
 
 func newSimulation(seed uint64, replicas int) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), registers: make([]Register, replicas), down: make([]bool, replicas), incarnations: make([]int, replicas),
-		chosen: map[Version]*Value{}, confirmed: map[string]Version{}, isCut: func(int, int) bool { return false }}
+	s := &simulation{
+		rng:          rand.New(rand.NewPCG(seed, 9)),
+		registers:    make([]Register, replicas),
+		down:         make([]bool, replicas),
+		incarnations: make([]int, replicas),
+		chosen:       map[Version]*Value{},
+		confirmed:    map[string]Version{},
+		isCut:        func(int, int) bool { return false },
+	}
 	for range replicas {
 		s.learned = append(s.learned, map[Key]*Value{})
 	}
@@ -77,7 +84,8 @@
 				reply := s.registers[to].Accept(ballot, value)
 				s.send(to, replica, func() {
 					if phaseBefore := round.phase; alive() {
-						if round.HandleAcceptReply(to, reply); phaseBefore != done && round.phase == done {
+						round.HandleAcceptReply(to, reply)
+						if phaseBefore != done && round.phase == done {
 							s.recordChosen(replica, round)
 						}
 					}
@@ -94,7 +102,8 @@
 			reply := s.registers[to].Prepare(ballot)
 			s.send(to, replica, func() {
 				if phaseBefore := round.phase; alive() {
-					if round.HandlePrepareReply(to, reply); phaseBefore == preparing && round.phase == accepting {
+					round.HandlePrepareReply(to, reply)
+					if phaseBefore == preparing && round.phase == accepting {
 						accept()
 					}
 				}
