--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -41,8 +41,8 @@
 
 const (
 	minTopOps            = 4        // ops of the highest benefit in an interval; fewer prove nothing
-	lostShare            = 1.0 / 8  // the pool can't serve if it served a smaller share of these
-	recoveredShare       = 3.0 / 4  // a trial goes on if the pool served at least this share of them
+	lostShare            = 1.0 / 8  // of the top ops; a pool that serves a smaller share can't serve
+	recoveredShare       = 3.0 / 4  // of the top ops; a trial goes on if the pool serves at least this share
 	initialTrialShare    = 1.0 / 64 // share of the ops sent to the pool when a trial starts
 	lostIntervals        = 2        // consecutive intervals that must show the pool lost
 	fastSpillGrowth      = 1.0 / 2  // of the spill limit per interval, until the next pool is first strained
@@ -50,7 +50,7 @@
 	spillReductionFactor = 3.0 / 4  // of the spill limit, after an interval in which the next pool was strained
 	initialSpillShare    = 1.0 / 4  // of the ops that the next pool served: the first spill limit
 	strainedShare        = 1.0 / 16 // the next pool is strained if it failed to serve a larger share of its top ops
-	flappingDwells       = 4        // times the dwell: a pool that fails earlier after its return is flapping
+	flappingDwells       = 4        // a pool that fails within this many dwell times after its return is flapping
 )
 
 // Stats holds what a pool's actor observed in one control interval.
@@ -89,7 +89,7 @@
 	spillLimit      float64       // maximum number of ops sent to the next pool per interval
 	spilled         float64       // ops sent to the next pool in this interval
 	refused         int           // ops refused in this interval
-	homeTransitions int
+	homeTransitions int           // how often Home was entered or left
 }
 
 // New returns the controller of a pool in state Home.
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -476,9 +476,9 @@
 	return nil
 }
 
-// isAllowedEscape reports whether s starts with a complete escape of a character that needs one. Escaped letters, dots,
-// slashes and backslashes are not allowed, because some servers decode them before they interpret the path and others
-// do not.
+// isAllowedEscape reports whether s starts with a complete escape of a character that needs one. Escaped letters,
+// digits, dots, slashes and backslashes are not allowed, because some servers decode them before they interpret the
+// path and others do not.
 func isAllowedEscape(s string) bool {
 	if len(s) < 3 {
 		return false
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -88,7 +88,7 @@
 		defer mu.Unlock()
 		if busy > 0 {
 			busy--
-			return errors.Join(ErrBusy, errors.New("no room"))
+			return errors.Join(ErrBusy, errors.New("too many settings in use"))
 		}
 		if broken {
 			return errors.New("key fleet.listen: in use")
