--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -113,7 +113,7 @@
 
 func (s *settings) whole(key string) int { return int(s.number(key)) }
 
-func (s *settings) span(key string) policy.Micros { return Micros(s.number(key)) }
+func (s *settings) span(key string) policy.Micros { return MillisToMicros(s.number(key)) }
 
 func (s *settings) flag(key string) bool {
 	switch value := s.text(key); value {
@@ -161,7 +161,7 @@
 			TTL:     s.span(at + "ttl"),
 			Repeat: choice(s, at+"effect", map[string]policy.Repeat{"idempotent": policy.Redeliverable,
 				"deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}),
-			Window: Micros(s.numberOr(at+"repeat_window", 0)),
+			Window: MillisToMicros(s.numberOr(at+"repeat_window", 0)),
 		}
 		if out[i].Repeat == policy.Deduplicated {
 			out[i].Scope = choice(s, at+"key_scope", map[string]policy.Scope{"all": policy.ScopeAll,
@@ -189,21 +189,21 @@
 }
 
 // Micros turns the settings' milliseconds into the module's whole microseconds.
-func Micros(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
+func MillisToMicros(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
 
 // Rules are the settings as the module takes them.
 type Rules struct {
-	Place      policy.Place
+	Topology   policy.Place
 	Categories []policy.Category
-	Push       policy.PushRule
-	Cold       policy.ColdRule
+	PushLimits policy.PushRule
+	ColdStart  policy.ColdRule
 	Registry   policy.RegistryRule
-	Grace      policy.Micros // of drains; 0: not told
+	DrainGrace policy.Micros // of drains; 0: not told
 }
 
 // NewNode starts the module with these rules.
 func (r *Rules) NewNode(seed uint64) *policy.Node {
-	return policy.New(int64(seed), r.Place, r.Categories, r.Push, r.Cold, r.Registry)
+	return policy.New(int64(seed), r.Topology, r.Categories, r.PushLimits, r.ColdStart, r.Registry)
 }
 
 // ParseRules reads the rules from path=value lines.
@@ -215,22 +215,22 @@
 
 func (s *settings) rules() *Rules {
 	r := &Rules{
-		Place: policy.Place{Tier: s.whole("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
+		Topology: policy.Place{Tier: s.whole("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
 			Nodes: s.whole("fleet_size"), Number: s.whole("slot_no"),
 			Zone: policy.ZoneID(s.whole("az")), Cross: s.numberOr("prices.cross_zone", 0),
 			Peers: s.flagOr("limits.peers", false), Tick: s.span("tick")},
-		Push: policy.PushRule{Max: s.whole("limits.max_pushes"), Duplicate: s.flag("limits.may_duplicate"),
+		PushLimits: policy.PushRule{Max: s.whole("limits.max_pushes"), Duplicate: s.flag("limits.may_duplicate"),
 			Cancel: s.flag("limits.may_cancel"), Dial: s.span("limits.dial_timeout")},
-		Cold: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.span("safety.cold"),
+		ColdStart: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.span("safety.cold"),
 			Factor: s.number("safety.overload_factor"), Window: s.span("safety.tip_after")},
 		Registry: policy.RegistryRule{
 			Ask:    choice(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
-			Within: Micros(s.numberOr("safety.must_ask_in", 0))},
-		Grace:      Micros(s.numberOr("safety.drain_grace", 0)),
+			Within: MillisToMicros(s.numberOr("safety.must_ask_in", 0))},
+		DrainGrace: MillisToMicros(s.numberOr("safety.drain_grace", 0)),
 		Categories: s.categories(),
 	}
 	if s.flag("limits.retry_after") {
-		r.Push.RetryAfter = s.span("limits.max_retry_after")
+		r.PushLimits.RetryAfter = s.span("limits.max_retry_after")
 	}
 	return r
 }
--- a/internal/serve/changes.go
+++ b/internal/serve/changes.go
@@ -22,10 +22,10 @@
 	if c.Store == nil {
 		return func() {}
 	}
-	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Validate: Check, InstallLock: &r.mu, Incarnation: fmt.Sprintf("%016x", rand.Uint64()),
+	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Validate: CheckConfig, InstallLock: &r.mu, Incarnation: fmt.Sprintf("%016x", rand.Uint64()),
 		Seed: rand.Uint64(), Log: r.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
 			err := r.install(c)
-			if errors.Is(err, node.ErrTooManySwitches) {
+			if errors.Is(err, node.ErrTooManyGenerations) {
 				err = errors.Join(apply.ErrBusy, err)
 			}
 			return err
--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -69,8 +69,8 @@
 func New(options Options) *Applier {
 	conf := options.Config
 	var localIP net.IP
-	if conf.Store.Bind.IsValid() {
-		localIP = conf.Store.Bind.AsSlice()
+	if conf.Store.LocalIP.IsValid() {
+		localIP = conf.Store.LocalIP.AsSlice()
 	}
 	return &Applier{
 		Options:  options,
@@ -83,7 +83,7 @@
 			Keys:        store.NodeKeys(conf.Store.Service, conf.Name),
 			Node:        conf.Name,
 			Incarnation: options.Incarnation,
-			Zone:        int(conf.Rules.Place.Zone),
+			Zone:        int(conf.Rules.Topology.Zone),
 			Seed:        options.Seed,
 			LocalIP:     localIP,
 		}, options.Log),
@@ -145,8 +145,8 @@
 		withValue := maps.Clone(applied)
 		withValue[value.Key] = value
 		parsed, err := ParseWithChanges(baseFile, withValue, a.Getenv, a.Validate)
-		if value.RequiredFormat > config.Form {
-			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", value.RequiredFormat, config.Form)
+		if value.RequiredFormat > config.FormatVersion {
+			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", value.RequiredFormat, config.FormatVersion)
 		}
 		if err != nil {
 			refused[value.Key] = store.Refusal{Version: value.Version, Reason: err.Error()}
@@ -239,7 +239,7 @@
 // ValidateChange checks a change before it is proposed. The files that it will be merged into are not known, so a valid
 // minimal one stands in for them.
 func ValidateChange(change *store.Change) error {
-	if change.RequiredFormat > config.Form {
+	if change.RequiredFormat > config.FormatVersion {
 		return nil // a later format; the nodes that support it check the change
 	}
 	values := map[store.Key]*store.Value{change.Key: {Key: change.Key, Patch: change.Patch}}
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conf.Rules.Push.Max != 7 || conf.Rules.Push.Dial != 55_000 || conf.LogLevel != zerolog.WarnLevel {
-		t.Errorf("%+v, %v", conf.Rules.Push, conf.LogLevel)
+	if conf.Rules.PushLimits.Max != 7 || conf.Rules.PushLimits.Dial != 55_000 || conf.LogLevel != zerolog.WarnLevel {
+		t.Errorf("%+v, %v", conf.Rules.PushLimits, conf.LogLevel)
 	}
 	for patch, want := range map[string]string{
 		`{"settings":{"tick":"often"}}`: "setting tick is no number",
@@ -58,7 +58,7 @@
 	if err := ValidateChange(&store.Change{Key: "node/n", Patch: json.RawMessage(`{"settings":{"az":0}}`)}); err != nil {
 		t.Error(err)
 	}
-	if err := ValidateChange(&store.Change{Key: "all", RequiredFormat: config.Form + 1, Patch: json.RawMessage(`{"later":1}`)}); err != nil {
+	if err := ValidateChange(&store.Change{Key: "all", RequiredFormat: config.FormatVersion + 1, Patch: json.RawMessage(`{"later":1}`)}); err != nil {
 		t.Errorf("a change of a later format must be left to the nodes that support it: %v", err)
 	}
 }
@@ -93,7 +93,7 @@
 		if broken {
 			return errors.New("key fleet.listen: in use")
 		}
-		installed <- c.Rules.Push.Max
+		installed <- c.Rules.PushLimits.Max
 		return nil
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -147,8 +147,8 @@
 		t.Fatal(err)
 	}
 	patched, err := applier.WithChanges(reloaded)
-	if err != nil || patched.Rules.Push.Max != 4 || patched.Rules.Push.Dial != 70_000 {
-		t.Errorf("%v: %+v", err, patched.Rules.Push)
+	if err != nil || patched.Rules.PushLimits.Max != 4 || patched.Rules.PushLimits.Dial != 70_000 {
+		t.Errorf("%v: %+v", err, patched.Rules.PushLimits)
 	}
 	applier.SetFile(reloaded.Raw)
 	await("another try with the reloaded file", func() bool { return appliedVersion("service/s") == 2 && applier.View().Refused["node/n"].Version == 1 })
