--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -15,104 +15,113 @@
 	"canvasrouter/policy"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "write the trace files in testdata")
 
-// world is two pools in the simplest form: each serves up to its capacity in a beat, the best ops first.
-type world struct {
+// simulation is a simple model of two pools. Each serves up to its capacity per interval; the primary serves top ops
+// first, the next pool loses from all ops alike.
+type simulation struct {
 	*Controller
-	now       policy.Micros
-	capacity  float64 // of the primary, in ops a beat
-	silent    bool    // the primary's servers are listed and answer nothing
-	listed    int
-	next      float64 // capacity of the next pool
-	nextOwn   int     // its own ops a beat, half of them best
-	ops       int     // of the primary's clients a beat, half of them best
-	served    int
-	nextLost  int // of the next pool's own best ops not served
-	lastSpill int
+	now          policy.Micros
+	capacity     float64 // of the primary, in ops per interval
+	unresponsive bool    // whether the primary's servers are listed but do not answer
+	listed       int     // servers of the primary on the list
+	nextCapacity float64 // of the next pool, in ops per interval
+	nextOwnOps   int     // ops of the next pool's own clients per interval, half of them top ops
+	ops          int     // ops of the primary's clients per interval, half of them top ops
+	served       int     // ops of the primary's clients that were served, since the last event
+	nextTopLost  int     // top ops of the next pool's own clients that were not served
+	lastSpill    int     // ops sent to the next pool in the last interval
 }
 
-func newWorld() *world {
-	return &world{Controller: New(DefaultConfig()), capacity: 100, listed: 6, next: 100, nextOwn: 40, ops: 80}
+func newSimulation() *simulation {
+	return &simulation{Controller: New(DefaultConfig()), capacity: 100, listed: 6, nextCapacity: 100, nextOwnOps: 40, ops: 80}
 }
 
-func (w *world) beat() string {
-	var toPool, best, toNext int
-	for i := range w.ops {
-		switch w.Choose(i%2 == 0) {
+// step runs one interval and returns the log line of a state change.
+func (sim *simulation) step() string {
+	var toPool, topToPool, toNext int
+	for i := range sim.ops {
+		switch sim.Choose(i%2 == 0) {
 		case ToPool:
 			toPool++
 			if i%2 == 0 {
-				best++
+				topToPool++
 			}
 		case ToNext:
 			toNext++
 		}
 	}
-	own := Stats{ReadyServers: w.listed, TopOps: best, EndedPushes: toPool}
-	if w.silent || w.listed == 0 {
-		own.FailedPushes, own.DownServers = toPool, min(w.listed, toPool)
-		if w.Controller.State() != Home {
-			own.DownServers = 0 // nobody has asked them lately
+	own := Stats{ReadyServers: sim.listed, TopOps: topToPool, EndedPushes: toPool}
+	if sim.unresponsive || sim.listed == 0 {
+		own.FailedPushes = toPool
+		own.DownServers = min(sim.listed, toPool)
+		if sim.Controller.State() != Home {
+			own.DownServers = 0 // no recent push has found them down
 		}
 	} else {
-		own.ServedOps = min(toPool, int(w.capacity))
-		own.TopServed = min(best, own.ServedOps)
+		own.ServedOps = min(toPool, int(sim.capacity))
+		own.TopServed = min(topToPool, own.ServedOps)
 	}
-	load := w.nextOwn + toNext
-	served := min(load, int(w.next))
-	nextBest := w.nextOwn / 2
-	nextServed := nextBest
-	if load > int(w.next) { // overfull pools lose from all
-		nextServed = nextBest * int(w.next) / load
+	load := sim.nextOwnOps + toNext
+	served := min(load, int(sim.nextCapacity))
+	nextTopOps := sim.nextOwnOps / 2
+	nextTopServed := nextTopOps
+	if load > int(sim.nextCapacity) { // an overloaded pool loses from all ops alike
+		nextTopServed = nextTopOps * int(sim.nextCapacity) / load
 	}
-	next := Stats{ReadyServers: 6, TopOps: nextBest, TopServed: nextServed, ServedOps: served, EndedPushes: load}
-	w.nextLost += nextBest - nextServed
-	w.served += own.ServedOps + max(0, served-w.nextOwn)
-	w.lastSpill = toNext
-	w.now += w.rule.Interval
-	return w.Tick(w.now, &own, &next)
+	next := Stats{ReadyServers: 6, TopOps: nextTopOps, TopServed: nextTopServed, ServedOps: served, EndedPushes: load}
+	sim.nextTopLost += nextTopOps - nextTopServed
+	sim.served += own.ServedOps + max(0, served-sim.nextOwnOps)
+	sim.lastSpill = toNext
+	sim.now += sim.config.Interval
+	return sim.Tick(sim.now, &own, &next)
 }
 
-// play runs a script: each line "N what" runs N beats after a change. It gives a trace of the level's changes.
-func play(t *testing.T, script string) string {
+// runScript runs a script in which each line "N EVENT" applies an event and then runs N intervals. It returns a trace of
+// the state changes.
+func runScript(t *testing.T, script string) string {
 	t.Helper()
-	w := newWorld()
+	sim := newSimulation()
 	var trace strings.Builder
 	lines := bufio.NewScanner(strings.NewReader(script))
 	for lines.Scan() {
-		n, what := 0, ""
-		if _, err := fmt.Sscanf(lines.Text(), "%d %s", &n, &what); err != nil {
+		intervals, event := 0, ""
+		if _, err := fmt.Sscanf(lines.Text(), "%d %s", &intervals, &event); err != nil {
 			t.Fatalf("script %q: %v", lines.Text(), err)
 		}
-		switch what {
+		switch event {
 		case "lost":
-			w.silent = true
+			sim.unresponsive = true
 		case "delisted":
-			w.listed = 0
+			sim.listed = 0
 		case "back":
-			w.silent, w.listed, w.capacity = false, 6, 100
+			sim.unresponsive = false
+			sim.listed = 6
+			sim.capacity = 100
 		case "cold":
-			w.silent, w.listed, w.capacity = false, 6, 30
+			sim.unresponsive = false
+			sim.listed = 6
+			sim.capacity = 30
 		case "overload":
-			w.ops = 400
+			sim.ops = 400
 		case "calm":
-			w.ops = 80
+			sim.ops = 80
 		case "nextfull":
-			w.nextOwn = 90
+			sim.nextOwnOps = 90
 		}
 		fmt.Fprintf(&trace, "-- %s\n", lines.Text())
-		w.served = 0
-		for range n {
-			if log := w.beat(); log != "" {
-				fmt.Fprintf(&trace, "%3d s %s\n", w.now/policy.Second, log)
+		sim.served = 0
+		for range intervals {
+			if log := sim.step(); log != "" {
+				fmt.Fprintf(&trace, "%3d s %s\n", sim.now/policy.Second, log)
 			}
 		}
-		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", w.State(), w.HomeShare(), w.lastSpill, w.served, w.nextLost)
+		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", sim.State(), sim.HomeShare(), sim.lastSpill, sim.served, sim.nextTopLost)
 	}
 	return trace.String()
 }
 
+// TestTraces compares the state changes and results of several scripts with the traces in testdata.
 func TestTraces(t *testing.T) {
 	for name, script := range map[string]string{
 		"lost-and-back":  "5 calm\n30 lost\n60 back",
@@ -122,7 +131,7 @@
 		"both-bad":       "5 nextfull\n40 lost\n60 back",
 		"flapping":       "5 calm\n4 lost\n60 back\n4 lost\n60 back\n4 lost\n90 back",
 	} {
-		got := play(t, script)
+		got := runScript(t, script)
 		file := filepath.Join("testdata", name+".txt")
 		if *update {
 			os.WriteFile(file, []byte(got), 0o644)
@@ -134,46 +143,47 @@
 	}
 }
 
-// Whatever a primary does, its level changes four times a minute at the most, and the next pool's own best ops get
-// through but for what the search for its bound costs.
+// TestFlapping checks that a primary whose servers fail and recover at random leaves or enters Home at most four times a
+// minute, and that the next pool loses no more of its own top ops than the search for its capacity costs.
 func TestFlapping(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		w := newWorld()
-		var at []policy.Micros
-		beats := 600
-		for range beats {
+		sim := newSimulation()
+		var transitions []policy.Micros
+		intervals := 600
+		for range intervals {
 			if rng.IntN(4) == 0 {
-				w.silent = !w.silent
+				sim.unresponsive = !sim.unresponsive
 			}
-			before := w.HomeTransitions()
-			w.beat()
-			if w.HomeTransitions() > before {
-				at = append(at, w.now)
+			before := sim.HomeTransitions()
+			sim.step()
+			if sim.HomeTransitions() > before {
+				transitions = append(transitions, sim.now)
 			}
 		}
-		for i := range at {
-			if i+4 < len(at) && at[i+4]-at[i] < 60*policy.Second {
-				t.Errorf("seed %d: five changes within %d s", seed, (at[i+4]-at[i])/policy.Second)
+		for i := range transitions {
+			if i+4 < len(transitions) && transitions[i+4]-transitions[i] < 60*policy.Second {
+				t.Errorf("seed %d: five home transitions within %d s", seed, (transitions[i+4]-transitions[i])/policy.Second)
 			}
 		}
-		if most := w.nextOwn / 2 * beats; w.nextLost*33 > most {
-			t.Errorf("seed %d: the next pool lost %d of its %d best ops", seed, w.nextLost, most)
+		if topOps := sim.nextOwnOps / 2 * intervals; sim.nextTopLost*33 > topOps {
+			t.Errorf("seed %d: the next pool lost %d of its own %d top ops", seed, sim.nextTopLost, topOps)
 		}
 	}
 }
 
-func TestCross(t *testing.T) {
+// TestMayPushToOtherPool checks that an op that may have run is repeated in another pool only if that does no harm.
+func TestMayPushToOtherPool(t *testing.T) {
 	for _, c := range []struct {
-		repeat     policy.Repeat
-		risky, all bool
-		want       bool
+		semantics                  policy.Repeat
+		mayHaveRun, dedupSpansBoth bool
+		want                       bool
 	}{
 		{policy.AtMostOnce, false, false, true}, {policy.AtMostOnce, true, true, false},
 		{policy.Deduplicated, true, false, false}, {policy.Deduplicated, true, true, true},
 		{policy.Redeliverable, true, false, true},
 	} {
-		if got := MayPushToOtherPool(c.repeat, c.risky, c.all); got != c.want {
+		if got := MayPushToOtherPool(c.semantics, c.mayHaveRun, c.dedupSpansBoth); got != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/store/round.go
+++ b/internal/store/round.go
@@ -1,93 +1,106 @@
 package store
 
-// phase is what a round waits for.
+// phase is the stage of a round.
 type phase uint8
 
 const (
-	preparing phase = iota // promises
-	accepting              // acceptances
-	done                   // a majority has accepted
-	overtaken              // a later ballot is in the way
+	preparing phase = iota // waiting for promises
+	accepting              // waiting for acceptances
+	done                   // a majority has accepted the value
+	preempted              // later ballots make a majority impossible
 )
 
-// Round is one attempt to change a key. From preparing it goes on to accepting with a majority of promises, from there to done with
-// a majority of acceptances; one refusal that can't be outvoted ends it.
+// Round is one attempt to change a key, the proposer of CASPaxos. A majority of promises moves it from preparing to
+// accepting, a majority of acceptances from there to done. It is preempted once so many replicas have rejected the
+// ballot that a majority is no longer possible.
 //
-//	state      input                          effect                     next
-//	preparing  promise, a majority now        value made of the latest   accepting
-//	preparing  refusal, no majority possible                             overtaken
-//	accepting  acceptance, a majority now     value is chosen            done
-//	accepting  refusal, no majority possible                             overtaken
-//	any        anything of a replica twice    none                       the same
+//	phase      input                             effect                              next
+//	preparing  promise that makes a majority     next value built from the latest    accepting
+//	preparing  rejection, no majority possible                                       preempted
+//	accepting  acceptance that makes a majority  value is chosen                     done
+//	accepting  rejection, no majority possible                                       preempted
+//	any        second reply of a replica         ignored                             unchanged
+//
+// A round whose change results in no value is done as soon as a majority has promised.
 type Round struct {
-	Ballot   Ballot
-	change   *Change
-	replicas int
-	at       phase
-	promised map[int]Reply
-	accepted map[int]bool
-	refused  map[int]bool
-	latest   Ballot // the highest that was in the way
-	value    *Value
-	verdict  Verdict
-	version  Version
+	Ballot        Ballot
+	change        *Change
+	replicas      int
+	phase         phase
+	promises      map[int]Reply
+	acceptedBy    map[int]bool
+	rejectedBy    map[int]bool
+	highestBallot Ballot // highest ballot seen in a rejection
+	value         *Value
+	verdict       Verdict
+	version       Version
 }
 
-// NewRound begins with a ballot that its replica has never used.
-func NewRound(b Ballot, c *Change, replicas int) *Round {
-	return &Round{Ballot: b, change: c, replicas: replicas, promised: map[int]Reply{}, accepted: map[int]bool{}, refused: map[int]bool{}}
+// NewRound returns a round in the preparing phase. Its ballot must be one that its replica has never used before.
+func NewRound(ballot Ballot, change *Change, replicas int) *Round {
+	return &Round{
+		Ballot:     ballot,
+		change:     change,
+		replicas:   replicas,
+		promises:   map[int]Reply{},
+		acceptedBy: map[int]bool{},
+		rejectedBy: map[int]bool{},
+	}
 }
 
 func (r *Round) majority() int { return r.replicas/2 + 1 }
 
-// refuse counts a replica that has promised a later ballot.
-func (r *Round) refuse(from int, in Ballot) {
-	r.refused[from] = true
-	if in.Compare(r.latest) > 0 {
-		r.latest = in
+// recordRejection counts a replica that has promised a later ballot.
+func (r *Round) recordRejection(from int, ballot Ballot) {
+	r.rejectedBy[from] = true
+	if ballot.Compare(r.highestBallot) > 0 {
+		r.highestBallot = ballot
 	}
-	if r.replicas-len(r.refused) < r.majority() {
-		r.at = overtaken
+	if r.replicas-len(r.rejectedBy) < r.majority() {
+		r.phase = preempted
 	}
 }
 
-// Promised takes a replica's answer to the ballot.
-func (r *Round) HandlePrepareReply(from int, p Reply) {
-	if _, known := r.promised[from]; known || r.refused[from] || r.at != preparing {
+// HandlePrepareReply processes a replica's reply to the prepare request.
+func (r *Round) HandlePrepareReply(from int, reply Reply) {
+	if _, answered := r.promises[from]; answered || r.rejectedBy[from] || r.phase != preparing {
 		return
 	}
-	if !p.Granted {
-		r.refuse(from, p.Promised)
+	if !reply.Granted {
+		r.recordRejection(from, reply.Promised)
 		return
 	}
-	r.promised[from] = p
-	if len(r.promised) < r.majority() {
+	r.promises[from] = reply
+	if len(r.promises) < r.majority() {
 		return
 	}
-	// Danger: of what was accepted before, the latest may have been chosen; any other must give way to it.
-	var best Reply
-	for _, p := range r.promised {
-		if p.Value != nil && (best.Value == nil || p.Accepted.Compare(best.Accepted) > 0) {
-			best = p
+	// The value accepted under the highest ballot may already be chosen. Building on any other value would overwrite a
+	// chosen one.
+	var latest Reply
+	for _, reply := range r.promises {
+		if reply.Value != nil && (latest.Value == nil || reply.Accepted.Compare(latest.Accepted) > 0) {
+			latest = reply
 		}
 	}
-	r.value, r.verdict, r.version = NextValue(best.Value, r.change)
-	r.at, r.refused = accepting, map[int]bool{}
-	if r.value == nil { // nothing stands, and the change makes nothing
-		r.at = done
+	r.value, r.verdict, r.version = NextValue(latest.Value, r.change)
+	r.phase = accepting
+	r.rejectedBy = map[int]bool{}
+	if r.value == nil { // the key has no value and the change creates none
+		r.phase = done
 	}
 }
 
-// Accepted takes a replica's answer to the value.
-func (r *Round) HandleAcceptReply(from int, p Reply) {
-	if r.accepted[from] || r.refused[from] || r.at != accepting {
+// HandleAcceptReply processes a replica's reply to the accept request.
+func (r *Round) HandleAcceptReply(from int, reply Reply) {
+	if r.acceptedBy[from] || r.rejectedBy[from] || r.phase != accepting {
 		return
 	}
-	if !p.Granted {
-		r.refuse(from, p.Promised)
+	if !reply.Granted {
+		r.recordRejection(from, reply.Promised)
 		return
 	}
-	if r.accepted[from] = true; len(r.accepted) >= r.majority() {
-		r.at = done
+	r.acceptedBy[from] = true
+	if len(r.acceptedBy) >= r.majority() {
+		r.phase = done
 	}
 }
--- a/internal/store/round_test.go
+++ b/internal/store/round_test.go
@@ -7,214 +7,230 @@
 	"testing"
 )
 
-// packet is one on its way between replicas in the simulation.
+// packet is a message between two simulated replicas. Its delivery runs the handler of the receiver.
 type packet struct {
 	from, to int
 	deliver  func()
 }
 
-// world is some replicas, with messages that come in any order, twice, or never, ways that are cut, and replicas that start anew with what
-// their disks hold.
-type world struct {
-	rng       *rand.Rand
-	disks     []Register
-	way       []packet
-	cut       func(a, b int) bool
-	down      []bool
-	lives     []int
-	chosen    map[Version]*Value // of the one key
-	told      map[string]Version // to whoever asked
-	committed []map[Key]*Value
-	fault     string
+// simulation runs replicas on a simulated network that reorders, duplicates and loses messages and can be partitioned.
+// Replicas fail and restart with the registers that they had on disk.
+type simulation struct {
+	rng          *rand.Rand
+	registers    []Register // on disk, by replica
+	inTransit    []packet
+	isCut        func(a, b int) bool
+	down         []bool
+	incarnations []int              // by replica; goes up with each restart
+	chosen       map[Version]*Value // of the only key
+	confirmed    map[string]Version // by change ID: the version that a client was told
+	learned      []map[Key]*Value   // chosen values that a replica knows
+	violation    string             // latest violated property; "" for none
 }
 
-func newWorld(seed uint64, replicas int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), disks: make([]Register, replicas), down: make([]bool, replicas), lives: make([]int, replicas),
-		chosen: map[Version]*Value{}, told: map[string]Version{}, cut: func(int, int) bool { return false }}
+func newSimulation(seed uint64, replicas int) *simulation {
+	s := &simulation{
+		rng:          rand.New(rand.NewPCG(seed, 9)),
+		registers:    make([]Register, replicas),
+		down:         make([]bool, replicas),
+		incarnations: make([]int, replicas),
+		chosen:       map[Version]*Value{},
+		confirmed:    map[string]Version{},
+		isCut:        func(int, int) bool { return false },
+	}
 	for range replicas {
-		w.committed = append(w.committed, map[Key]*Value{})
+		s.learned = append(s.learned, map[Key]*Value{})
 	}
-	return w
+	return s
 }
 
-func (w *world) send(from, to int, deliver func()) { w.way = append(w.way, packet{from, to, deliver}) }
+func (s *simulation) send(from, to int, deliver func()) {
+	s.inTransit = append(s.inTransit, packet{from, to, deliver})
+}
 
-// step delivers one packet, drawn at random; some are lost, some come again later.
-func (w *world) step() bool {
-	if len(w.way) == 0 {
+// step takes a random packet from the network and delivers it. Some are lost and some stay in transit for a second
+// delivery. It reports false if no packet was in transit.
+func (s *simulation) step() bool {
+	if len(s.inTransit) == 0 {
 		return false
 	}
-	i := w.rng.IntN(len(w.way))
-	m := w.way[i]
-	w.way[i] = w.way[len(w.way)-1]
-	w.way = w.way[:len(w.way)-1]
-	if w.rng.IntN(12) == 0 {
-		w.way = append(w.way, m)
+	i := s.rng.IntN(len(s.inTransit))
+	next := s.inTransit[i]
+	s.inTransit[i] = s.inTransit[len(s.inTransit)-1]
+	s.inTransit = s.inTransit[:len(s.inTransit)-1]
+	if s.rng.IntN(12) == 0 {
+		s.inTransit = append(s.inTransit, next)
 	}
-	if w.rng.IntN(10) > 0 && !w.down[m.to] && (m.from == m.to || !w.cut(m.from, m.to)) {
-		m.deliver()
+	if s.rng.IntN(10) > 0 && !s.down[next.to] && (next.from == next.to || !s.isCut(next.from, next.to)) {
+		next.deliver()
 	}
 	return true
 }
 
-// propose begins a round at a replica, with messages only; what a replica promises is on its disk at once.
-func (w *world) propose(at int, c *Change) {
-	if w.down[at] {
+// propose starts a round at a replica. All replies of other replicas arrive as packets; a change of a register counts as
+// saved at once.
+func (s *simulation) propose(replica int, change *Change) {
+	if s.down[replica] {
 		return
 	}
-	life := w.lives[at]
-	b := Ballot{Round: w.disks[at].Promised.Round + 1, Replica: at}
-	r := NewRound(b, c, len(w.disks))
-	alive := func() bool { return !w.down[at] && w.lives[at] == life }
+	incarnation := s.incarnations[replica]
+	ballot := Ballot{Round: s.registers[replica].Promised.Round + 1, Replica: replica}
+	round := NewRound(ballot, change, len(s.registers))
+	alive := func() bool { return !s.down[replica] && s.incarnations[replica] == incarnation }
 	accept := func() {
-		v := r.value
-		for to := range w.disks {
-			w.send(at, to, func() {
-				p := w.disks[to].Accept(b, v)
-				w.send(to, at, func() {
-					if was := r.at; alive() {
-						if r.HandleAcceptReply(to, p); was != done && r.at == done {
-							w.choose(at, r)
+		value := round.value
+		for to := range s.registers {
+			s.send(replica, to, func() {
+				reply := s.registers[to].Accept(ballot, value)
+				s.send(to, replica, func() {
+					if phaseBefore := round.phase; alive() {
+						round.HandleAcceptReply(to, reply)
+						if phaseBefore != done && round.phase == done {
+							s.recordChosen(replica, round)
 						}
 					}
 				})
 			})
 		}
 	}
-	r.HandlePrepareReply(at, w.disks[at].Prepare(b)) // its own first, or the round's number could be used again
-	for to := range w.disks {
-		if to == at {
+	round.HandlePrepareReply(replica, s.registers[replica].Prepare(ballot)) // first, so that the ballot is never used again
+	for to := range s.registers {
+		if to == replica {
 			continue
 		}
-		w.send(at, to, func() {
-			p := w.disks[to].Prepare(b)
-			w.send(to, at, func() {
-				if was := r.at; alive() {
-					if r.HandlePrepareReply(to, p); was == preparing && r.at == accepting {
+		s.send(replica, to, func() {
+			reply := s.registers[to].Prepare(ballot)
+			s.send(to, replica, func() {
+				if phaseBefore := round.phase; alive() {
+					round.HandlePrepareReply(to, reply)
+					if phaseBefore == preparing && round.phase == accepting {
 						accept()
 					}
 				}
 			})
 		})
 	}
-	if r.at == accepting {
+	if round.phase == accepting {
 		accept()
 	}
 }
 
-func (w *world) choose(at int, r *Round) {
-	if r.value == nil {
+// recordChosen notes the result of a finished round, and a violation if it contradicts an earlier one.
+func (s *simulation) recordChosen(replica int, round *Round) {
+	if round.value == nil {
 		return
 	}
-	if was := w.chosen[r.value.Version]; was != nil && !Equal(was, r.value) {
-		w.fault = fmt.Sprintf("version %d is %s and %s", r.value.Version, was.ID, r.value.ID)
+	if previous := s.chosen[round.value.Version]; previous != nil && !Equal(previous, round.value) {
+		s.violation = fmt.Sprintf("version %d is %s and %s", round.value.Version, previous.ID, round.value.ID)
 	}
-	w.chosen[r.value.Version] = r.value
-	MergeNewer(w.committed[at], r.value)
-	if r.verdict == Chosen || r.verdict == AlreadyChosen {
-		if was, known := w.told[r.change.ID]; known && was != r.version {
-			w.fault = fmt.Sprintf("%s was told as %d and %d", r.change.ID, was, r.version)
+	s.chosen[round.value.Version] = round.value
+	MergeNewer(s.learned[replica], round.value)
+	if round.verdict == Chosen || round.verdict == AlreadyChosen {
+		if previous, known := s.confirmed[round.change.ID]; known && previous != round.version {
+			s.violation = fmt.Sprintf("change %s was confirmed as version %d and %d", round.change.ID, previous, round.version)
 		}
-		w.told[r.change.ID] = r.version
+		s.confirmed[round.change.ID] = round.version
 	}
 }
 
-// play runs one seed: changes from all sides with losses, cuts and new starts, then peace.
-func play(seed uint64, replicas int) string {
-	w := newWorld(seed, replicas)
+// simulate runs one seed: changes at random replicas during message loss, partitions and restarts, then a last round on
+// a fault-free network. It returns the violated property, or "".
+func simulate(seed uint64, replicas int) string {
+	s := newSimulation(seed, replicas)
 	for i := range 40 {
-		at := w.rng.IntN(replicas)
-		c := &Change{Key: "all", ID: fmt.Sprintf("c%d", max(0, i-w.rng.IntN(mostPast/2))), Patch: json.RawMessage(fmt.Sprint(i))}
-		if w.rng.IntN(3) == 0 {
-			from := Version(w.rng.IntN(8))
-			c.ExpectedVersion = &from
+		replica := s.rng.IntN(replicas)
+		change := &Change{Key: "all", ID: fmt.Sprintf("c%d", max(0, i-s.rng.IntN(maxHistory/2))), Patch: json.RawMessage(fmt.Sprint(i))}
+		if s.rng.IntN(3) == 0 {
+			from := Version(s.rng.IntN(8))
+			change.ExpectedVersion = &from
 		}
-		c.Patch = json.RawMessage(`"` + c.ID + `"`) // the same change says the same
-		if v := w.committed[at]["all"]; v != nil && w.rng.IntN(4) == 0 {
-			c.ExpectedVersion = &v.Version
+		change.Patch = json.RawMessage(`"` + change.ID + `"`) // a repeated change has the same content
+		if v := s.learned[replica]["all"]; v != nil && s.rng.IntN(4) == 0 {
+			change.ExpectedVersion = &v.Version
 		}
-		w.propose(at, c)
-		switch w.rng.IntN(12) {
+		s.propose(replica, change)
+		switch s.rng.IntN(12) {
 		case 0:
-			lonely := w.rng.IntN(replicas)
-			w.cut = func(a, b int) bool { return a == lonely || b == lonely }
+			isolated := s.rng.IntN(replicas)
+			s.isCut = func(a, b int) bool { return a == isolated || b == isolated }
 		case 1:
-			w.cut = func(int, int) bool { return false }
+			s.isCut = func(int, int) bool { return false }
 		case 2:
-			one := w.rng.IntN(replicas)
-			w.down[one] = true
+			failed := s.rng.IntN(replicas)
+			s.down[failed] = true
 		case 3:
-			for one := range w.down {
-				if w.down[one] {
-					w.down[one] = false
-					w.lives[one]++
+			for restarted := range s.down {
+				if s.down[restarted] {
+					s.down[restarted] = false
+					s.incarnations[restarted]++
 				}
 			}
 		}
-		for range w.rng.IntN(30) {
-			w.step()
+		for range s.rng.IntN(30) {
+			s.step()
 		}
 	}
-	// Peace: what was told stands.
-	w.cut = func(int, int) bool { return false }
-	clear(w.down)
-	var last *Round
-	for try := 0; try < 50 && (last == nil || last.at != done); try++ {
-		for w.step() {
+	// On a fault-free network a round must succeed, and everything confirmed before must still hold.
+	s.isCut = func(int, int) bool { return false }
+	clear(s.down)
+	var final *Round
+	for attempt := 0; attempt < 50 && (final == nil || final.phase != done); attempt++ {
+		for s.step() {
 		}
-		never := Version(1 << 40)
-		c := &Change{Key: "all", ID: "last", ExpectedVersion: &never}
-		b := Ballot{Round: w.disks[0].Promised.Round + 1 + uint64(try), Replica: 0}
-		last = NewRound(b, c, replicas)
-		for to := range w.disks {
-			last.HandlePrepareReply(to, w.disks[to].Prepare(b))
+		unusedVersion := Version(1 << 40)
+		change := &Change{Key: "all", ID: "last", ExpectedVersion: &unusedVersion}
+		ballot := Ballot{Round: s.registers[0].Promised.Round + 1 + uint64(attempt), Replica: 0}
+		final = NewRound(ballot, change, replicas)
+		for to := range s.registers {
+			final.HandlePrepareReply(to, s.registers[to].Prepare(ballot))
 		}
-		if last.at == accepting {
-			for to := range w.disks {
-				last.HandleAcceptReply(to, w.disks[to].Accept(b, last.value))
+		if final.phase == accepting {
+			for to := range s.registers {
+				final.HandleAcceptReply(to, s.registers[to].Accept(ballot, final.value))
 			}
 		}
 	}
 	switch {
-	case w.fault != "":
-		return w.fault
-	case last.at != done:
-		return "no end in peace"
-	case last.value == nil && len(w.told) > 0:
-		return "all is lost"
+	case s.violation != "":
+		return s.violation
+	case final.phase != done:
+		return "no round succeeds on a fault-free network"
+	case final.value == nil && len(s.confirmed) > 0:
+		return "all confirmed changes are lost"
 	}
-	// A version that only a minority accepted may stand in the past of a later one that was chosen: then it counts.
+	// A version that only a minority accepted may be in the history of a later chosen value: then it counts as chosen.
 	history := map[Version]string{}
-	note := func(v Version, id string) {
-		if was, known := history[v]; known && was != id {
-			w.fault = fmt.Sprintf("version %d is %s and %s", v, was, id)
+	recordVersion := func(v Version, id string) {
+		if recorded, exists := history[v]; exists && recorded != id {
+			s.violation = fmt.Sprintf("version %d is %s and %s", v, recorded, id)
 		}
 		history[v] = id
 	}
-	for _, v := range w.chosen {
-		note(v.Version, v.ID)
-		for _, p := range v.History {
-			note(p.Version, p.ID)
+	for _, v := range s.chosen {
+		recordVersion(v.Version, v.ID)
+		for _, past := range v.History {
+			recordVersion(past.Version, past.ID)
 		}
 	}
-	if w.fault != "" {
-		return w.fault
+	if s.violation != "" {
+		return s.violation
 	}
-	for id, version := range w.told {
-		if history[version] != id || version > last.value.Version {
-			return fmt.Sprintf("%s was told as %d, which is %q; the last is %d", id, version, history[version], last.value.Version)
+	for id, version := range s.confirmed {
+		if history[version] != id || version > final.value.Version {
+			return fmt.Sprintf("change %s was confirmed as version %d, which is %q; the last version is %d", id, version, history[version], final.value.Version)
 		}
 	}
-	for v := Version(1); last.value != nil && v <= last.value.Version; v++ {
-		if c := w.chosen[v]; c != nil && v > 1 && w.chosen[v-1] != nil && string(c.PreviousPatch) != string(w.chosen[v-1].Patch) {
-			return fmt.Sprintf("version %d does not follow on %d", v, v-1)
+	for v := Version(1); final.value != nil && v <= final.value.Version; v++ {
+		if change := s.chosen[v]; change != nil && v > 1 && s.chosen[v-1] != nil && string(change.PreviousPatch) != string(s.chosen[v-1].Patch) {
+			return fmt.Sprintf("version %d is not based on version %d", v, v-1)
 		}
 	}
 	return ""
 }
 
-// One content a version, versions that follow each other, and what was told stands: over thousands of seeds of lost, doubled and
-// reordered messages, cuts, and replicas that start anew.
+// TestRegisterProperties guards the safety of the protocol: each version has one content, each version is based on the
+// one before, and a confirmed change is never lost, whatever messages are lost, duplicated or reordered and whichever
+// replicas are cut off or restart.
 func TestRegisterProperties(t *testing.T) {
 	seeds := uint64(3000)
 	if testing.Short() {
@@ -222,51 +238,51 @@
 	}
 	for seed := range seeds {
 		for _, replicas := range []int{3, 5} {
-			if fault := play(seed, replicas); fault != "" {
-				t.Fatalf("seed %d, %d replicas: %s", seed, replicas, fault)
+			if violation := simulate(seed, replicas); violation != "" {
+				t.Fatalf("seed %d, %d replicas: %s", seed, replicas, violation)
 			}
 		}
 	}
 }
 
-// What a change makes of what stands, case by case.
-func TestNext(t *testing.T) {
-	version := func(v Version) *Version { return &v }
+// TestNextValue checks the result of each kind of change on each kind of current value.
+func TestNextValue(t *testing.T) {
+	pointerTo := func(version Version) *Version { return &version }
 	first, _, _ := NextValue(nil, &Change{Key: "all", ID: "a", Patch: json.RawMessage(`1`)})
 	second, _, _ := NextValue(first, &Change{Key: "all", ID: "b", Patch: json.RawMessage(`2`)})
 	for name, c := range map[string]struct {
-		now     *Value
+		current *Value
 		change  Change
 		verdict Verdict
 		version Version
 		patch   string
 	}{
-		"the first":                       {nil, Change{ID: "a", Patch: json.RawMessage(`1`)}, Chosen, 1, "1"},
-		"one after it":                    {first, Change{ID: "b", Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"from the version that stands":    {first, Change{ID: "b", ExpectedVersion: version(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"two at once: the second":         {second, Change{ID: "c", ExpectedVersion: version(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
-		"from a version that never was":   {nil, Change{ID: "c", ExpectedVersion: version(4)}, Conflict, 0, ""},
-		"the same twice":                  {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, AlreadyChosen, 2, "2"},
-		"the same again, after another":   {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, AlreadyChosen, 1, "2"},
-		"the way back":                    {second, Change{ID: "d", Rollback: true}, Chosen, 3, "1"},
-		"no way back from the first":      {first, Change{ID: "d", Rollback: true}, NothingToRollBack, 1, "1"},
-		"no way back from nothing":        {nil, Change{ID: "d", Rollback: true}, NothingToRollBack, 0, ""},
-		"the way back, and another since": {second, Change{ID: "d", Rollback: true, ExpectedVersion: version(1)}, Conflict, 2, "2"},
+		"first change":                           {nil, Change{ID: "a", Patch: json.RawMessage(`1`)}, Chosen, 1, "1"},
+		"second change":                          {first, Change{ID: "b", Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
+		"expected version is current":            {first, Change{ID: "b", ExpectedVersion: pointerTo(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
+		"expected version is outdated":           {second, Change{ID: "c", ExpectedVersion: pointerTo(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
+		"expected version never existed":         {nil, Change{ID: "c", ExpectedVersion: pointerTo(4)}, Conflict, 0, ""},
+		"repeated at once":                       {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, AlreadyChosen, 2, "2"},
+		"repeated after another change":          {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, AlreadyChosen, 1, "2"},
+		"rollback":                               {second, Change{ID: "d", Rollback: true}, Chosen, 3, "1"},
+		"rollback of the first version":          {first, Change{ID: "d", Rollback: true}, NothingToRollBack, 1, "1"},
+		"rollback of a key without a value":      {nil, Change{ID: "d", Rollback: true}, NothingToRollBack, 0, ""},
+		"rollback, expected version is outdated": {second, Change{ID: "d", Rollback: true, ExpectedVersion: pointerTo(1)}, Conflict, 2, "2"},
 	} {
-		got, verdict, at := NextValue(c.now, &c.change)
+		got, verdict, version := NextValue(c.current, &c.change)
 		patch := ""
 		if got != nil {
 			patch = string(got.Patch)
 		}
-		if verdict != c.verdict || at != c.version || patch != c.patch {
-			t.Errorf("%s: %s, version %d, patch %s", name, verdict, at, patch)
+		if verdict != c.verdict || version != c.version || patch != c.patch {
+			t.Errorf("%s: %s, version %d, patch %s", name, verdict, version, patch)
 		}
 	}
 	v := first
-	for i := range 3 * mostPast {
+	for i := range 3 * maxHistory {
 		v, _, _ = NextValue(v, &Change{ID: fmt.Sprint(i)})
 	}
-	if len(v.History) != mostPast {
-		t.Errorf("%d past changes are kept", len(v.History))
+	if len(v.History) != maxHistory {
+		t.Errorf("history has %d changes", len(v.History))
 	}
 }
