--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -67,10 +67,10 @@
 
 // Options are the settings of the client side.
 type Options struct {
-	Categories, Tenants []string        // names, indexed by the numbers that the module uses
-	DeliverySemantics   []policy.Repeat // of each category, by its number
-	MaxTTL              time.Duration   // longest TTL of all categories; no op is pending for longer
-	GenerationNumber    int             // the generation of these settings
+	Categories, Tenants []string                   // names, indexed by the numbers that the module uses
+	DeliverySemantics   []policy.DeliverySemantics // of each category, by its number
+	MaxTTL              time.Duration              // longest TTL of all categories; no op is pending for longer
+	GenerationNumber    int                        // the generation of these settings
 }
 
 // drainTimes returns, as durations after SIGTERM, how long kept connections are served and when the last answer must be
@@ -407,7 +407,7 @@
 // checkForm refuses a request whose method, body or key does not match its category's delivery semantics. A server can't
 // drop duplicates of an op without a key, and a server that ignores the body of a GET would read the body as a request of
 // its own.
-func checkForm(r *http.Request, semantics policy.Repeat) (status int, reason string) {
+func checkForm(r *http.Request, semantics policy.DeliverySemantics) (status int, reason string) {
 	method := http.MethodPost
 	if semantics == policy.Redeliverable {
 		method = http.MethodGet
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -65,7 +65,7 @@
 	var err error
 	r.Server, err = Listen("127.0.0.1:0", Options{
 		Categories:        []string{"checkout", "browse", "booking"},
-		DeliverySemantics: []policy.Repeat{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
+		DeliverySemantics: []policy.DeliverySemantics{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
 		Tenants:           []string{"one", "two"},
 		MaxTTL:            time.Second,
 	}, r.budget, r.fakeActor, node.NewClock(), zerolog.Nop())
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,7 @@
 func (c *Config) SameFleet(next *Config) bool {
 	place, nextPlace := &c.Rules.Topology, &next.Rules.Topology
 	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.rawFleet, next.rawFleet) &&
-		place.Number == nextPlace.Number && place.Zone == nextPlace.Zone && place.Nodes == nextPlace.Nodes)
+		place.NodeNumber == nextPlace.NodeNumber && place.Zone == nextPlace.Zone && place.NodeCount == nextPlace.NodeCount)
 }
 
 // sameJSON compares two JSON values regardless of white space and the order of keys.
@@ -235,19 +235,19 @@
 		key     string
 		invalid bool
 	}{
-		{"tier", rules.Topology.Tier < 0 || rules.Topology.Tier >= rules.Topology.Tiers},
-		{"fleet_size", rules.Topology.Nodes < 1},
-		{"slot_no", rules.Topology.Number < 0},
-		{"tick", rules.Topology.Tick < 1},
-		{"limits.max_pushes", rules.PushLimits.Max < 1},
-		{"limits.dial_timeout", rules.PushLimits.Dial < policy.Millisecond},
+		{"tier", rules.Topology.Tier < 0 || rules.Topology.Tier >= rules.Topology.TierCount},
+		{"fleet_size", rules.Topology.NodeCount < 1},
+		{"slot_no", rules.Topology.NodeNumber < 0},
+		{"tick", rules.Topology.ClockTick < 1},
+		{"limits.max_pushes", rules.PushLimits.MaxPushes < 1},
+		{"limits.dial_timeout", rules.PushLimits.DialTimeout < policy.Millisecond},
 	} {
 		if rule.invalid {
 			s.recordError("setting %s is out of range: %q", rule.key, s.values[rule.key])
 		}
 	}
 	for i, category := range rules.Categories {
-		if category.TTL <= 0 || category.Target <= 0 || category.Target > category.TTL {
+		if category.TTL <= 0 || category.TargetLatency <= 0 || category.TargetLatency > category.TTL {
 			s.recordError("setting categories.%d.target_latency or ttl is out of range", i)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -79,7 +79,7 @@
 		`"peers": true, "max_pushes": 3`:  true,
 	} {
 		c, err := load(t, `"max_pushes": 3`, with)
-		if err != nil || c.Rules.Topology.Peers != peers || len(c.IgnoredSettings) > 0 ||
+		if err != nil || c.Rules.Topology.PeerMessaging != peers || len(c.IgnoredSettings) > 0 ||
 			strings.Contains(c.Explain(), "peer messages") != peers {
 			t.Errorf("%s: %+v, %v", with, c, err)
 		}
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -15,31 +15,31 @@
 	rules := c.Rules
 	writeLine("Node %q listens on %s and follows the list of servers at %s.", c.Name, c.Listen, c.RegistryAddr)
 	writeLine("It may use %g cores, %d MB and %d sockets, and logs at level %s.", c.Cores, c.MemoryMB, c.Sockets, c.LogLevel)
-	writeLine("It is node %d of %d before tier %d of %d, in zone %s.", rules.Topology.Number+1, rules.Topology.Nodes, rules.Topology.Tier+1,
-		rules.Topology.Tiers, nameOf(c.Names.Zones, int(rules.Topology.Zone)))
+	writeLine("It is node %d of %d before tier %d of %d, in zone %s.", rules.Topology.NodeNumber+1, rules.Topology.NodeCount, rules.Topology.Tier+1,
+		rules.Topology.TierCount, nameOf(c.Names.Zones, int(rules.Topology.Zone)))
 	writeLine("")
 	for i, category := range rules.Categories {
 		writeLine("Category %s: benefit %g within %s, %g of that up to its TTL of %s.", nameOf(c.Names.Categories, i), category.Benefit,
-			Duration(category.Target), category.Late, Duration(category.TTL))
+			Duration(category.TargetLatency), category.LateBenefit, Duration(category.TTL))
 		writeLine("  %s", describeRepeat(&category))
 	}
 	for _, key := range c.IgnoredSettings {
 		writeLine("Setting %s is given but no longer used.", key)
 	}
 	writeLine("")
-	writeLine("An op gets at most %d pushes, %s. A connection not open within %s has failed.", rules.PushLimits.Max,
-		choose(rules.PushLimits.Duplicate, "also two at once", "never two at once"), Duration(rules.PushLimits.Dial))
-	if rules.PushLimits.RetryAfter > 0 {
-		writeLine("A nack carries a Retry-After of at most %s.", Duration(rules.PushLimits.RetryAfter))
+	writeLine("An op gets at most %d pushes, %s. A connection not open within %s has failed.", rules.PushLimits.MaxPushes,
+		choose(rules.PushLimits.MayDuplicate, "also two at once", "never two at once"), Duration(rules.PushLimits.DialTimeout))
+	if rules.PushLimits.MaxRetryAfter > 0 {
+		writeLine("A nack carries a Retry-After of at most %s.", Duration(rules.PushLimits.MaxRetryAfter))
 	} else {
 		writeLine("A nack carries no Retry-After.")
 	}
 	writeLine("A server that has just started has %g%% of its capacity and is warm after %s; all nodes together must not send it",
-		100*rules.ColdStart.From, Duration(rules.ColdStart.Warm))
-	writeLine("more than %g times its capacity for %s.", rules.ColdStart.Factor, Duration(rules.ColdStart.Window))
+		100*rules.ColdStart.InitialShare, Duration(rules.ColdStart.WarmUpTime))
+	writeLine("more than %g times its capacity for %s.", rules.ColdStart.OverloadFactor, Duration(rules.ColdStart.OverloadWindow))
 	c.explainFleet(writeLine)
 	c.explainStore(writeLine)
-	writeLine("The registry sends changes of the list %s.", choose(rules.Registry.Ask, "only on request, and the node requests them", "without a request"))
+	writeLine("The registry sends changes of the list %s.", choose(rules.Registry.MustSubscribe, "only on request, and the node requests them", "without a request"))
 	return text.String()
 }
 
@@ -47,7 +47,7 @@
 func (c *Config) explainFleet(writeLine func(format string, args ...any)) {
 	fleet := c.Fleet
 	if fleet == nil {
-		if c.Rules.Topology.Peers {
+		if c.Rules.Topology.PeerMessaging {
 			writeLine("Setting limits.peers allows peer messages, but key fleet is left out: nodes send none, and each decides alone.")
 		}
 		return
@@ -56,7 +56,7 @@
 		fleet.Listen, fleet.Advertise, fleet.Join)
 	writeLine("It sends at most %d bytes a second in datagrams to other nodes and drops the rest.", fleet.MaxBytesPerSecond)
 	switch {
-	case fleet.PeerMessages && c.Rules.Topology.Peers:
+	case fleet.PeerMessages && c.Rules.Topology.PeerMessaging:
 		writeLine("Nodes exchange peer messages about what they push and how it ends.")
 	case fleet.PeerMessages:
 		writeLine("Nodes exchange no peer messages: setting limits.peers is not true.")
@@ -71,10 +71,10 @@
 
 // describeRepeat says when an op of a category may be pushed again.
 func describeRepeat(category *policy.Category) string {
-	switch category.Repeat {
+	switch category.Delivery {
 	case policy.Deduplicated:
-		scope := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[category.Scope]
-		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", scope, Duration(category.Window))
+		scope := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[category.DedupScope]
+		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", scope, Duration(category.DedupWindow))
 	case policy.AtMostOnce:
 		return "At-most-once: pushed again only when no earlier push can have run."
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -167,22 +167,22 @@
 	for i := range categories {
 		prefix := fmt.Sprintf("categories.%d.", i)
 		categories[i] = policy.Category{
-			Benefit: s.number(prefix + "benefit"),
-			Late:    s.numberOr(prefix+"tardy_benefit", 0),
-			Target:  s.duration(prefix + "target_latency"),
-			TTL:     s.duration(prefix + "ttl"),
-			Repeat: enumValue(s, prefix+"effect", map[string]policy.Repeat{
+			Benefit:       s.number(prefix + "benefit"),
+			LateBenefit:   s.numberOr(prefix+"tardy_benefit", 0),
+			TargetLatency: s.duration(prefix + "target_latency"),
+			TTL:           s.duration(prefix + "ttl"),
+			Delivery: enumValue(s, prefix+"effect", map[string]policy.DeliverySemantics{
 				"idempotent":   policy.Redeliverable,
 				"deduplicated": policy.Deduplicated,
 				"at_most_once": policy.AtMostOnce,
 			}),
-			Window: MillisToMicros(s.numberOr(prefix+"repeat_window", 0)),
+			DedupWindow: MillisToMicros(s.numberOr(prefix+"repeat_window", 0)),
 		}
-		if categories[i].Repeat == policy.Deduplicated {
-			categories[i].Scope = enumValue(s, prefix+"key_scope", map[string]policy.Scope{
-				"all":  policy.ScopeAll,
-				"zone": policy.ScopeZone,
-				"cell": policy.ScopeCell,
+		if categories[i].Delivery == policy.Deduplicated {
+			categories[i].DedupScope = enumValue(s, prefix+"key_scope", map[string]policy.DedupScope{
+				"all":  policy.DedupScopeAll,
+				"zone": policy.DedupScopeZone,
+				"cell": policy.DedupScopeCell,
 			})
 		}
 	}
@@ -211,10 +211,10 @@
 
 // Rules are the settings in the types of the policy.
 type Rules struct {
-	Topology   policy.Place
+	Topology   policy.Topology
 	Categories []policy.Category
-	PushLimits policy.PushRule
-	ColdStart  policy.ColdRule
+	PushLimits policy.PushLimits
+	ColdStart  policy.ColdStartRule
 	Registry   policy.RegistryRule
 	DrainGrace policy.Micros // of draining servers; 0 if the settings do not give one
 }
@@ -234,37 +234,37 @@
 // rules reads all rules.
 func (s *settings) rules() *Rules {
 	rules := &Rules{
-		Topology: policy.Place{
-			Tier:   s.integer("tier"),
-			Tiers:  len(strings.Split(s.text("tiers"), ",")),
-			Nodes:  s.integer("fleet_size"),
-			Number: s.integer("slot_no"),
-			Zone:   policy.ZoneID(s.integer("az")),
-			Cross:  s.numberOr("prices.cross_zone", 0),
-			Peers:  s.booleanOr("limits.peers", false),
-			Tick:   s.duration("tick"),
+		Topology: policy.Topology{
+			Tier:          s.integer("tier"),
+			TierCount:     len(strings.Split(s.text("tiers"), ",")),
+			NodeCount:     s.integer("fleet_size"),
+			NodeNumber:    s.integer("slot_no"),
+			Zone:          policy.ZoneID(s.integer("az")),
+			CrossZoneCost: s.numberOr("prices.cross_zone", 0),
+			PeerMessaging: s.booleanOr("limits.peers", false),
+			ClockTick:     s.duration("tick"),
 		},
-		PushLimits: policy.PushRule{
-			Max:       s.integer("limits.max_pushes"),
-			Duplicate: s.boolean("limits.may_duplicate"),
-			Cancel:    s.boolean("limits.may_cancel"),
-			Dial:      s.duration("limits.dial_timeout"),
+		PushLimits: policy.PushLimits{
+			MaxPushes:    s.integer("limits.max_pushes"),
+			MayDuplicate: s.boolean("limits.may_duplicate"),
+			MayCancel:    s.boolean("limits.may_cancel"),
+			DialTimeout:  s.duration("limits.dial_timeout"),
 		},
-		ColdStart: policy.ColdRule{
-			From:   s.number("safety.cold_from"),
-			Warm:   s.duration("safety.cold"),
-			Factor: s.number("safety.overload_factor"),
-			Window: s.duration("safety.tip_after"),
+		ColdStart: policy.ColdStartRule{
+			InitialShare:   s.number("safety.cold_from"),
+			WarmUpTime:     s.duration("safety.cold"),
+			OverloadFactor: s.number("safety.overload_factor"),
+			OverloadWindow: s.duration("safety.tip_after"),
 		},
 		Registry: policy.RegistryRule{
-			Ask:    enumValue(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
-			Within: MillisToMicros(s.numberOr("safety.must_ask_in", 0)),
+			MustSubscribe:   enumValue(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
+			SubscribeWithin: MillisToMicros(s.numberOr("safety.must_ask_in", 0)),
 		},
 		DrainGrace: MillisToMicros(s.numberOr("safety.drain_grace", 0)),
 		Categories: s.categories(),
 	}
 	if s.boolean("limits.retry_after") {
-		rules.PushLimits.RetryAfter = s.duration("limits.max_retry_after")
+		rules.PushLimits.MaxRetryAfter = s.duration("limits.max_retry_after")
 	}
 	return rules
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -289,6 +289,6 @@
 
 // MayPushToOtherPool reports whether an op that was pushed in one pool may be pushed in another. An op that may have run
 // must only be repeated if that does no harm: it is redeliverable, or it is deduplicated across both pools.
-func MayPushToOtherPool(semantics policy.Repeat, mayHaveRun, dedupSpansBoth bool) bool {
+func MayPushToOtherPool(semantics policy.DeliverySemantics, mayHaveRun, dedupSpansBoth bool) bool {
 	return !mayHaveRun || semantics == policy.Redeliverable || semantics == policy.Deduplicated && dedupSpansBoth
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -175,7 +175,7 @@
 // TestMayPushToOtherPool checks that an op that may have run is repeated in another pool only if that does no harm.
 func TestMayPushToOtherPool(t *testing.T) {
 	for _, c := range []struct {
-		semantics                  policy.Repeat
+		semantics                  policy.DeliverySemantics
 		mayHaveRun, dedupSpansBoth bool
 		want                       bool
 	}{
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -56,7 +56,7 @@
 	// lock of its own, tableMu, which the actor never takes. A goroutine that takes both takes tableMu first.
 	mu           sync.Mutex // guards detector, list, startedAt, restarted, readyServers
 	detector     *judged.LocalDetector
-	list         []policy.Entry
+	list         []policy.ListEntry
 	startedAt    map[policy.ServerID]policy.Micros // by the list
 	restarted    []policy.ServerID                 // servers that have restarted since the last tick
 	readyServers []policy.ServerID
@@ -78,7 +78,7 @@
 // StartWithRetention is Start with another retention of departed members, 0 for the default: tests of long network partitions
 // cannot take hours. All delays follow the clock, which may be slowed down.
 func StartWithRetention(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, departedRetention time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, nodeNumber: uint16(c.Rules.Topology.Number), done: make(chan struct{}),
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, nodeNumber: uint16(c.Rules.Topology.NodeNumber), done: make(chan struct{}),
 		startedAt: make(map[policy.ServerID]policy.Micros)}
 	incarnation := transport.IncarnationID(rand.Uint64()) // not from the configured seed, which a restarted process has again
 	zone := uint8(c.Rules.Topology.Zone)
@@ -105,13 +105,13 @@
 	if c.Fleet.OutlierReports {
 		f.transport.Handle(transport.ServerReports, f.receiveReports)
 	}
-	if c.Fleet.PeerMessages && c.Rules.Topology.Peers {
+	if c.Fleet.PeerMessages && c.Rules.Topology.PeerMessaging {
 		f.messenger = words.Start(f.transport, f.ownerAddr, n.PeerMessagesReceived)
 	}
-	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Topology.Number, Addr: c.Fleet.Advertise}
+	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Topology.NodeNumber, Addr: c.Fleet.Advertise}
 	f.members, err = members.Start(members.Options{
 		Self:              self,
-		FleetSize:         c.Rules.Topology.Nodes,
+		FleetSize:         c.Rules.Topology.NodeCount,
 		JoinAddrs:         c.Fleet.Join,
 		RandomSeed:        c.Seed,
 		DepartedRetention: departedRetention,
@@ -213,21 +213,21 @@
 }
 
 // ListChanged sets the list of servers. It implements node.Peers.
-func (f *Fleet) ListChanged(list []policy.Entry) {
+func (f *Fleet) ListChanged(list []policy.ListEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
 	f.detector.SetServers(f.list, func(server policy.ServerID) policy.Micros { return f.startedAt[server] })
 	for _, entry := range f.list {
 		// Without the exchange of reports, no tick would empty f.restarted.
-		if before, known := f.startedAt[entry.Server]; known && before != entry.Started && f.config.OutlierReports {
+		if before, known := f.startedAt[entry.Server]; known && before != entry.StartedAt && f.config.OutlierReports {
 			f.restarted = append(f.restarted, entry.Server)
 		}
 	}
 	clear(f.startedAt)
 	f.readyServers = f.readyServers[:0]
 	for _, entry := range f.list {
-		f.startedAt[entry.Server] = entry.Started
+		f.startedAt[entry.Server] = entry.StartedAt
 		if entry.State == policy.Ready { // draining servers are not reported on
 			f.readyServers = append(f.readyServers, entry.Server)
 		}
--- a/internal/fleet/judged/local_detector.go
+++ b/internal/fleet/judged/local_detector.go
@@ -75,11 +75,11 @@
 
 // SetServers drops the evidence on servers that are not in the list and adds new ones. A server whose start time in the list
 // differs from the one that startedBefore returns has restarted: the evidence on it is reset.
-func (d *LocalDetector) SetServers(list []policy.Entry, startedBefore func(policy.ServerID) policy.Micros) {
+func (d *LocalDetector) SetServers(list []policy.ListEntry, startedBefore func(policy.ServerID) policy.Micros) {
 	listed := make(map[policy.ServerID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.Server] = true
-		if known := d.servers[entry.Server]; known == nil || startedBefore(entry.Server) != entry.Started {
+		if known := d.servers[entry.Server]; known == nil || startedBefore(entry.Server) != entry.StartedAt {
 			d.servers[entry.Server] = &ServerEvidence{relativeLatency: 1}
 		}
 	}
--- a/internal/node/generation.go
+++ b/internal/node/generation.go
@@ -69,7 +69,7 @@
 	if request.next.Apply != nil {
 		request.next.Apply()
 	}
-	n.step(request.next, &policy.Input{Kind: policy.ListCame, Form: policy.ListCached, List: n.reweighted(n.list)})
+	n.step(request.next, &policy.Input{Kind: policy.ListReceived, Form: policy.ListCached, List: n.reweighted(n.list)})
 	n.log.Info().Int("generation", request.next.number).Int("in hand before", n.pendingOps).Msg("new settings")
 	request.result <- switchResult{request.next.number, nil}
 }
@@ -107,14 +107,14 @@
 	for i, e := range n.list {
 		indexes[e.Server] = i
 	}
-	var merged []policy.Entry
+	var merged []policy.ListEntry
 	if list.Form == policy.ListChanges {
 		merged = n.list
 	}
 	for _, e := range list.Entries {
 		i, found := indexes[e.Server]
 		if found {
-			e.Started = max(e.Started, n.list[i].Started)
+			e.StartedAt = max(e.StartedAt, n.list[i].StartedAt)
 		}
 		if found && list.Form == policy.ListChanges {
 			merged[i] = e
@@ -122,5 +122,5 @@
 			merged = append(merged, e)
 		}
 	}
-	n.list = slices.DeleteFunc(merged, func(e policy.Entry) bool { return e.State == policy.Gone })
+	n.list = slices.DeleteFunc(merged, func(e policy.ListEntry) bool { return e.State == policy.Gone })
 }
--- a/internal/node/generation_test.go
+++ b/internal/node/generation_test.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	got := runScenario(t, 10, pushEveryOp, func(r *harness) {
-		r.ListReceived(&List{Form: policy.ListWhole, Entries: []policy.Entry{{Server: 7, Started: 5}}, Addrs: []string{"a"}})
+		r.ListReceived(&List{Form: policy.ListFull, Entries: []policy.ListEntry{{Server: 7, StartedAt: 5}}, Addrs: []string{"a"}})
 		first := r.submitOp()
 		next := &Generation{
 			Options: Options{MaxPendingOps: 10, AnswerSlack: policy.Second},
@@ -35,7 +35,7 @@
 		second.Deadline = r.clock.Now() + policy.Second
 		second.Body, _ = ReadPayload(strings.NewReader(""), -1)
 		r.Submit(second)
-		r.ListReceived(&List{Form: policy.ListChanges, Entries: []policy.Entry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
+		r.ListReceived(&List{Form: policy.ListChanges, Entries: []policy.ListEntry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
 		advance(1)
 		r.finishPush(0, policy.Acked)
 		r.finishPush(1, policy.Acked)
@@ -93,18 +93,18 @@
 // which would make the cold server look warm, and removed servers stay removed.
 func TestMergeList(t *testing.T) {
 	n := New(Options{}, &fakeModule{}, NewClock(), zerolog.Nop())
-	entry := func(server, started int, state policy.ServerState) policy.Entry {
-		return policy.Entry{Server: policy.ServerID(server), Started: policy.Micros(started), State: state}
+	entry := func(server, started int, state policy.ServerState) policy.ListEntry {
+		return policy.ListEntry{Server: policy.ServerID(server), StartedAt: policy.Micros(started), State: state}
 	}
 	for i, list := range []List{
-		{Form: policy.ListCached, Entries: []policy.Entry{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)}},
-		{Form: policy.ListChanges, Entries: []policy.Entry{entry(1, 7, policy.Ready), entry(2, 0, policy.Gone), entry(3, 0, policy.Ready)}},
+		{Form: policy.ListCached, Entries: []policy.ListEntry{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)}},
+		{Form: policy.ListChanges, Entries: []policy.ListEntry{entry(1, 7, policy.Ready), entry(2, 0, policy.Gone), entry(3, 0, policy.Ready)}},
 		{Form: policy.ListFailed},
-		{Form: policy.ListChanges, Entries: []policy.Entry{entry(3, 0, policy.Draining), entry(9, 0, policy.Gone)}},
-		{Form: policy.ListWhole, Entries: []policy.Entry{entry(1, 0, policy.Ready), entry(4, 0, policy.Ready)}},
+		{Form: policy.ListChanges, Entries: []policy.ListEntry{entry(3, 0, policy.Draining), entry(9, 0, policy.Gone)}},
+		{Form: policy.ListFull, Entries: []policy.ListEntry{entry(1, 0, policy.Ready), entry(4, 0, policy.Ready)}},
 	} {
 		n.mergeList(&list)
-		want := [][]policy.Entry{
+		want := [][]policy.ListEntry{
 			{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)},
 			{entry(1, 7, policy.Ready), entry(3, 0, policy.Ready)},
 			{entry(1, 7, policy.Ready), entry(3, 0, policy.Ready)},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	stopped  chan struct{} // closed when the actor has stopped
 
 	generations   []*Generation               // oldest first
-	list          []policy.Entry              // current full server list, without weight factors
+	list          []policy.ListEntry          // current full server list, without weight factors
 	peers         Peers                       // nil: no peer messaging
 	weightFactors map[policy.ServerID]float64 // remaining fraction of a server's weight after the peers' reports; absent: 1
 
@@ -284,7 +284,7 @@
 			Int64("left_ms", int64(op.Deadline-n.stepTime)/int64(policy.Millisecond)).Msg("op")
 	}
 	n.step(op.generation, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
-		NotAfter: op.Deadline, Repeated: op.ClientRetry})
+		Deadline: op.Deadline, ClientRetry: op.ClientRetry})
 }
 
 // applyShutdownDeadline limits the answer time of every pending op to the deadline.
@@ -380,7 +380,7 @@
 		n.peers.PushEnded(push.Server, op.Category, result.Outcome, max(0, took))
 	}
 	n.step(op.generation, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.number, Server: push.Server,
-		Outcome: result.Outcome, Took: max(0, took), Settled: op.settled})
+		Outcome: result.Outcome, Latency: max(0, took), OpSettled: op.settled})
 	n.removeIfFinished(op)
 }
 
@@ -390,7 +390,7 @@
 		for i, e := range list.Entries {
 			n.log.Debug().Str("server", fmt.Sprintf("%012x", e.Server)).Str("addr", list.Addrs[i]).Uint8("state", uint8(e.State)).
 				Uint8("zone", uint8(e.Zone)).Float64("weight", e.Weight).
-				Int64("age_ms", int64(n.clock.Now()-e.Started)/int64(policy.Millisecond)).Msg("entry")
+				Int64("age_ms", int64(n.clock.Now()-e.StartedAt)/int64(policy.Millisecond)).Msg("entry")
 		}
 	}
 	before := slices.Clone(n.list)
@@ -401,7 +401,7 @@
 	}
 	n.withdrawUnsent(before)
 	for _, g := range n.generations { // a drain concerns every generation that has ops left
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: list.Form, List: n.reweighted(list.Entries)})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: list.Form, List: n.reweighted(list.Entries)})
 	}
 }
 
@@ -410,7 +410,7 @@
 //
 // A push may wait for its connection for as long as a dial takes, and would reach a draining server after its drain grace.
 // The module pushes to ready servers only, so no such push is intended.
-func (n *Node) withdrawUnsent(before []policy.Entry) {
+func (n *Node) withdrawUnsent(before []policy.ListEntry) {
 	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
 		for _, push := range n.ops[id].pushes {
 			if !push.ended && !n.takesPushes(push.Server, before) {
@@ -421,12 +421,12 @@
 }
 
 // takesPushes reports whether the server is ready in the current list and has not restarted since the previous one.
-func (n *Node) takesPushes(id policy.ServerID, before []policy.Entry) bool {
-	matches := func(e policy.Entry) bool { return e.Server == id }
+func (n *Node) takesPushes(id policy.ServerID, before []policy.ListEntry) bool {
+	matches := func(e policy.ListEntry) bool { return e.Server == id }
 	current := slices.IndexFunc(n.list, matches)
 	previous := slices.IndexFunc(before, matches)
 	return current >= 0 && n.list[current].State == policy.Ready &&
-		(previous < 0 || before[previous].Started == n.list[current].Started)
+		(previous < 0 || before[previous].StartedAt == n.list[current].StartedAt)
 }
 
 // settle gives an op its final answer and withdraws its unsent pushes. It releases the answer if the op is already settled.
@@ -484,7 +484,7 @@
 	case policy.Push:
 		n.startPush(e)
 	case policy.Nack:
-		n.answerOp(e.Op, Answer{Verdict: Nacked, RetryAfter: e.For})
+		n.answerOp(e.Op, Answer{Verdict: Nacked, RetryAfter: e.Duration})
 	case policy.DeadLetter:
 		n.answerOp(e.Op, Answer{Verdict: DeadLettered})
 	case policy.Cancel:
@@ -492,20 +492,20 @@
 		if op := n.ops[e.Op]; op != nil && int(e.Push) < len(op.pushes) {
 			op.pushes[e.Push].cancel()
 		}
-	case policy.Wake:
+	case policy.SetTimer:
 		token := e.Token
-		n.timers.set(e.At, func() {
+		n.timers.set(e.TimerAt, func() {
 			if !g.retired {
-				n.step(g, &policy.Input{Kind: policy.Woken, Token: token})
+				n.step(g, &policy.Input{Kind: policy.TimerFired, Token: token})
 			}
 		})
-	case policy.Watch:
+	case policy.WatchRegistry:
 		n.registry.Watch()
-	case policy.Tell:
+	case policy.SendToPeer:
 		if n.peers != nil {
-			n.peers.Send(e.Peer, e.Said)
+			n.peers.Send(e.PeerNumber, e.Message)
 		}
-	case policy.Close:
+	case policy.CloseIdle:
 		n.servers.CloseIdle(e.Server)
 	case policy.Log:
 		n.log.Info().Msg(e.Text)
@@ -532,7 +532,7 @@
 		Request:   &op.Request,
 		Server:    e.Server,
 		op:        op,
-		number:    policy.PushNo(len(op.pushes)),
+		number:    policy.PushNumber(len(op.pushes)),
 		sentAt:    n.stepTime,
 		createdAt: time.Now(),
 	}
@@ -540,8 +540,8 @@
 	op.pushes = append(op.pushes, push)
 	op.inFlight++
 	push.Timeout = op.Deadline - n.stepTime
-	if e.For > 0 {
-		push.Timeout = min(push.Timeout, e.For)
+	if e.Duration > 0 {
+		push.Timeout = min(push.Timeout, e.Duration)
 	}
 	if op.settled || !op.clientConnected() || push.Timeout <= 0 {
 		// The op is settled or out of time, or its client has left: it would run although no client waits for it.
@@ -549,7 +549,7 @@
 		op.inFlight--
 		push.cancel()
 		n.pendingInputs = append(n.pendingInputs, policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.number,
-			Server: push.Server, Outcome: policy.Moot, Settled: op.settled})
+			Server: push.Server, Outcome: policy.Moot, OpSettled: op.settled})
 		return
 	}
 	push.timeoutTimer = n.timers.set(n.stepTime+push.Timeout, func() {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,7 +35,7 @@
 	m.lastTime = now
 	line := "module: " + inputKindNames[in.Kind]
 	if in.Kind == policy.PushEnded {
-		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Took/1000, in.Settled)
+		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Latency/1000, in.OpSettled)
 	}
 	m.record(line)
 	if m.script == nil {
@@ -65,7 +65,7 @@
 
 // pushFor is the effect of pushing the first op with a time-out in milliseconds.
 func pushFor(ms int) policy.Effect {
-	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, For: policy.Micros(ms) * policy.Millisecond}
+	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, Duration: policy.Micros(ms) * policy.Millisecond}
 }
 
 // harness runs an actor with fake collaborators and records the events.
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -136,7 +136,7 @@
 	Timeout policy.Micros // how long the node waits, from the creation of the push
 
 	op           *Op
-	number       policy.PushNo
+	number       policy.PushNumber
 	state        atomic.Uint32 // pushUnsent, pushBegun or pushWithdrawn
 	createdAt    time.Time     // zero: TimeLeft is always the whole Timeout
 	cancel       context.CancelFunc
@@ -217,7 +217,7 @@
 // List is a server list or a set of changes from the registry. Addrs[i] is the address of Entries[i].
 type List struct {
 	Form    policy.ListForm
-	Entries []policy.Entry
+	Entries []policy.ListEntry
 	Addrs   []string
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,7 +14,7 @@
 	// PushEnded records the outcome of a push and how long it took.
 	PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros)
 	// ListChanged passes the current full server list, which is only read during the call.
-	ListChanged(list []policy.Entry)
+	ListChanged(list []policy.ListEntry)
 }
 
 // Messages to the actor.
@@ -62,7 +62,7 @@
 // deliverPeerMessages passes each message to the newest generation; the older ones only finish their ops.
 func (n *Node) deliverPeerMessages(messages peerMessages) {
 	for length := len(PeerMessage{}); len(messages) >= length; messages = messages[length:] {
-		n.step(n.newestGeneration(), &policy.Input{Kind: policy.PeerSaid, Said: messages[:length]})
+		n.step(n.newestGeneration(), &policy.Input{Kind: policy.PeerMessageReceived, Message: messages[:length]})
 	}
 }
 
@@ -70,7 +70,7 @@
 // ready, since a report must not bring back a draining server, and it has a list form of its own, since the modules must
 // not take it for a list from the registry.
 func (n *Node) applyWeightFactors(factors map[policy.ServerID]float64) {
-	var changed []policy.Entry
+	var changed []policy.ListEntry
 	for _, e := range n.list {
 		before := weightFactor(n.weightFactors, e.Server)
 		after := weightFactor(factors, e.Server)
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, g := range n.generations {
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: policy.ListWeighed, List: changed})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: policy.ListReweighted, List: changed})
 	}
 }
 
@@ -97,11 +97,11 @@
 }
 
 // reweighted returns a list with the weight factors applied.
-func (n *Node) reweighted(list []policy.Entry) []policy.Entry {
+func (n *Node) reweighted(list []policy.ListEntry) []policy.ListEntry {
 	if len(n.weightFactors) == 0 {
 		return list
 	}
-	weighted := make([]policy.Entry, len(list))
+	weighted := make([]policy.ListEntry, len(list))
 	for i, e := range list {
 		e.Weight *= weightFactor(n.weightFactors, e.Server)
 		weighted[i] = e
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -19,7 +19,9 @@
 }
 
 func (o *fakePeers) PushSent(policy.ServerID, policy.CategoryID) { o.record("push sent") }
-func (o *fakePeers) ListChanged(list []policy.Entry)             { o.record(fmt.Sprintf("list of %d", len(list))) }
+func (o *fakePeers) ListChanged(list []policy.ListEntry) {
+	o.record(fmt.Sprintf("list of %d", len(list)))
+}
 
 func (o *fakePeers) PushEnded(_ policy.ServerID, _ policy.CategoryID, outcome policy.Outcome, _ policy.Micros) {
 	o.record("push ended " + outcome.String())
@@ -31,22 +33,22 @@
 	var inputs []string
 	got := runScenario(t, 10, func(in *policy.Input) []policy.Effect {
 		switch in.Kind {
-		case policy.ListCame:
+		case policy.ListReceived:
 			line := fmt.Sprint("form ", in.Form)
 			for _, e := range in.List {
 				line += fmt.Sprintf(", %d: %g", e.Server, e.Weight)
 			}
 			inputs = append(inputs, line)
-		case policy.PeerSaid:
-			inputs = append(inputs, fmt.Sprint("message ", in.Said))
+		case policy.PeerMessageReceived:
+			inputs = append(inputs, fmt.Sprint("message ", in.Message))
 		case policy.OpArrived:
-			return []policy.Effect{pushFor(100), {Kind: policy.Tell, Peer: 3, Said: [3]byte{1, 2, 3}}}
+			return []policy.Effect{pushFor(100), {Kind: policy.SendToPeer, PeerNumber: 3, Message: [3]byte{1, 2, 3}}}
 		}
 		return nil
 	}, func(r *harness) {
 		inputs = nil
-		entries := []policy.Entry{{Server: 7, Weight: 2}, {Server: 8, Weight: 2, State: policy.Draining}, {Server: 9, Weight: 1}}
-		r.ListReceived(&List{Form: policy.ListWhole, Entries: entries, Addrs: make([]string, 3)})
+		entries := []policy.ListEntry{{Server: 7, Weight: 2}, {Server: 8, Weight: 2, State: policy.Draining}, {Server: 9, Weight: 1}}
+		r.ListReceived(&List{Form: policy.ListFull, Entries: entries, Addrs: make([]string, 3)})
 		r.SetPeers(&fakePeers{r.record})
 		factors := map[policy.ServerID]float64{7: 0.25, 8: 0.25, 99: 0.25}
 		r.SetWeightFactors(factors)
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -15,7 +15,7 @@
 func respondThreeTimes(kind policy.InputKind, effects ...policy.Effect) func(*policy.Input) []policy.Effect {
 	times := 0
 	return func(in *policy.Input) []policy.Effect {
-		if in.Kind != kind || in.Settled || times == 3 {
+		if in.Kind != kind || in.OpSettled || times == 3 {
 			return nil
 		}
 		times++
@@ -158,7 +158,7 @@
 		"server restarts": {combine(respondOnce(policy.OpArrived, pushFor(300)), respondThreeTimes(policy.PushEnded, pushFor(200))),
 			func(r *harness, op *Op) {
 				r.ListReceived(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-					Entries: []policy.Entry{{Server: 7, State: policy.Ready, Weight: 1, Started: 9}}})
+					Entries: []policy.ListEntry{{Server: 7, State: policy.Ready, Weight: 1, StartedAt: 9}}})
 				synctest.Wait()
 				r.tryBegin(0)
 				r.tryBegin(1)
@@ -242,7 +242,7 @@
 // listServer lists the one server that these tests push to, with a state.
 func (r *harness) listServer(state policy.ServerState) {
 	r.ListReceived(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-		Entries: []policy.Entry{{Server: 7, State: state, Weight: 1}}})
+		Entries: []policy.ListEntry{{Server: 7, State: state, Weight: 1}}})
 	synctest.Wait()
 }
 
@@ -260,7 +260,7 @@
 			actorBlocked <- true
 			<-resume
 		}
-		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, For: policy.Second}}
+		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, Duration: policy.Second}}
 	}
 	got := runScenario(t, 9, script, func(r *harness) {
 		resume, actorBlocked = make(chan bool), make(chan bool)
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -113,7 +113,7 @@
 	}
 	list := &node.List{Form: policy.ListChanges}
 	if document.Reset {
-		list.Form = policy.ListWhole
+		list.Form = policy.ListFull
 	}
 	onListByID := make(map[string]bool, len(document.Instances))
 	for _, instance := range document.Instances {
@@ -127,14 +127,14 @@
 		if !(instance.Weight > 0) {
 			instance.Weight = 1
 		}
-		list.Entries = append(list.Entries, policy.Entry{
-			Server:  a.serverID(instance.ID),
-			Started: policy.Micros(instance.StartedAtMs) * policy.Millisecond,
-			Weight:  instance.Weight,
-			Cell:    policy.CellID(instance.Cell),
-			Kind:    policy.KindID(nameIndex(&a.machineTypes, instance.MachineType)),
-			Zone:    policy.ZoneID(a.zoneIndex(instance.Zone)),
-			State:   state,
+		list.Entries = append(list.Entries, policy.ListEntry{
+			Server:      a.serverID(instance.ID),
+			StartedAt:   policy.Micros(instance.StartedAtMs) * policy.Millisecond,
+			Weight:      instance.Weight,
+			Cell:        policy.CellID(instance.Cell),
+			MachineType: policy.MachineTypeID(nameIndex(&a.machineTypes, instance.MachineType)),
+			Zone:        policy.ZoneID(a.zoneIndex(instance.Zone)),
+			State:       state,
 		})
 		list.Addrs = append(list.Addrs, instance.Addr)
 		onListByID[instance.ID] = state != policy.Gone
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -438,7 +438,7 @@
 	c.generation = generation
 	c.hasList = true
 	c.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
-		Bool("whole", list.Form == policy.ListWhole).Msg("list")
+		Bool("whole", list.Form == policy.ListFull).Msg("list")
 	c.notify(list)
 }
 
@@ -460,7 +460,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("full list: %w", err)
 	}
-	list.Form = policy.ListWhole
+	list.Form = policy.ListFull
 	return list, generation, nil
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -116,7 +116,7 @@
 		Addr:           c.RegistryAddr,
 		Zones:          c.Names.Zones,
 		MachineTypes:   c.Names.MachineTypes,
-		AutoWatch:      !c.Rules.Registry.Ask,
+		AutoWatch:      !c.Rules.Registry.MustSubscribe,
 		BaseRetryDelay: time.Second,
 		DrainGrace:     config.Duration(c.Rules.DrainGrace),
 		Seed:           c.Seed,
@@ -197,9 +197,9 @@
 	for _, key := range c.IgnoredSettings {
 		p.log.Warn().Str("key", key).Msg("setting is no longer heeded")
 	}
-	if c.Rules.Topology.Peers && !canReachPeers(c) {
+	if c.Rules.Topology.PeerMessaging && !canReachPeers(c) {
 		p.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
-		c.Rules.Topology.Peers = false
+		c.Rules.Topology.PeerMessaging = false
 	}
 	generation := &node.Generation{Options: node.Options{
 		MaxPendingOps: min(p.maxPendingOps, c.MaxPendingOps),
@@ -220,9 +220,9 @@
 // serverOptions returns the options of the server pool under a configuration.
 func (p *process) serverOptions(c *config.Config) servers.Options {
 	return servers.Options{
-		DialTimeout:       config.Duration(c.Rules.PushLimits.Dial),
+		DialTimeout:       config.Duration(c.Rules.PushLimits.DialTimeout),
 		ServerIdleTimeout: c.ServerIdleTimeout,
-		MaxInFlight:       p.maxOpsWithPushes * c.Rules.PushLimits.Max,
+		MaxInFlight:       p.maxOpsWithPushes * c.Rules.PushLimits.MaxPushes,
 	}
 }
 
@@ -230,7 +230,7 @@
 func clientOptions(c *config.Config, generation int) clients.Options {
 	options := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
 	for _, category := range c.Rules.Categories {
-		options.DeliverySemantics = append(options.DeliverySemantics, category.Repeat)
+		options.DeliverySemantics = append(options.DeliverySemantics, category.Delivery)
 		options.MaxTTL = max(options.MaxTTL, config.Duration(category.TTL))
 	}
 	return options
@@ -283,7 +283,7 @@
 		if err := p.startFleet(next); err != nil {
 			return errors.Join(err, p.startFleet(current)) // go back to the previous fleet
 		}
-		if current.SameSettings(next) && !next.Rules.Topology.Peers {
+		if current.SameSettings(next) && !next.Rules.Topology.PeerMessaging {
 			return nil
 		}
 	} else if current.SameSettings(next) {
@@ -307,7 +307,7 @@
 	if err != nil {
 		return err
 	}
-	p.registry.SetAutoWatch(!next.Rules.Registry.Ask, config.Duration(next.Rules.DrainGrace))
+	p.registry.SetAutoWatch(!next.Rules.Registry.MustSubscribe, config.Duration(next.Rules.DrainGrace))
 	p.clientServer.SetOptions(clientOptions(next, number))
 	return nil
 }
--- a/internal/servers/race_test.go
+++ b/internal/servers/race_test.go
@@ -31,7 +31,7 @@
 	if in.Kind != policy.OpArrived {
 		return nil
 	}
-	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, For: 0}}
+	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, Duration: 0}}
 }
 
 // idleRegistry ignores watches.
@@ -67,16 +67,16 @@
 	t.Cleanup(func() {
 		stop()
 		<-runResult
-		pool.UpdateList(&node.List{Form: policy.ListWhole})
+		pool.UpdateList(&node.List{Form: policy.ListFull})
 	})
 	return h
 }
 
 // list returns a full list with all servers in a state.
 func (h *nodeHarness) list(state policy.ServerState) *node.List {
-	l := &node.List{Form: policy.ListWhole, Addrs: h.addrs}
+	l := &node.List{Form: policy.ListFull, Addrs: h.addrs}
 	for i := range h.addrs {
-		l.Entries = append(l.Entries, policy.Entry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
+		l.Entries = append(l.Entries, policy.ListEntry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
 	}
 	return l
 }
@@ -617,10 +617,10 @@
 					io.WriteString(conn, response("200 OK", "fine"))
 				}
 			}
-			module := policy.New(1, policy.Place{Tiers: 1, Nodes: 1, Tick: policy.Millisecond},
-				[]policy.Category{{Benefit: 1, Target: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Repeat: policy.AtMostOnce}},
-				policy.PushRule{Max: 3, Dial: 100 * policy.Millisecond, Cancel: true},
-				policy.ColdRule{From: 1, Factor: 3, Window: policy.Second}, policy.RegistryRule{})
+			module := policy.New(1, policy.Topology{TierCount: 1, NodeCount: 1, ClockTick: policy.Millisecond},
+				[]policy.Category{{Benefit: 1, TargetLatency: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Delivery: policy.AtMostOnce}},
+				policy.PushLimits{MaxPushes: 3, DialTimeout: 100 * policy.Millisecond, MayCancel: true},
+				policy.ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: policy.Second}, policy.RegistryRule{})
 			harness := newNodeHarnessOf(t, module, 100*time.Millisecond, 9, startServer(t, serve), startServer(t, serve))
 			op := harness.submitOp("only", long, 500*policy.Millisecond)
 			want := node.DeadLettered
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -59,12 +59,12 @@
 		if old := p.actors[e.Server]; old != nil {
 			// A server that has restarted, or moved to another address, does not know the connections that were kept
 			// open to it, and a push written on one of them would be reset.
-			if old.addr == list.Addrs[i] && old.startedAt == e.Started {
+			if old.addr == list.Addrs[i] && old.startedAt == e.StartedAt {
 				continue
 			}
 			p.retire(e.Server)
 		}
-		p.actors[e.Server] = p.startActor(e.Server, list.Addrs[i], e.Started)
+		p.actors[e.Server] = p.startActor(e.Server, list.Addrs[i], e.StartedAt)
 	}
 	if list.Form == policy.ListChanges {
 		return
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -120,14 +120,14 @@
 	r.Pool = New(Options{DialTimeout: 200 * time.Millisecond, ServerIdleTimeout: 5 * time.Second, MaxInFlight: 32},
 		budget, zerolog.Nop(), func(_ *node.Push, result node.Result) { r.results <- result })
 	r.listServer(policy.Ready, addr, 0)
-	t.Cleanup(func() { r.UpdateList(&node.List{Form: policy.ListWhole}) })
+	t.Cleanup(func() { r.UpdateList(&node.List{Form: policy.ListFull}) })
 	return r
 }
 
 // listServer lists server 1.
 func (r *poolHarness) listServer(state policy.ServerState, addr string, startedAt policy.Micros) {
 	r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{addr},
-		Entries: []policy.Entry{{Server: 1, State: state, Started: startedAt}}})
+		Entries: []policy.ListEntry{{Server: 1, State: state, StartedAt: startedAt}}})
 }
 
 // newPush returns a push to server 1.
@@ -668,7 +668,7 @@
 	for range r.budget.Size() - 1 {
 		r.budget.Acquire(t.Context())
 	}
-	r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.Entry{{Server: 2}}})
+	r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.ListEntry{{Server: 2}}})
 	p := newPush(t.Context(), "GET", "/a", "")
 	p.Server = 2
 	if got := r.pushAndWait(t, p); got != policy.Acked {
@@ -699,7 +699,7 @@
 	addr := r.actors[1].addr
 	goroutinesBefore := runtime.NumGoroutine()
 	for i := range 400 {
-		r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.Entry{
+		r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.ListEntry{
 			{Server: policy.ServerID(i + 1), State: policy.Gone}, {Server: policy.ServerID(i + 2)}}})
 		p := newPush(t.Context(), "GET", "/a", "")
 		p.Server = policy.ServerID(i + 2)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -66,7 +66,7 @@
 }
 
 // listFormByCode maps the form codes of ENDPOINTS.
-var listFormByCode = [...]policy.ListForm{policy.ListChanges, policy.ListWhole, policy.ListCached, policy.ListFailed}
+var listFormByCode = [...]policy.ListForm{policy.ListChanges, policy.ListFull, policy.ListCached, policy.ListFailed}
 
 // serverStateByCode maps the availability codes of SNAPSHOT_ROWS.
 var serverStateByCode = map[byte]policy.ServerState{1: policy.Ready, 3: policy.Draining, 2: policy.Gone}
@@ -77,7 +77,7 @@
 // host holds the nodes of one process, and the server lists, which all nodes of the process share.
 type host struct {
 	nodes       map[uint32]policy.Decider // by instance number
-	lists       [maxLists][]policy.Entry
+	lists       [maxLists][]policy.ListEntry
 	listKnown   [maxLists]bool
 	input       policy.Input // reused for every event
 	reply       []byte       // encoded actions of the current batch
@@ -214,7 +214,7 @@
 		delete(h.nodes, instance)
 		return nil
 	case eventEndpoints:
-		input.Kind = policy.ListCame
+		input.Kind = policy.ListReceived
 		form := fields.u8()
 		list := fields.u32()
 		fields.u64()
@@ -233,24 +233,24 @@
 		input.Op = policy.OpID(fields.u32())
 		input.Category = policy.CategoryID(fields.u8())
 		fields.time()
-		input.NotAfter = fields.time()
+		input.Deadline = fields.time()
 		input.Tenant = policy.TenantID(fields.u16())
-		input.Repeated = fields.u8()&requestFlagRepeat != 0
+		input.ClientRetry = fields.u8()&requestFlagRepeat != 0
 		fields.u64()
 	case eventEstablished:
 		input.Kind = policy.StreamBegan
 		input.Op = policy.OpID(fields.u32())
-		input.Took = fields.time()
-		input.Push = policy.PushNo(fields.u8())
+		input.Latency = fields.time()
+		input.Push = policy.PushNumber(fields.u8())
 		input.Server = fields.server()
 	case eventFinished:
 		input.Kind = policy.PushEnded
 		input.Op = policy.OpID(fields.u32())
 		outcomeCode := fields.u8()
-		input.Took = fields.time()
+		input.Latency = fields.time()
 		input.Server = fields.server()
-		input.Push = policy.PushNo(fields.u8())
-		input.Settled = fields.u8() != 0
+		input.Push = policy.PushNumber(fields.u8())
+		input.OpSettled = fields.u8() != 0
 		fields.skipLoadReport()
 		if err := setOutcome(input, outcomeCode); err != nil {
 			return err
@@ -259,21 +259,21 @@
 		input.Kind = policy.OpAbandoned
 		input.Op = policy.OpID(fields.u32())
 	case eventDue:
-		input.Kind = policy.Woken
-		input.Token = policy.Token(fields.u32())
+		input.Kind = policy.TimerFired
+		input.Token = policy.TimerToken(fields.u32())
 	case eventChecked:
 		input.Kind = policy.ProbeEnded
 		input.Server = fields.server()
 		outcomeCode := fields.u8()
-		input.Took = fields.time()
+		input.Latency = fields.time()
 		fields.skipLoadReport()
 		if err := setOutcome(input, outcomeCode); err != nil {
 			return err
 		}
 	case eventInbox:
 		fields.u32() // the sender, which is not used
-		input.Kind = policy.PeerSaid
-		input.Said = fields.take(int(fields.u16()))
+		input.Kind = policy.PeerMessageReceived
+		input.Message = fields.take(int(fields.u16()))
 	default:
 		return fmt.Errorf("unknown code %d", code)
 	}
@@ -300,14 +300,14 @@
 	}
 	entries := h.lists[list][:0]
 	for range count {
-		entry := policy.Entry{
-			Started: fields.time(),
-			Server:  fields.server(),
-			Weight:  fields.f32(),
-			Cell:    policy.CellID(fields.u16()),
+		entry := policy.ListEntry{
+			StartedAt: fields.time(),
+			Server:    fields.server(),
+			Weight:    fields.f32(),
+			Cell:      policy.CellID(fields.u16()),
 		}
 		state := fields.u8()
-		entry.Kind = policy.KindID(fields.u8())
+		entry.MachineType = policy.MachineTypeID(fields.u8())
 		entry.Zone = policy.ZoneID(fields.u8())
 		var found bool
 		if entry.State, found = serverStateByCode[state]; !found {
@@ -367,31 +367,31 @@
 		beginOpAction(actionTransmit)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Server>>16))
 		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(effect.Server))
-		h.appendTime(effect.For)
+		h.appendTime(effect.Duration)
 	case policy.Nack:
 		beginOpAction(actionRefuse)
-		h.appendTime(effect.For)
+		h.appendTime(effect.Duration)
 	case policy.DeadLetter:
 		beginOpAction(actionAbort)
 	case policy.Cancel:
 		beginOpAction(actionCancel)
 		h.reply = append(h.reply, byte(effect.Push))
-	case policy.Wake:
+	case policy.SetTimer:
 		h.beginAction(actionSetAlarm, instance)
-		h.appendTime(effect.At)
+		h.appendTime(effect.TimerAt)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Token))
-	case policy.Watch:
+	case policy.WatchRegistry:
 		h.beginAction(actionListen, instance)
 		h.reply = append(h.reply, 1)
-	case policy.Close:
+	case policy.CloseIdle:
 		h.beginAction(actionClose, instance)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Server>>16))
 		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(effect.Server))
-	case policy.Tell:
+	case policy.SendToPeer:
 		h.beginAction(actionNotify, instance)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.Peer))
-		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(effect.Said)))
-		h.reply = append(h.reply, effect.Said[:]...)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(effect.PeerNumber))
+		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(effect.Message)))
+		h.reply = append(h.reply, effect.Message[:]...)
 	case policy.Log:
 		h.appendText(actionTrace, instance, effect.Text)
 	}
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conf.Rules.PushLimits.Max != 7 || conf.Rules.PushLimits.Dial != 55_000 || conf.LogLevel != zerolog.WarnLevel {
+	if conf.Rules.PushLimits.MaxPushes != 7 || conf.Rules.PushLimits.DialTimeout != 55_000 || conf.LogLevel != zerolog.WarnLevel {
 		t.Errorf("%+v, %v", conf.Rules.PushLimits, conf.LogLevel)
 	}
 	for patch, want := range map[string]string{
@@ -93,7 +93,7 @@
 		if broken {
 			return errors.New("key fleet.listen: in use")
 		}
-		installed <- c.Rules.PushLimits.Max
+		installed <- c.Rules.PushLimits.MaxPushes
 		return nil
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	patched, err := applier.WithChanges(reloaded)
-	if err != nil || patched.Rules.PushLimits.Max != 4 || patched.Rules.PushLimits.Dial != 70_000 {
+	if err != nil || patched.Rules.PushLimits.MaxPushes != 4 || patched.Rules.PushLimits.DialTimeout != 70_000 {
 		t.Errorf("%v: %+v", err, patched.Rules.PushLimits)
 	}
 	applier.SetFile(reloaded.Raw)
