--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -60,9 +60,9 @@
 // Options are what the settings say of clients.
 type Options struct {
 	Categories, Tenants []string
-	Repeats             []policy.Repeat // of each category
-	Longest             time.Duration   // TTL of any category: no op is in hand for longer
-	Generation          int             // of the settings that say so
+	Repeats             []policy.DeliverySemantics // of each category
+	Longest             time.Duration              // TTL of any category: no op is in hand for longer
+	Generation          int                        // of the settings that say so
 }
 
 // drainTimes are how long after SIGTERM connections that clients have kept are served, and when the last answer must be
@@ -385,7 +385,7 @@
 
 // fits refuses a request whose form does not belong to what a second run of its op does. Danger: a server can't drop
 // the repeats of an op without a key, and one that passes over a GET's body reads it as a request of its own.
-func fits(r *http.Request, repeat policy.Repeat) (status int, reason string) {
+func fits(r *http.Request, repeat policy.DeliverySemantics) (status int, reason string) {
 	method := http.MethodPost
 	if repeat == policy.Redeliverable {
 		method = http.MethodGet
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -55,7 +55,7 @@
 		part: sockets.NewPart(room)}
 	var err error
 	r.Server, err = Listen("127.0.0.1:0", Options{Categories: []string{"checkout", "browse", "booking"},
-		Repeats: []policy.Repeat{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
+		Repeats: []policy.DeliverySemantics{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
 		Tenants: []string{"one", "two"}, Longest: time.Second}, r.part, r.module, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -87,7 +87,7 @@
 func (c *Config) SameFleet(next *Config) bool {
 	a, b := &c.Rules.Place, &next.Rules.Place
 	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.fleet, next.fleet) &&
-		a.Number == b.Number && a.Zone == b.Zone && a.Nodes == b.Nodes)
+		a.NodeNumber == b.NodeNumber && a.Zone == b.Zone && a.NodeCount == b.NodeCount)
 }
 
 // sameJSON compares values, whatever their spacing and the order of their keys.
@@ -220,19 +220,19 @@
 		key string
 		bad bool
 	}{
-		{"tier", r.Place.Tier < 0 || r.Place.Tier >= r.Place.Tiers},
-		{"fleet_size", r.Place.Nodes < 1},
-		{"slot_no", r.Place.Number < 0},
-		{"tick", r.Place.Tick < 1},
-		{"limits.max_pushes", r.Push.Max < 1},
-		{"limits.dial_timeout", r.Push.Dial < policy.Millisecond},
+		{"tier", r.Place.Tier < 0 || r.Place.Tier >= r.Place.TierCount},
+		{"fleet_size", r.Place.NodeCount < 1},
+		{"slot_no", r.Place.NodeNumber < 0},
+		{"tick", r.Place.ClockTick < 1},
+		{"limits.max_pushes", r.Push.MaxPushes < 1},
+		{"limits.dial_timeout", r.Push.DialTimeout < policy.Millisecond},
 	} {
 		if rule.bad {
 			s.fail("setting %s is out of range: %q", rule.key, s.pairs[rule.key])
 		}
 	}
 	for i, c := range r.Categories {
-		if c.TTL <= 0 || c.Target <= 0 || c.Target > c.TTL {
+		if c.TTL <= 0 || c.TargetLatency <= 0 || c.TargetLatency > c.TTL {
 			s.fail("setting categories.%d.target_latency or ttl is out of range", i)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -78,7 +78,7 @@
 		`"peers": true, "max_pushes": 3`:  true,
 	} {
 		c, err := load(t, `"max_pushes": 3`, with)
-		if err != nil || c.Rules.Place.Peers != peers || len(c.Unheeded) > 0 ||
+		if err != nil || c.Rules.Place.PeerMessaging != peers || len(c.Unheeded) > 0 ||
 			strings.Contains(c.Explain(), "tell each other") != peers {
 			t.Errorf("%s: %+v, %v", with, c, err)
 		}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -256,6 +256,6 @@
 }
 
 // Cross says whether an op that may have run in one pool may be pushed in another: only if a repeat does no harm there.
-func Cross(repeat policy.Repeat, mayHaveRun, groupSpansBoth bool) bool {
+func Cross(repeat policy.DeliverySemantics, mayHaveRun, groupSpansBoth bool) bool {
 	return !mayHaveRun || repeat == policy.Redeliverable || repeat == policy.Deduplicated && groupSpansBoth
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -165,7 +165,7 @@
 
 func TestCross(t *testing.T) {
 	for _, c := range []struct {
-		repeat     policy.Repeat
+		repeat     policy.DeliverySemantics
 		risky, all bool
 		want       bool
 	}{
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,7 +54,7 @@
 	// has a lock of its own, which the actor never takes; whoever takes both takes the book's first.
 	mu      sync.Mutex // guards own, list, started, anew, ids
 	own     *judged.Log
-	list    []policy.Entry
+	list    []policy.ListEntry
 	started map[policy.ServerID]policy.Micros
 	anew    []policy.ServerID // that have started anew since the last beat
 	ids     []policy.ServerID
@@ -75,7 +75,7 @@
 // StartKeeping is Start, where members that are gone are kept for another time than usual: a test of long cuts has no hours. All
 // waits here are by the clock, which may be slowed.
 func StartKeeping(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, keep time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Place.Number), done: make(chan struct{}),
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Place.NodeNumber), done: make(chan struct{}),
 		started: make(map[policy.ServerID]policy.Micros)}
 	life := transport.LifeID(rand.Uint64()) // Danger: not from the seed, which a process that is back has again
 	zone := uint8(c.Rules.Place.Zone)
@@ -96,11 +96,11 @@
 	if c.Fleet.Judged {
 		f.transport.Handle(transport.Judgements, f.hear)
 	}
-	if c.Fleet.Words && c.Rules.Place.Peers {
+	if c.Fleet.Words && c.Rules.Place.PeerMessaging {
 		f.words = words.Start(f.transport, f.holder, n.Said)
 	}
-	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
-	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Place.Nodes, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
+	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Place.NodeNumber, Addr: c.Fleet.Advertise}
+	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Place.NodeCount, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
 		log.With().Str("part", "members").Logger())
 	if err != nil {
 		f.end()
@@ -195,20 +195,20 @@
 	f.own.Ended(f.clock.Now(), server, category, outcome, took)
 }
 
-func (f *Fleet) Follow(list []policy.Entry) {
+func (f *Fleet) Follow(list []policy.ListEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
 	f.own.Follow(f.list, func(s policy.ServerID) policy.Micros { return f.started[s] })
 	for _, e := range f.list {
-		if was, known := f.started[e.Server]; known && was != e.Started && f.config.Judged { // else no beat takes them
+		if was, known := f.started[e.Server]; known && was != e.StartedAt && f.config.Judged { // else no beat takes them
 			f.anew = append(f.anew, e.Server)
 		}
 	}
 	clear(f.started)
 	f.ids = f.ids[:0]
 	for _, e := range f.list {
-		f.started[e.Server] = e.Started
+		f.started[e.Server] = e.StartedAt
 		if e.State == policy.Ready { // nothing is said of those that drain
 			f.ids = append(f.ids, e.Server)
 		}
--- a/internal/fleet/judged/evidence.go
+++ b/internal/fleet/judged/evidence.go
@@ -63,11 +63,11 @@
 func NewLog() *Log { return &Log{servers: make(map[policy.ServerID]*Evidence)} }
 
 // Follow keeps to the servers listed. One that starts anew has no past.
-func (l *Log) Follow(list []policy.Entry, started func(policy.ServerID) policy.Micros) {
+func (l *Log) Follow(list []policy.ListEntry, started func(policy.ServerID) policy.Micros) {
 	listed := make(map[policy.ServerID]bool, len(list))
 	for _, e := range list {
 		listed[e.Server] = true
-		if o := l.servers[e.Server]; o == nil || started(e.Server) != e.Started {
+		if o := l.servers[e.Server]; o == nil || started(e.Server) != e.StartedAt {
 			l.servers[e.Server] = &Evidence{pace: 1}
 		}
 	}
--- a/internal/fleet/judged/judged_test.go
+++ b/internal/fleet/judged/judged_test.go
@@ -132,10 +132,10 @@
 	}
 }
 
-func servers(n int) (all []policy.ServerID, list []policy.Entry) {
+func servers(n int) (all []policy.ServerID, list []policy.ListEntry) {
 	for i := range n {
 		all = append(all, policy.ServerID(i+1))
-		list = append(list, policy.Entry{Server: policy.ServerID(i + 1), Weight: 1})
+		list = append(list, policy.ListEntry{Server: policy.ServerID(i + 1), Weight: 1})
 	}
 	return all, list
 }
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -65,7 +65,7 @@
 func (s *sampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if now >= s.next {
 		s.next = now + sampleEvery
-		s.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+		s.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
 			name := s.names[server]
 			if server == 0 {
 				name = "all"
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -134,10 +134,10 @@
 	}
 	clock := node.NewSlowedClock(c.slow)
 	n := node.New(node.Options{MostOpen: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
-	list := &node.List{Form: policy.ListWhole}
+	list := &node.List{Form: policy.ListFull}
 	h.list = servers(place, len(c.nodes), c.called)
 	for _, s := range h.list {
-		list.Entries = append(list.Entries, policy.Entry{Server: s, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(s-1) % zones)})
+		list.Entries = append(list.Entries, policy.ListEntry{Server: s, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(s-1) % zones)})
 		list.Addrs = append(list.Addrs, "127.0.0.1:1")
 	}
 	n.Start(none{}, none{}, list)
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -70,7 +70,7 @@
 					return
 				}
 				for _, e := range l.Entries {
-					if at, known := changed[int(e.Started)]; known {
+					if at, known := changed[int(e.StartedAt)]; known {
 						took = append(took, now.Sub(at).Seconds()*1000)
 					}
 				}
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -358,7 +358,7 @@
 	b.generation = catalog.Generation()
 	list := &node.List{Form: policy.ListChanges}
 	if whole {
-		list.Form = policy.ListWhole
+		list.Form = policy.ListFull
 	}
 	list.Entries, list.Addrs = r.list(entries...)
 	listed := make(map[int]bool)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -14,7 +14,7 @@
 func again(kind policy.InputKind, effects ...policy.Effect) func(*policy.Input) []policy.Effect {
 	times := 0
 	return func(in *policy.Input) []policy.Effect {
-		if in.Kind != kind || in.Settled || times == 3 {
+		if in.Kind != kind || in.OpSettled || times == 3 {
 			return nil
 		}
 		times++
@@ -131,7 +131,7 @@
 		"its server starts anew": {chain(once(policy.OpArrived, pushFor(300)), again(policy.PushEnded, pushFor(200))),
 			func(r *rig, op *Op) {
 				r.Listed(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-					Entries: []policy.Entry{{Server: 7, State: policy.Ready, Weight: 1, Started: 9}}})
+					Entries: []policy.ListEntry{{Server: 7, State: policy.Ready, Weight: 1, StartedAt: 9}}})
 				synctest.Wait()
 				r.begin(0)
 				r.begin(1)
@@ -200,7 +200,7 @@
 // tell gives the list with the one server that these tests push to.
 func (r *rig) tell(state policy.ServerState) {
 	r.Listed(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-		Entries: []policy.Entry{{Server: 7, State: state, Weight: 1}}})
+		Entries: []policy.ListEntry{{Server: 7, State: state, Weight: 1}}})
 	synctest.Wait()
 }
 
@@ -217,7 +217,7 @@
 			inside <- true
 			<-gate
 		}
-		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, For: policy.Second}}
+		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, Duration: policy.Second}}
 	}
 	got := play(t, 9, script, func(r *rig) {
 		gate, inside = make(chan bool), make(chan bool)
--- a/internal/node/generation.go
+++ b/internal/node/generation.go
@@ -66,7 +66,7 @@
 	if m.next.Apply != nil {
 		m.next.Apply()
 	}
-	n.step(m.next, &policy.Input{Kind: policy.ListCame, Form: policy.ListCached, List: n.partly(n.list)})
+	n.step(m.next, &policy.Input{Kind: policy.ListReceived, Form: policy.ListCached, List: n.partly(n.list)})
 	n.log.Info().Int("generation", m.next.number).Int("in hand before", n.open).Msg("new settings")
 	m.done <- switchedTo{m.next.number, nil}
 }
@@ -103,14 +103,14 @@
 	for i, e := range n.list {
 		held[e.Server] = i
 	}
-	var next []policy.Entry
+	var next []policy.ListEntry
 	if list.Form == policy.ListChanges {
 		next = n.list
 	}
 	for _, e := range list.Entries {
 		i, found := held[e.Server]
 		if found {
-			e.Started = max(e.Started, n.list[i].Started)
+			e.StartedAt = max(e.StartedAt, n.list[i].StartedAt)
 		}
 		if found && list.Form == policy.ListChanges {
 			next[i] = e
@@ -118,5 +118,5 @@
 			next = append(next, e)
 		}
 	}
-	n.list = slices.DeleteFunc(next, func(e policy.Entry) bool { return e.State == policy.Gone })
+	n.list = slices.DeleteFunc(next, func(e policy.ListEntry) bool { return e.State == policy.Gone })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	stopped  chan struct{}
 
 	generations []*Generation // the newest is last
-	list        []policy.Entry
+	list        []policy.ListEntry
 	peers       Peers                       // nil: the node hears nobody
 	parts       map[policy.ServerID]float64 // of servers' weights, by others' judgement; absent: whole
 
@@ -266,7 +266,7 @@
 			Int64("left_ms", int64(op.NotAfter-n.now)/int64(policy.Millisecond)).Msg("op")
 	}
 	n.step(op.of, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
-		NotAfter: op.NotAfter, Repeated: op.Repeated})
+		Deadline: op.NotAfter, ClientRetry: op.Repeated})
 }
 
 // endAll gives every op in hand its end by a moment.
@@ -362,7 +362,7 @@
 		n.peers.Ended(push.Server, op.Category, result.Outcome, max(0, took))
 	}
 	n.step(op.of, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no, Server: push.Server,
-		Outcome: result.Outcome, Took: max(0, took), Settled: op.settled})
+		Outcome: result.Outcome, Latency: max(0, took), OpSettled: op.settled})
 	n.forget(op)
 }
 
@@ -371,7 +371,7 @@
 		for i, e := range list.Entries {
 			n.log.Debug().Str("server", fmt.Sprintf("%012x", e.Server)).Str("addr", list.Addrs[i]).Uint8("state", uint8(e.State)).
 				Uint8("zone", uint8(e.Zone)).Float64("weight", e.Weight).
-				Int64("age_ms", int64(n.clock.Now()-e.Started)/int64(policy.Millisecond)).Msg("entry")
+				Int64("age_ms", int64(n.clock.Now()-e.StartedAt)/int64(policy.Millisecond)).Msg("entry")
 		}
 	}
 	before := slices.Clone(n.list)
@@ -382,7 +382,7 @@
 	}
 	n.callBack(before)
 	for _, g := range n.generations { // a drain binds all that still have ops in hand
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: list.Form, List: n.partly(list.Entries)})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: list.Form, List: n.partly(list.Entries)})
 	}
 }
 
@@ -391,7 +391,7 @@
 //
 // Danger: a push may wait for its connection for as long as a dial takes, and would be sent to a draining server past the
 // grace. The module pushes to ready servers alone, so none of these is there on purpose.
-func (n *Node) callBack(before []policy.Entry) {
+func (n *Node) callBack(before []policy.ListEntry) {
 	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
 		for _, push := range n.ops[id].pushes {
 			if !push.ended && !n.ready(push.Server, before) {
@@ -402,10 +402,10 @@
 }
 
 // ready says whether the list in hand has a server that takes ops, and that has not started anew since the one before.
-func (n *Node) ready(id policy.ServerID, before []policy.Entry) bool {
-	is := func(e policy.Entry) bool { return e.Server == id }
+func (n *Node) ready(id policy.ServerID, before []policy.ListEntry) bool {
+	is := func(e policy.ListEntry) bool { return e.Server == id }
 	at, was := slices.IndexFunc(n.list, is), slices.IndexFunc(before, is)
-	return at >= 0 && n.list[at].State == policy.Ready && (was < 0 || before[was].Started == n.list[at].Started)
+	return at >= 0 && n.list[at].State == policy.Ready && (was < 0 || before[was].StartedAt == n.list[at].StartedAt)
 }
 
 // settle gives the op its one final answer.
@@ -461,7 +461,7 @@
 	case policy.Push:
 		n.push(e)
 	case policy.Nack:
-		n.answer(e.Op, Answer{Verdict: Nacked, RetryAfter: e.For})
+		n.answer(e.Op, Answer{Verdict: Nacked, RetryAfter: e.Duration})
 	case policy.DeadLetter:
 		n.answer(e.Op, Answer{Verdict: DeadLettered})
 	case policy.Cancel:
@@ -469,20 +469,20 @@
 		if op := n.ops[e.Op]; op != nil && int(e.Push) < len(op.pushes) {
 			op.pushes[e.Push].cancel()
 		}
-	case policy.Wake:
+	case policy.SetTimer:
 		token := e.Token
-		n.timers.set(e.At, func() {
+		n.timers.set(e.TimerAt, func() {
 			if !g.over {
-				n.step(g, &policy.Input{Kind: policy.Woken, Token: token})
+				n.step(g, &policy.Input{Kind: policy.TimerFired, Token: token})
 			}
 		})
-	case policy.Watch:
+	case policy.WatchRegistry:
 		n.registry.Watch()
-	case policy.Tell:
+	case policy.SendToPeer:
 		if n.peers != nil {
-			n.peers.Tell(e.Peer, e.Said)
+			n.peers.Tell(e.PeerNumber, e.Message)
 		}
-	case policy.Close:
+	case policy.CloseIdle:
 		n.servers.CloseIdle(e.Server)
 	case policy.Log:
 		n.log.Info().Msg(e.Text)
@@ -503,14 +503,14 @@
 		n.log.Error().Uint32("op", uint32(e.Op)).Msg("push of an op that is not in hand")
 		return
 	}
-	push := &Push{Request: &op.Request, Server: e.Server, op: op, no: policy.PushNo(len(op.pushes)), sent: n.now,
+	push := &Push{Request: &op.Request, Server: e.Server, op: op, no: policy.PushNumber(len(op.pushes)), sent: n.now,
 		made: time.Now()}
 	push.Context, push.cancel = context.WithCancel(context.Background())
 	op.pushes = append(op.pushes, push)
 	op.out++
 	push.For = op.NotAfter - n.now
-	if e.For > 0 {
-		push.For = min(push.For, e.For)
+	if e.Duration > 0 {
+		push.For = min(push.For, e.Duration)
 	}
 	if op.settled || !op.stays() || push.For <= 0 {
 		// Danger: an op that is over, or out of time, would run for nobody.
@@ -518,7 +518,7 @@
 		op.out--
 		push.cancel()
 		n.pending = append(n.pending, policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no,
-			Server: push.Server, Outcome: policy.Moot, Settled: op.settled})
+			Server: push.Server, Outcome: policy.Moot, OpSettled: op.settled})
 		return
 	}
 	push.timeout = n.timers.set(n.now+push.For, func() {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -33,7 +33,7 @@
 	m.last = now
 	line := "module: " + kinds[in.Kind]
 	if in.Kind == policy.PushEnded {
-		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Took/1000, in.Settled)
+		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Latency/1000, in.OpSettled)
 	}
 	m.note(line)
 	if m.script == nil {
@@ -60,7 +60,7 @@
 func (s *servers) CloseIdle(id policy.ServerID) { s.closed = append(s.closed, id) }
 
 func pushFor(ms int) policy.Effect {
-	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, For: policy.Micros(ms) * policy.Millisecond}
+	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, Duration: policy.Micros(ms) * policy.Millisecond}
 }
 
 type rig struct {
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -125,7 +125,7 @@
 	For     policy.Micros // how long the node will wait
 
 	op      *Op
-	no      policy.PushNo
+	no      policy.PushNumber
 	fate    atomic.Uint32 // whether its first byte may be written
 	made    time.Time     // zero: For counts from whenever it is asked
 	cancel  context.CancelFunc
@@ -204,7 +204,7 @@
 // List is what the registry told, with each entry's address beside it.
 type List struct {
 	Form    policy.ListForm
-	Entries []policy.Entry
+	Entries []policy.ListEntry
 	Addrs   []string
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,7 +15,7 @@
 	// Ended tells how a push ended and how long it took.
 	Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros)
 	// Follow tells the list as it now is. It is read during the call only.
-	Follow(list []policy.Entry)
+	Follow(list []policy.ListEntry)
 }
 
 type (
@@ -58,14 +58,14 @@
 // hear gives words to the newest generation: those before end what they have.
 func (n *Node) hear(said words) {
 	for length := len(Word{}); len(said) >= length; said = said[length:] {
-		n.step(n.newest(), &policy.Input{Kind: policy.PeerSaid, Said: said[:length]})
+		n.step(n.newest(), &policy.Input{Kind: policy.PeerMessageReceived, Message: said[:length]})
 	}
 }
 
 // weigh tells the modules of the servers whose part differs. Danger: only servers that are listed as ready; a judgement must
 // not bring back one that drains, and nothing here may look like a list that came.
 func (n *Node) weigh(parts map[policy.ServerID]float64) {
-	var changed []policy.Entry
+	var changed []policy.ListEntry
 	for _, e := range n.list {
 		was, is := part(n.parts, e.Server), part(parts, e.Server)
 		if e.State == policy.Ready && was != is {
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, g := range n.generations {
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: policy.ListWeighed, List: changed})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: policy.ListReweighted, List: changed})
 	}
 }
 
@@ -90,11 +90,11 @@
 }
 
 // partly is a list with the weights that judgement leaves.
-func (n *Node) partly(list []policy.Entry) []policy.Entry {
+func (n *Node) partly(list []policy.ListEntry) []policy.ListEntry {
 	if len(n.parts) == 0 {
 		return list
 	}
-	out := make([]policy.Entry, len(list))
+	out := make([]policy.ListEntry, len(list))
 	for i, e := range list {
 		e.Weight *= part(n.parts, e.Server)
 		out[i] = e
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -393,7 +393,7 @@
 func (r *Registry) take(list *node.List, generation uint64) {
 	r.generation, r.held = generation, true
 	r.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
-		Bool("whole", list.Form == policy.ListWhole).Msg("list")
+		Bool("whole", list.Form == policy.ListFull).Msg("list")
 	r.tell(list)
 }
 
@@ -415,7 +415,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("whole list: %w", err)
 	}
-	list.Form = policy.ListWhole
+	list.Form = policy.ListFull
 	return list, generation, nil
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -93,7 +93,7 @@
 	out := [...]string{"changes", "whole", "cached", "failed"}[l.Form]
 	for i, e := range l.Entries {
 		out += fmt.Sprintf(" %s %s zone %d started %d", [...]string{"ready", "draining", "gone"}[e.State], l.Addrs[i],
-			e.Zone, e.Started/policy.Millisecond)
+			e.Zone, e.StartedAt/policy.Millisecond)
 	}
 	return out
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -94,7 +94,7 @@
 	}
 	actor := node.New(first.Options, first.Module, clock, log.With().Str("part", "node").Logger())
 	list := registry.New(registry.Options{Addr: c.Discovery, Zones: c.Names.Zones, Kinds: c.Names.Kinds,
-		Unasked: !c.Rules.Registry.Ask, Again: time.Second, Grace: config.Duration(c.Rules.Grace), Seed: c.Seed}, forRegistry,
+		Unasked: !c.Rules.Registry.MustSubscribe, Again: time.Second, Grace: config.Duration(c.Rules.Grace), Seed: c.Seed}, forRegistry,
 		log.With().Str("part", "registry").Logger())
 	known, err := list.Known(c.Known)
 	if err != nil {
@@ -167,9 +167,9 @@
 	for _, key := range c.Unheeded {
 		r.log.Warn().Str("key", key).Msg("setting is no longer heeded")
 	}
-	if c.Rules.Place.Peers && !canHear(c) {
+	if c.Rules.Place.PeerMessaging && !canHear(c) {
 		r.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
-		c.Rules.Place.Peers = false
+		c.Rules.Place.PeerMessaging = false
 	}
 	g := &node.Generation{Options: node.Options{MostOpen: min(r.mostOpen, c.MostOpen), Slack: c.AnswerSlack}}
 	if r.Slack != nil {
@@ -185,13 +185,13 @@
 }
 
 func (r *running) toServers(c *config.Config) servers.Options {
-	return servers.Options{Dial: config.Duration(c.Rules.Push.Dial), IdleClose: c.IdleClose, MostOut: r.mostOut * c.Rules.Push.Max}
+	return servers.Options{Dial: config.Duration(c.Rules.Push.DialTimeout), IdleClose: c.IdleClose, MostOut: r.mostOut * c.Rules.Push.MaxPushes}
 }
 
 func toClients(c *config.Config, generation int) clients.Options {
 	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
 	for _, category := range c.Rules.Categories {
-		o.Repeats = append(o.Repeats, category.Repeat)
+		o.Repeats = append(o.Repeats, category.Delivery)
 		o.Longest = max(o.Longest, config.Duration(category.TTL))
 	}
 	return o
@@ -243,7 +243,7 @@
 		if err := r.hearOthers(next); err != nil {
 			return errors.Join(err, r.hearOthers(c)) // what ran before runs again
 		}
-		if c.SameSettings(next) && !next.Rules.Place.Peers {
+		if c.SameSettings(next) && !next.Rules.Place.PeerMessaging {
 			return nil
 		}
 	} else if c.SameSettings(next) {
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	r.list.Unasked(!next.Rules.Registry.Ask, config.Duration(next.Rules.Grace))
+	r.list.Unasked(!next.Rules.Registry.MustSubscribe, config.Duration(next.Rules.Grace))
 	r.front.Use(toClients(next, number))
 	return nil
 }
--- a/internal/servers/crossing_test.go
+++ b/internal/servers/crossing_test.go
@@ -30,7 +30,7 @@
 	if in.Kind != policy.OpArrived {
 		return nil
 	}
-	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, For: 0}}
+	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, Duration: 0}}
 }
 
 type quietRegistry struct{}
@@ -59,14 +59,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-ended; pool.Follow(&node.List{Form: policy.ListWhole}) })
+	t.Cleanup(func() { stop(); <-ended; pool.Follow(&node.List{Form: policy.ListFull}) })
 	return a
 }
 
 func (a *actor) list(state policy.ServerState) *node.List {
-	l := &node.List{Form: policy.ListWhole, Addrs: a.addrs}
+	l := &node.List{Form: policy.ListFull, Addrs: a.addrs}
 	for i := range a.addrs {
-		l.Entries = append(l.Entries, policy.Entry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
+		l.Entries = append(l.Entries, policy.ListEntry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
 	}
 	return l
 }
@@ -577,10 +577,10 @@
 					io.WriteString(conn, answer("200 OK", "fine"))
 				}
 			}
-			module := policy.New(1, policy.Place{Tiers: 1, Nodes: 1, Tick: policy.Millisecond},
-				[]policy.Category{{Benefit: 1, Target: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Repeat: policy.AtMostOnce}},
-				policy.PushRule{Max: 3, Dial: 100 * policy.Millisecond, Cancel: true},
-				policy.ColdRule{From: 1, Factor: 3, Window: policy.Second}, policy.RegistryRule{})
+			module := policy.New(1, policy.Topology{TierCount: 1, NodeCount: 1, ClockTick: policy.Millisecond},
+				[]policy.Category{{Benefit: 1, TargetLatency: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Delivery: policy.AtMostOnce}},
+				policy.PushLimits{MaxPushes: 3, DialTimeout: 100 * policy.Millisecond, MayCancel: true},
+				policy.ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: policy.Second}, policy.RegistryRule{})
 			a := newActorOf(t, module, 100*time.Millisecond, 9, server(t, serve), server(t, serve))
 			op := a.opOf("only", long, 500*policy.Millisecond)
 			want, pushes := node.DeadLettered, int32(1)
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -53,12 +53,12 @@
 		if old := p.peers[e.Server]; old != nil {
 			// Danger: a server that has started again, or elsewhere, knows nothing of the connections kept to
 			// it; a write on one would be a reset.
-			if old.addr == list.Addrs[i] && old.started == e.Started {
+			if old.addr == list.Addrs[i] && old.started == e.StartedAt {
 				continue
 			}
 			p.retire(e.Server)
 		}
-		p.peers[e.Server] = p.start(e.Server, list.Addrs[i], e.Started)
+		p.peers[e.Server] = p.start(e.Server, list.Addrs[i], e.StartedAt)
 	}
 	if list.Form == policy.ListChanges {
 		return
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -114,13 +114,13 @@
 	r.Pool = New(Options{Dial: 200 * time.Millisecond, IdleClose: 5 * time.Second, MostOut: 32}, part, zerolog.Nop(),
 		func(_ *node.Push, result node.Result) { r.ended <- result })
 	r.list(policy.Ready, addr, 0)
-	t.Cleanup(func() { r.Follow(&node.List{Form: policy.ListWhole}) })
+	t.Cleanup(func() { r.Follow(&node.List{Form: policy.ListFull}) })
 	return r
 }
 
 func (r *rig) list(state policy.ServerState, addr string, started policy.Micros) {
 	r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{addr},
-		Entries: []policy.Entry{{Server: 1, State: state, Started: started}}})
+		Entries: []policy.ListEntry{{Server: 1, State: state, StartedAt: started}}})
 }
 
 func push(ctx context.Context, method, target, body string, headers ...string) *node.Push {
@@ -648,7 +648,7 @@
 	for range r.part.Size() - 1 {
 		r.part.Take(t.Context())
 	}
-	r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.Entry{{Server: 2}}})
+	r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.ListEntry{{Server: 2}}})
 	p := push(t.Context(), "GET", "/a", "")
 	p.Server = 2
 	if got := r.carry(t, p); got != policy.Acked {
@@ -678,7 +678,7 @@
 	r := newRig(t, server(t, always("fine")))
 	addr, before := r.peers[1].addr, runtime.NumGoroutine()
 	for i := range 400 {
-		r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.Entry{
+		r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.ListEntry{
 			{Server: policy.ServerID(i + 1), State: policy.Gone}, {Server: policy.ServerID(i + 2)}}})
 		p := push(t.Context(), "GET", "/a", "")
 		p.Server = policy.ServerID(i + 2)
--- a/internal/store/apply/apply_test.go
+++ b/internal/store/apply/apply_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Rules.Push.Max != 7 || c.Rules.Push.Dial != 55_000 || c.LogLevel != zerolog.WarnLevel {
+	if c.Rules.Push.MaxPushes != 7 || c.Rules.Push.DialTimeout != 55_000 || c.LogLevel != zerolog.WarnLevel {
 		t.Errorf("%+v, %v", c.Rules.Push, c.LogLevel)
 	}
 	for patch, want := range map[string]string{
@@ -90,7 +90,7 @@
 		if broken {
 			return errors.New("key fleet.listen: in use")
 		}
-		installed <- c.Rules.Push.Max
+		installed <- c.Rules.Push.MaxPushes
 		return nil
 	}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	over, err := a.Over(other)
-	if err != nil || over.Rules.Push.Max != 4 || over.Rules.Push.Dial != 70_000 {
+	if err != nil || over.Rules.Push.MaxPushes != 4 || over.Rules.Push.DialTimeout != 70_000 {
 		t.Errorf("%v: %+v", err, over.Rules.Push)
 	}
 	a.Reread(other.Raw)
