--- a/policy/said_test.go
+++ b/policy/peer_message_test.go
@@ -9,41 +9,41 @@
 )
 
 // What is said is understood, its pace within half a step; another version, length or kind is not.
-func TestSaid(t *testing.T) {
+func TestPeerMessageEncoding(t *testing.T) {
 	for _, pace := range []float64{0, 0.25, 0.5, 1, 3, 16} {
-		want := said{what: saidAck, pace: pace, server: 0xabcd}
-		b := want.bytes()
-		got, understood := readSaid(b[:])
-		if off := math.Abs(math.Log2(got.pace / pace)); !understood || got.what != want.what || got.server != want.server ||
-			pace == 0 && got.pace != 0 || pace > 0 && off > 0.5/paceSteps {
+		want := peerMessage{event: peerPushAcked, relativeLatency: pace, foldedServerID: 0xabcd}
+		b := want.encode()
+		got, understood := decodePeerMessage(b[:])
+		if off := math.Abs(math.Log2(got.relativeLatency / pace)); !understood || got.event != want.event || got.foldedServerID != want.foldedServerID ||
+			pace == 0 && got.relativeLatency != 0 || pace > 0 && off > 0.5/latencyStepsPerOctave {
 			t.Errorf("said %+v, heard %+v, %v", want, got, understood)
 		}
 	}
 	for _, b := range [][]byte{nil, {1 << 6}, {1<<6 | 0<<4, 0}, {2 << 6, 0, 1}, {1<<6 | 3<<4, 0, 1}, {1 << 6, 0, 1, 0}} {
-		if got, understood := readSaid(b); understood {
+		if got, understood := decodePeerMessage(b); understood {
 			t.Errorf("% x is heard as %+v", b, got)
 		}
 	}
 }
 
 // Of each push and its end all nodes hear, and only those, that have the server in their run, each once.
-func TestWhoIsTold(t *testing.T) {
+func TestPeerMessageRecipients(t *testing.T) {
 	for _, fleet := range []struct{ nodes, servers int }{{40, 8}, {7, 30}, {20, 1}, {31, 13}} {
 		talk := func(k int) *Node {
-			s := start(t, pushed, safe)
-			s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = fleet.nodes, k, true
-			s.list(ListCached, servers(fleet.servers))
+			s := newScenario(t, unaskedRegistry, redeliverable)
+			s.node.topology.NodeCount, s.node.topology.NodeNumber, s.node.topology.PeerMessaging = fleet.nodes, k, true
+			s.receiveList(ListCached, readyServers(fleet.servers))
 			return s.node
 		}
 		users := map[int32][]int{}
 		for k := range fleet.nodes {
-			for _, i := range talk(k).run {
+			for _, i := range talk(k).subset {
 				users[i] = append(users[i], k)
 			}
 		}
 		for k := range fleet.nodes {
 			n := talk(k)
-			n.words = 8 * saidAnOp // some ops were nacked before
+			n.peerMessageBudget = 8 * peerMessagesPerOp // some ops were nacked before
 			var want []int
 			for _, in := range []Input{{Kind: OpArrived, Op: 1, Deadline: 3 * Second},
 				{Kind: PushEnded, Op: 1, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
@@ -53,7 +53,7 @@
 						told = append(told, e.PeerNumber)
 					}
 					if e.Kind == Push {
-						want = users[n.ops[0].to[0]]
+						want = users[n.ops[0].pushServers[0]]
 					}
 				}
 				if slices.Sort(told); !slices.Equal(told, want) {
@@ -65,106 +65,106 @@
 }
 
 // talk makes the node number k of so many that tell each other.
-func talk(t *testing.T, nodes, number, list int) *script {
-	s := start(t, pushed, safe, once)
-	s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = nodes, number, true
-	s.list(ListCached, servers(list))
+func newPeerScenario(t *testing.T, nodeCount, nodeNumber, serverCount int) *scenario {
+	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
+	s.node.topology.NodeCount, s.node.topology.NodeNumber, s.node.topology.PeerMessaging = nodeCount, nodeNumber, true
+	s.receiveList(ListCached, readyServers(serverCount))
 	return s
 }
 
-func (s *script) say(what saidWhat, server ServerID, pace float64) {
-	b := said{what, pace, fold(server)}.bytes()
-	s.step(Input{Kind: PeerMessageReceived, Message: b[:]})
+func (s *scenario) receiveEvent(event peerEvent, server ServerID, relativeLatency float64) {
+	encoded := peerMessage{event, relativeLatency, foldServerID(server)}.encode()
+	s.step(Input{Kind: PeerMessageReceived, Message: encoded[:]})
 }
 
 // What others push counts for what a server holds: ops go to the other one, until the ends are told, or for as long as
 // such a word is remembered. A slow pace told does the same.
-func TestHearsay(t *testing.T) {
+func TestPeerMessagesShiftLoad(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(*script)
+		do   func(*scenario)
 		to   string // where an op goes; "": both are equally full
 	}{
-		{"nothing", func(*script) {}, ""},
-		{"ten pushes at a", func(s *script) { s.repeat(10, saidPush, 1, 0) }, "b"},
-		{"and their ends", func(s *script) { s.repeat(10, saidPush, 1, 0); s.repeat(10, saidAck, 1, 1) }, ""},
-		{"more ends than pushes", func(s *script) { s.repeat(50, saidEnd, 1, 0) }, ""},
-		{"ten pushes, 20 s ago", func(s *script) { s.repeat(10, saidPush, 1, 0); s.wait(20 * Second) }, ""},
-		{"b is slow", func(s *script) { s.repeat(10, saidAck, 2, 8) }, "a"},
-		{"of a server that is not listed", func(s *script) { s.repeat(10, saidPush, 77, 0) }, ""},
-		{"cut short", func(s *script) { s.step(Input{Kind: PeerMessageReceived, Message: []byte{64}}) }, ""},
+		{"nothing", func(*scenario) {}, ""},
+		{"ten pushes at a", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0) }, "b"},
+		{"and their ends", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0); s.receiveEvents(10, peerPushAcked, 1, 1) }, ""},
+		{"more ends than pushes", func(s *scenario) { s.receiveEvents(50, peerPushEnded, 1, 0) }, ""},
+		{"ten pushes, 20 s ago", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0); s.advance(20 * Second) }, ""},
+		{"b is slow", func(s *scenario) { s.receiveEvents(10, peerPushAcked, 2, 8) }, "a"},
+		{"of a server that is not listed", func(s *scenario) { s.receiveEvents(10, peerPushSent, 77, 0) }, ""},
+		{"cut short", func(s *scenario) { s.step(Input{Kind: PeerMessageReceived, Message: []byte{64}}) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := talk(t, 20, 0, 2)
+			s := newPeerScenario(t, 20, 0, 2)
 			c.do(s)
-			a, b := s.node.full(&s.node.servers[0]), s.node.full(&s.node.servers[1])
-			s.op(1, 0)
-			if c.to != "" && name(s.to["1"]) != c.to || c.to == "" && math.Abs(a-b) > 0.01 {
-				t.Errorf("a is %v full, b %v, an op went to %s", a, b, name(s.to["1"]))
+			a, b := s.node.fullness(&s.node.servers[0]), s.node.fullness(&s.node.servers[1])
+			s.arrive(1, 0)
+			if c.to != "" && serverName(s.lastServer["1"]) != c.to || c.to == "" && math.Abs(a-b) > 0.01 {
+				t.Errorf("a is %v full, b %v, an op went to %s", a, b, serverName(s.lastServer["1"]))
 			}
 		})
 	}
 }
 
-func (s *script) repeat(n int, what saidWhat, server ServerID, pace float64) {
-	for range n {
-		s.say(what, server, pace)
+func (s *scenario) receiveEvents(count int, event peerEvent, server ServerID, relativeLatency float64) {
+	for range count {
+		s.receiveEvent(event, server, relativeLatency)
 	}
 }
 
 // Danger: hearsay never makes a server known, nor one usable that drains or has fallen silent here; an answer told only
 // ends its trial once its wait is over, and then an at-most-once op may go there too.
-func TestHearsayLiftsNothing(t *testing.T) {
-	s := talk(t, 20, 0, 2)
-	drained := servers(1)
+func TestPeerMessagesDoNotRestoreServers(t *testing.T) {
+	s := newPeerScenario(t, 20, 0, 2)
+	drained := readyServers(1)
 	drained[0].State = Draining
-	s.list(ListChanges, drained)
-	s.op(1, 1)
-	s.end(1, 0, ConnectFailed)
-	s.repeat(20, saidAck, 1, 1)
-	s.repeat(20, saidAck, 77, 1)
-	s.op(2, 1)
-	if _, found := s.to["2"]; found && s.to["2"] != 2 {
-		t.Errorf("an op went to server %d", s.to["2"])
+	s.receiveList(ListChanges, drained)
+	s.arrive(1, 1)
+	s.endPush(1, 0, ConnectFailed)
+	s.receiveEvents(20, peerPushAcked, 1, 1)
+	s.receiveEvents(20, peerPushAcked, 77, 1)
+	s.arrive(2, 1)
+	if _, found := s.lastServer["2"]; found && s.lastServer["2"] != 2 {
+		t.Errorf("an op went to server %d", s.lastServer["2"])
 	}
-	down := s.node.servers[1].down
-	s.repeat(20, saidAck, 2, 1)
-	if s.node.servers[1].down != down || s.node.servers[1].failures != 0 {
-		t.Errorf("down until %d, before %d; %d failures", s.node.servers[1].down, down, s.node.servers[1].failures)
+	down := s.node.servers[1].downUntil
+	s.receiveEvents(20, peerPushAcked, 2, 1)
+	if s.node.servers[1].downUntil != down || s.node.servers[1].consecutiveFailures != 0 {
+		t.Errorf("down until %d, before %d; %d failures", s.node.servers[1].downUntil, down, s.node.servers[1].consecutiveFailures)
 	}
 }
 
 // Words are bounded by the clients' first tries, however many pushes end and repeats come.
-func TestWordsAreBounded(t *testing.T) {
-	s := talk(t, 2000, 0, 2)
+func TestPeerMessageBudget(t *testing.T) {
+	s := newPeerScenario(t, 2000, 0, 2)
 	words := 0
 	for op := OpID(1); op <= 100; op++ {
 		for _, in := range []Input{{Kind: OpArrived, Op: op, Deadline: s.now + 2*Second, ClientRetry: op > 50},
 			{Kind: PushEnded, Op: op, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
 			for _, e := range s.node.Step(s.now, &in) {
-				words += int(number(e.Kind == SendToPeer))
+				words += int(indicator(e.Kind == SendToPeer))
 			}
 		}
 	}
-	if most := 50 * saidAnOp; words > most || words < most/2 {
+	if most := 50 * peerMessagesPerOp; words > most || words < most/2 {
 		t.Errorf("%d words of 50 ops, at most %d", words, most)
 	}
 }
 
 // Danger: nodes whose servers died go on together to the next ones, and none is told there what the others push; those
 // jam, and the next after them. A node keeps to what is left of its run, and goes beyond only when all of it is down.
-func TestRunWhereNodesTell(t *testing.T) {
-	s := talk(t, 40, 0, 8) // a run of four
+func TestSubsetWithPeers(t *testing.T) {
+	s := newPeerScenario(t, 40, 0, 8) // a run of four
 	run := func() (names string) {
-		for _, i := range s.node.run {
-			names += name(s.node.servers[i].Server)
+		for _, i := range s.node.subset {
+			names += serverName(s.node.servers[i].Server)
 		}
 		return names
 	}
 	got := []string{run()}
 	for _, down := range []int32{0, 1, 2, 3} {
-		s.node.servers[down].down = s.now + Second
-		s.node.choose()
+		s.node.servers[down].downUntil = s.now + Second
+		s.node.chooseSubset()
 		got = append(got, run())
 	}
 	if diff := cmp.Diff([]string{"abcd", "abcd", "abcd", "abcd", "abcde"}, got); diff != "" {
@@ -175,7 +175,7 @@
 // Danger: a connection that has rested may be dropped unseen on the way; what is sent on it is lost in silence, and each
 // server looks as if it had fallen silent. Once a third of what goes out after such a rest is lost, and three times
 // what is lost without, the connection closes first; where all is lost alike, none does.
-func TestRestedConnections(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	for name, c := range map[string]struct {
 		rested, busy Outcome
 		closes       bool
@@ -185,23 +185,23 @@
 		"lost at every time": {TimedOut, TimedOut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, pushed, once)
-			s.list(ListCached, servers(1))
+			s := newScenario(t, unaskedRegistry, atMostOnce)
+			s.receiveList(ListCached, readyServers(1))
 			closed := false
 			send := func(how Outcome) {
-				s.last++
-				in := Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 2*Second}
+				s.lastOp++
+				in := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
 				for _, e := range s.node.Step(s.now, &in) {
 					closed = closed || e.Kind == CloseIdle
 				}
-				s.step(Input{Kind: PushEnded, Op: s.last, Outcome: how, Latency: 50 * Millisecond, OpSettled: how == Acked})
-				s.node.servers[0].failures, s.node.servers[0].down = 0, 0 // its trials are another matter
+				s.step(Input{Kind: PushEnded, Op: s.lastOp, Outcome: how, Latency: 50 * Millisecond, OpSettled: how == Acked})
+				s.node.servers[0].consecutiveFailures, s.node.servers[0].downUntil = 0, 0 // its trials are another matter
 			}
 			for range 8 {
-				s.wait(3 * Second)
+				s.advance(3 * Second)
 				send(c.rested)
 				for range 4 {
-					s.wait(20 * Millisecond)
+					s.advance(20 * Millisecond)
 					send(c.busy)
 				}
 			}
@@ -213,12 +213,12 @@
 }
 
 // A node that sees an op every half second refuses none while answers are as usual, though one in twenty is slow.
-func TestFewOps(t *testing.T) {
-	s := talk(t, 1200, 7, 130)
+func TestLowTrafficNode(t *testing.T) {
+	s := newPeerScenario(t, 1200, 7, 130)
 	for i := range 200 {
-		s.last++
-		s.op(s.last, 1)
-		if _, pushed := s.to[id(s.last)]; !pushed {
+		s.lastOp++
+		s.arrive(s.lastOp, 1)
+		if _, pushed := s.lastServer[opKey(s.lastOp)]; !pushed {
 			t.Errorf("op %d is refused", i)
 			continue
 		}
@@ -226,38 +226,38 @@
 		if i%20 == 19 {
 			took = 900 * Millisecond
 		}
-		s.wait(took)
-		s.ack(s.last, took)
-		s.wait(500*Millisecond - min(took, 500*Millisecond))
+		s.advance(took)
+		s.ackFirstPush(s.lastOp, took)
+		s.advance(500*Millisecond - min(took, 500*Millisecond))
 	}
 }
 
 // A client that comes again at once, 15 times, and waits no longer than a tenth of target latency: each try has one answer by
 // its end, and no more is out than room at the servers allows.
-func TestImpatient(t *testing.T) {
-	s := talk(t, 20, 0, 2)
+func TestImpatientClient(t *testing.T) {
+	s := newPeerScenario(t, 20, 0, 2)
 	answers := map[OpID]int{}
 	step := func(in Input) {
 		for _, e := range s.node.Step(s.now, &in) {
 			switch e.Kind {
 			case Push:
-				s.to[id(e.Op)] = e.Server
+				s.lastServer[opKey(e.Op)] = e.Server
 			case Nack, DeadLetter:
 				answers[e.Op]++
 			case SetTimer:
-				s.wakes = append(s.wakes, e)
+				s.timers = append(s.timers, e)
 			}
 		}
 	}
 	for range 20 {
-		first := s.last + 1
+		first := s.lastOp + 1
 		for try := range 15 {
-			s.last++
-			step(Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 100*Millisecond, ClientRetry: try > 0})
+			s.lastOp++
+			step(Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 100*Millisecond, ClientRetry: try > 0})
 		}
 		s.now += 110 * Millisecond
-		for op := first; op <= s.last; op++ {
-			if _, found := s.node.byOp[op]; found {
+		for op := first; op <= s.lastOp; op++ {
+			if _, found := s.node.opSlots[op]; found {
 				step(Input{Kind: PushEnded, Op: op, Outcome: TimedOut, Latency: 100 * Millisecond})
 			}
 			if answers[op] != 1 {
@@ -265,25 +265,25 @@
 			}
 		}
 	}
-	if s.node.out != 0 || s.node.words > 8*saidAnOp {
-		t.Errorf("%v out, %v words saved", s.node.out, s.node.words)
+	if s.node.inFlight != 0 || s.node.peerMessageBudget > 8*peerMessagesPerOp {
+		t.Errorf("%v out, %v words saved", s.node.inFlight, s.node.peerMessageBudget)
 	}
 }
 
 // A node with ten times the mean traffic is served by its run while the servers keep up: an op is pushed or nacked in the same
 // step, and no server holds more than there is room for, with what others push there.
-func TestHeavyNode(t *testing.T) {
-	s := talk(t, 40, 0, 8)
+func TestHighTrafficNode(t *testing.T) {
+	s := newPeerScenario(t, 40, 0, 8)
 	pushed, nacked := 0, 0
 	var out []OpID
 	for i := range 400 {
-		s.last++
-		in := Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 2*Second}
+		s.lastOp++
+		in := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
 		answered := 0
 		for _, e := range s.node.Step(s.now, &in) {
 			switch e.Kind {
 			case Push:
-				s.to[id(e.Op)] = e.Server
+				s.lastServer[opKey(e.Op)] = e.Server
 				out = append(out, e.Op)
 				pushed, answered = pushed+1, answered+1
 			case Nack:
@@ -294,21 +294,21 @@
 			t.Errorf("op %d: pushed or nacked %d times", i, answered)
 		}
 		if i%10 < 4 {
-			s.say(saidPush, ServerID(1+i%10), 0)
+			s.receiveEvent(peerPushSent, ServerID(1+i%10), 0)
 		}
-		for _, k := range s.node.run {
-			if sv := &s.node.servers[k]; float64(sv.held) > sv.room+1 {
-				t.Errorf("op %d: server %d holds %d, room %v", i, k, sv.held, sv.room)
+		for _, k := range s.node.subset {
+			if sv := &s.node.servers[k]; float64(sv.inFlight) > sv.concurrencyLimit+1 {
+				t.Errorf("op %d: server %d holds %d, room %v", i, k, sv.inFlight, sv.concurrencyLimit)
 			}
 		}
 		s.now += 10 * Millisecond
 		if i%10 == 9 { // ten answers each 100 ms, of what a server can do
 			for _, op := range out[:min(len(out), 10)] {
-				s.ack(op, 200*Millisecond)
+				s.ackFirstPush(op, 200*Millisecond)
 			}
 			out = out[min(len(out), 10):]
 			for k := range 4 {
-				s.say(saidAck, ServerID(1+k), 0)
+				s.receiveEvent(peerPushAcked, ServerID(1+k), 0)
 			}
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,206 +5,206 @@
 	"testing"
 )
 
-var pushed = RegistryRule{}
+var unaskedRegistry = RegistryRule{}
 
 // Every op gets one answer before its TTL though nothing else happens, and none after it.
 func TestOneAnswer(t *testing.T) {
-	s := start(t, pushed, safe, once)
-	s.list(ListCached, servers(2))
-	s.op(1, 0)
-	s.op(2, 1)
-	s.wait(3 * Second)
-	s.end(1, 0, Cancelled)
-	s.end(2, 0, Acked)
-	s.compare()
+	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
+	s.receiveList(ListCached, readyServers(2))
+	s.arrive(1, 0)
+	s.arrive(2, 1)
+	s.advance(3 * Second)
+	s.endPush(1, 0, Cancelled)
+	s.endPush(2, 0, Acked)
+	s.compareTrace()
 }
 
 // An at-most-once op goes again or is nacked only while no push may have run.
 func TestAtMostOnce(t *testing.T) {
-	s := start(t, pushed, once)
-	s.list(ListCached, servers(3))
-	s.op(1, 0)
-	s.end(1, 0, Full)
-	s.end(1, 1, ConnectFailed)
-	s.end(1, 2, Reset)
-	s.op(2, 0)
-	s.end(2, 0, Errored)
-	s.op(3, 0)
-	s.wait(2 * Second)
-	s.compare()
+	s := newScenario(t, unaskedRegistry, atMostOnce)
+	s.receiveList(ListCached, readyServers(3))
+	s.arrive(1, 0)
+	s.endPush(1, 0, Full)
+	s.endPush(1, 1, ConnectFailed)
+	s.endPush(1, 2, Reset)
+	s.arrive(2, 0)
+	s.endPush(2, 0, Errored)
+	s.arrive(3, 0)
+	s.advance(2 * Second)
+	s.compareTrace()
 }
 
 // A deduplicated op that may have run stays inside its cell and its window, and is never nacked.
 func TestDeduplicated(t *testing.T) {
-	s := start(t, pushed, inCell)
-	s.list(ListCached, servers(6))
-	s.op(1, 0)
-	s.end(1, 0, Reset)
-	s.end(1, 1, Reset)
-	s.wait(Second)
-	s.op(2, 0)
-	s.wait(700 * Millisecond)
-	s.end(2, 0, Reset)
-	s.compare()
+	s := newScenario(t, unaskedRegistry, deduplicatedInCell)
+	s.receiveList(ListCached, readyServers(6))
+	s.arrive(1, 0)
+	s.endPush(1, 0, Reset)
+	s.endPush(1, 1, Reset)
+	s.advance(Second)
+	s.arrive(2, 0)
+	s.advance(700 * Millisecond)
+	s.endPush(2, 0, Reset)
+	s.compareTrace()
 }
 
 // Nothing new goes to a server told draining or gone, nor to one that a whole list leaves out.
 func TestDrains(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	changed := servers(4)[:2]
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	changed := readyServers(4)[:2]
 	changed[0].State, changed[1].State = Draining, Gone
-	s.list(ListChanges, changed)
-	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListFull, servers(3)[2:])
-	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListFull, nil)
-	s.op(99, 0)
-	s.compare()
+	s.receiveList(ListChanges, changed)
+	s.summarize("ten ops", func() { s.runOps(10, 0, Acked) })
+	s.receiveList(ListFull, readyServers(3)[2:])
+	s.summarize("ten ops", func() { s.runOps(10, 0, Acked) })
+	s.receiveList(ListFull, nil)
+	s.arrive(99, 0)
+	s.compareTrace()
 }
 
 // Danger: a list from before comes again and says that a cold server started long ago. It did not: what it may be sent
 // goes on being its part. A later start is believed. Servers that don't exist cost a push each until the next trial.
-func TestOldListAndGhosts(t *testing.T) {
-	s := start(t, pushed, safe)
-	old := servers(3)
-	s.list(ListCached, old)
-	s.ops(300, 0, Acked)
-	now := servers(3)
+func TestStaleListAndUnreachableServers(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	old := readyServers(3)
+	s.receiveList(ListCached, old)
+	s.runOps(300, 0, Acked)
+	now := readyServers(3)
 	now[2].StartedAt = s.now
-	s.list(ListFull, now)
-	s.list(ListFull, old)
-	if w := s.node.servers[2].warmth(s.now+Second, &warming); w > 0.5 {
+	s.receiveList(ListFull, now)
+	s.receiveList(ListFull, old)
+	if w := s.node.servers[2].capacityShare(s.now+Second, &testColdStart); w > 0.5 {
 		t.Errorf("a second after its start, and an old list, it is %v warm", w)
 	}
 	now[2].StartedAt = s.now + 2*Second
-	s.wait(3 * Second)
-	s.list(ListFull, now)
+	s.advance(3 * Second)
+	s.receiveList(ListFull, now)
 	if got := s.node.servers[2].StartedAt; got != now[2].StartedAt {
 		t.Errorf("started at %d, held as %d", now[2].StartedAt, got)
 	}
-	s.list(ListFull, servers(5)) // the last two are ghosts
+	s.receiveList(ListFull, readyServers(5)) // the last two are ghosts
 	ghosts := 0
 	for range 400 {
-		s.play(0, func(to ServerID) Outcome {
+		s.runOp(0, func(to ServerID) Outcome {
 			if to > 3 {
 				ghosts++
 				return ConnectFailed
 			}
 			return Acked
 		})
-		s.wait(10 * Millisecond)
+		s.advance(10 * Millisecond)
 	}
 	if ghosts < 2 || ghosts > 16 {
 		t.Errorf("400 ops in 4 s: %d pushes to two servers that don't exist", ghosts)
 	}
 }
 
-func id(op OpID) string { return fmt.Sprint(op) }
+func opKey(op OpID) string { return fmt.Sprint(op) }
 
 // inHand says that the last op still has a push out.
-func (s *script) inHand() bool {
-	_, found := s.node.byOp[s.last]
+func (s *scenario) lastOpPending() bool {
+	_, found := s.node.opSlots[s.lastOp]
 	return found
 }
 
 // ops sends ops that end at once.
-func (s *script) ops(n int, category CategoryID, how Outcome) {
-	for range n {
-		s.last++
-		s.op(s.last, category)
-		s.wait(10 * Millisecond)
-		if s.inHand() {
-			s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how)
+func (s *scenario) runOps(count int, category CategoryID, outcome Outcome) {
+	for range count {
+		s.lastOp++
+		s.arrive(s.lastOp, category)
+		s.advance(10 * Millisecond)
+		if s.lastOpPending() {
+			s.endPush(s.lastOp, PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount-1), outcome)
 		}
 	}
 }
 
 // play sends an op and ends each of its pushes at once, as how says, until none is out.
-func (s *script) play(category CategoryID, how func(to ServerID) Outcome) {
-	s.last++
-	s.op(s.last, category)
-	for s.inHand() {
-		s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how(s.to[id(s.last)]))
+func (s *scenario) runOp(category CategoryID, outcomeOf func(to ServerID) Outcome) {
+	s.lastOp++
+	s.arrive(s.lastOp, category)
+	for s.lastOpPending() {
+		s.endPush(s.lastOp, PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount-1), outcomeOf(s.lastServer[opKey(s.lastOp)]))
 	}
 }
 
 // A timer of an op that is over does not end the next one in its place.
 func TestReusedPlace(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
-	s.op(1, 0)
-	s.wait(500 * Millisecond)
-	s.end(1, 0, Acked)
-	s.op(2, 0)
-	s.wait(600 * Millisecond)
-	s.note("op 2 is still in hand")
-	s.wait(500 * Millisecond)
-	s.compare()
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.arrive(1, 0)
+	s.advance(500 * Millisecond)
+	s.endPush(1, 0, Acked)
+	s.arrive(2, 0)
+	s.advance(600 * Millisecond)
+	s.record("op 2 is still in hand")
+	s.advance(500 * Millisecond)
+	s.compareTrace()
 }
 
 // A cold server is not pushed over while its like are under control, nor are all of them cold at once.
 func TestCold(t *testing.T) {
-	s := start(t, pushed, safe)
-	list := servers(3)
-	s.list(ListCached, list)
-	s.quiet("warm, 10 s", func() { s.ops(1000, 0, Acked) })
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list := readyServers(3)
+	s.receiveList(ListCached, list)
+	s.summarize("warm, 10 s", func() { s.runOps(1000, 0, Acked) })
 	list[2].StartedAt = s.now
-	s.list(ListChanges, list[2:])
-	s.quiet("c cold, 2 s", func() { s.ops(200, 0, Acked) })
-	s.quiet("a and b full, c cold, 2 s", func() {
+	s.receiveList(ListChanges, list[2:])
+	s.summarize("c cold, 2 s", func() { s.runOps(200, 0, Acked) })
+	s.summarize("a and b full, c cold, 2 s", func() {
 		for range 200 {
-			s.last++
-			s.op(s.last, 0)
-			for s.inHand() && s.to[id(s.last)] < 3 {
-				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Full)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
+			for s.lastOpPending() && s.lastServer[opKey(s.lastOp)] < 3 {
+				s.endPush(s.lastOp, PushNumber(s.node.ops[0].pushCount-1), Full)
 			}
-			if s.inHand() {
-				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Acked)
+			if s.lastOpPending() {
+				s.endPush(s.lastOp, PushNumber(s.node.ops[0].pushCount-1), Acked)
 			}
-			s.wait(10 * Millisecond)
+			s.advance(10 * Millisecond)
 		}
 	})
 	for i := range list {
 		list[i].StartedAt = s.now
 	}
-	s.list(ListFull, list)
-	s.quiet("all cold, nothing comes back", func() {
+	s.receiveList(ListFull, list)
+	s.summarize("all cold, nothing comes back", func() {
 		for range 10 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 		}
 	})
-	s.compare()
+	s.compareTrace()
 }
 
 // Control starts on marks past the target, takes the lowest benefit first, and ends 10 s after the last.
 func TestControl(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(1))
-	s.roomy()
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(1))
+	s.liftConcurrencyLimits()
 	mixed := func(n int, how Outcome) {
 		for i := range n {
-			s.ops(1, CategoryID(i%2), how)
+			s.runOps(1, CategoryID(i%2), how)
 		}
 	}
-	s.quiet("well", func() { mixed(200, Acked) })
-	s.quiet("one full", func() { s.ops(1, 1, Full) })
-	s.quiet("well again", func() { mixed(100, Acked) })
+	s.summarize("well", func() { mixed(200, Acked) })
+	s.summarize("one full", func() { s.runOps(1, 1, Full) })
+	s.summarize("well again", func() { mixed(100, Acked) })
 	for range 4 {
-		s.quiet("half of them full", func() {
+		s.summarize("half of them full", func() {
 			for range 10 {
 				mixed(4, Full)
 				mixed(4, Acked)
 			}
 		})
-		s.note("cut %d", s.node.servers[0].cut)
+		s.record("cut %d", s.node.servers[0].cutoffLevel)
 	}
 	for range 8 {
-		s.quiet("well, 2 s", func() { mixed(200, Acked) })
-		s.note("cut %d", s.node.servers[0].cut)
+		s.summarize("well, 2 s", func() { mixed(200, Acked) })
+		s.record("cut %d", s.node.servers[0].cutoffLevel)
 	}
-	s.compare()
+	s.compareTrace()
 }
 
 // Danger: steps down go on while marks are remembered; a short queue would shut a server that holds nothing any more.
@@ -212,24 +212,24 @@
 func TestDrained(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, pushed, safe, plain)
-			s.list(ListCached, servers(1))
-			s.roomy()
-			s.quiet("well", func() { s.ops(200, 1, Acked) })
-			s.quiet("twenty wait, and more if it stands", func() {
+			s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+			s.receiveList(ListCached, readyServers(1))
+			s.liftConcurrencyLimits()
+			s.summarize("well", func() { s.runOps(200, 1, Acked) })
+			s.summarize("twenty wait, and more if it stands", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 1)
+					s.arrive(id, 1)
 				}
-				s.wait(10 * Millisecond)
+				s.advance(10 * Millisecond)
 				for id := OpID(1); id <= 10 || name == "Drained" && id <= 20; id++ {
-					s.end(id, 0, Full)
+					s.endPush(id, 0, Full)
 				}
 			})
 			for range 6 {
-				s.quiet("well, 500 ms", func() { s.ops(50, 1, Acked) })
-				s.note("cut %d, rate %.0f", s.node.servers[0].cut, s.node.servers[0].leak*50)
+				s.summarize("well, 500 ms", func() { s.runOps(50, 1, Acked) })
+				s.record("cut %d, rate %.0f", s.node.servers[0].cutoffLevel, s.node.servers[0].leakAmount*50)
 			}
-			s.compare()
+			s.compareTrace()
 		})
 	}
 }
@@ -239,64 +239,64 @@
 func TestDrainedCut(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, pushed, safe, plain)
-			s.list(ListCached, servers(1))
-			s.roomy()
-			s.quiet("well", func() { s.ops(300, 1, Acked) })
-			s.quiet("twenty wait", func() {
+			s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+			s.receiveList(ListCached, readyServers(1))
+			s.liftConcurrencyLimits()
+			s.summarize("well", func() { s.runOps(300, 1, Acked) })
+			s.summarize("twenty wait", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 0)
+					s.arrive(id, 0)
 				}
 			})
-			s.quiet("the low benefit turned away, 2 s", func() {
+			s.summarize("the low benefit turned away, 2 s", func() {
 				for range 4 {
-					s.ops(4, 1, Full)
-					s.wait(460 * Millisecond)
+					s.runOps(4, 1, Full)
+					s.advance(460 * Millisecond)
 				}
 			})
-			s.note("cut %d", s.node.servers[0].cut)
-			s.quiet("answered, if it is drained", func() {
+			s.record("cut %d", s.node.servers[0].cutoffLevel)
+			s.summarize("answered, if it is drained", func() {
 				for id := OpID(1); id <= 20 && name == "Drained"; id++ {
-					s.end(id, 0, Acked)
+					s.endPush(id, 0, Acked)
 				}
 			})
 			for range 4 {
-				s.quiet("well, 250 ms", func() { s.ops(25, 1, Acked) })
-				s.note("cut %d", s.node.servers[0].cut)
+				s.summarize("well, 250 ms", func() { s.runOps(25, 1, Acked) })
+				s.record("cut %d", s.node.servers[0].cutoffLevel)
 			}
-			s.compare()
+			s.compareTrace()
 		})
 	}
 }
 
 // The control of all servers together recovers as soon as what stood at them has come back, too.
-func TestDrainedTogether(t *testing.T) {
+func TestAllServersDrained(t *testing.T) {
 	for _, drained := range []bool{true, false} {
-		s := start(t, pushed, safe, plain)
-		s.many()
-		s.list(ListCached, servers(10))
-		s.roomy()
+		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+		s.shareServers()
+		s.receiveList(ListCached, readyServers(10))
+		s.liftConcurrencyLimits()
 		for range 100 {
-			s.ops(1, 1, Acked)
-			s.wait(40 * Millisecond)
+			s.runOps(1, 1, Acked)
+			s.advance(40 * Millisecond)
 		}
 		for id := OpID(1); id <= 20; id++ {
-			s.op(id, 0)
+			s.arrive(id, 0)
 		}
 		for range 12 {
-			s.play(0, func(ServerID) Outcome { return Full })
-			s.wait(100 * Millisecond)
+			s.runOp(0, func(ServerID) Outcome { return Full })
+			s.advance(100 * Millisecond)
 		}
-		if s.node.all.cut != 1 {
-			t.Fatalf("cut %d of a node whose pushes are turned away", s.node.all.cut)
+		if s.node.allServers.cutoffLevel != 1 {
+			t.Fatalf("cut %d of a node whose pushes are turned away", s.node.allServers.cutoffLevel)
 		}
 		for id := OpID(1); id <= 20 && drained; id++ {
-			if _, found := s.node.byOp[id]; found {
-				s.end(id, 0, Acked)
+			if _, found := s.node.opSlots[id]; found {
+				s.endPush(id, 0, Acked)
 			}
 		}
-		s.wait(3 * beat)
-		if cut := s.node.all.cut; drained != (cut == 0) {
+		s.advance(3 * controlInterval)
+		if cut := s.node.allServers.cutoffLevel; drained != (cut == 0) {
 			t.Errorf("drained %v: cut %d", drained, cut)
 		}
 	}
@@ -304,76 +304,76 @@
 
 // Slow answers are marks only while more than their share of recent ones is slow.
 func TestSlow(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
 	slow := func(every int, took Micros) {
 		for i := range 40 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 			s.now += 10 * Millisecond
-			in := Input{Kind: PushEnded, Op: s.last, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
+			in := Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
 			if i%every == 0 {
 				in.Latency = took
 			}
 			s.step(in)
 		}
 	}
-	s.quiet("one in eight slow", func() { slow(8, 900*Millisecond) })
-	s.quiet("one in two slow", func() { slow(2, 900*Millisecond) })
-	s.compare()
+	s.summarize("one in eight slow", func() { slow(8, 900*Millisecond) })
+	s.summarize("one in two slow", func() { slow(2, 900*Millisecond) })
+	s.compareTrace()
 }
 
 // A server that alone fails fast leaves the rotation; where all do, errors are marks.
 func TestErrors(t *testing.T) {
-	s := start(t, pushed, plain)
-	s.list(ListCached, servers(4))
+	s := newScenario(t, unaskedRegistry, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
 	fail := func(n int, bad func(ServerID) bool) {
 		for range n {
-			s.play(0, func(to ServerID) Outcome {
+			s.runOp(0, func(to ServerID) Outcome {
 				if bad(to) {
 					return Errored
 				}
 				return Acked
 			})
-			s.wait(10 * Millisecond)
+			s.advance(10 * Millisecond)
 		}
 	}
-	s.quiet("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
-	s.quiet("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
-	s.quiet("all fail, 1 s", func() { fail(100, func(ServerID) bool { return true }) })
-	s.compare()
+	s.summarize("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
+	s.summarize("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
+	s.summarize("all fail, 1 s", func() { fail(100, func(ServerID) bool { return true }) })
+	s.compareTrace()
 }
 
 // A server heard nothing of since a push that timed out is tried again by one op that can go again.
 func TestSilent(t *testing.T) {
-	s := start(t, pushed, safe, once)
-	s.list(ListCached, servers(2))
+	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
+	s.receiveList(ListCached, readyServers(2))
 	for range 2 {
-		s.last++
-		s.op(s.last, 0)
+		s.lastOp++
+		s.arrive(s.lastOp, 0)
 	}
-	s.end(s.last-1, 0, Acked)
-	s.wait(600 * Millisecond)
-	s.end(s.last, 0, TimedOut)
-	s.end(s.last, 1, Acked)
-	s.quiet("down for 200 ms", func() { s.ops(20, 0, Acked) })
-	s.quiet("at-most-once ops", func() { s.ops(20, 1, Acked) })
-	s.quiet("redeliverable ops", func() { s.ops(20, 0, Acked) })
-	s.compare()
+	s.endPush(s.lastOp-1, 0, Acked)
+	s.advance(600 * Millisecond)
+	s.endPush(s.lastOp, 0, TimedOut)
+	s.endPush(s.lastOp, 1, Acked)
+	s.summarize("down for 200 ms", func() { s.runOps(20, 0, Acked) })
+	s.summarize("at-most-once ops", func() { s.runOps(20, 1, Acked) })
+	s.summarize("redeliverable ops", func() { s.runOps(20, 0, Acked) })
+	s.compareTrace()
 }
 
 // Danger: where some answers never come, time-outs that teach their own length grow to the goal, and no time is left to
 // push again. Where all are late they grow all the same, or every push would be cut off.
-func TestMissingAnswers(t *testing.T) {
+func TestTimeoutsWithMissingAnswers(t *testing.T) {
 	const goal = 900 * Millisecond
 	after := func(every int) Micros {
-		a := answers{mean: 100_000, dev: 30_000}
-		timeOut := func() Micros { return min(goal, Micros(a.mean+6*a.dev)) }
+		a := latencyStats{mean: 100_000, deviation: 30_000}
+		timeOut := func() Micros { return min(goal, Micros(a.mean+6*a.deviation)) }
 		for i := range 300 {
 			if i%every == 0 {
-				a.learn(timeOut(), TimedOut)
+				a.observe(timeOut(), TimedOut)
 			} else {
-				a.learn(Micros(60+40*(i%3))*Millisecond, Acked)
+				a.observe(Micros(60+40*(i%3))*Millisecond, Acked)
 			}
 		}
 		return timeOut()
@@ -388,55 +388,55 @@
 
 // A node that sees marks before its memory is full refuses all but the highest benefit at once.
 func TestFirstCut(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(4))
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
 	for range 3 {
-		s.ops(1, 0, Full)
+		s.runOps(1, 0, Full)
 	}
-	s.ops(1, 1, Acked)
-	s.note("cut %d", s.node.all.cut)
-	s.compare()
+	s.runOps(1, 1, Acked)
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.compareTrace()
 }
 
 // A node that has stood idle since its start is no wiser than a fresh one.
 func TestFirstCutIdle(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(4))
-	s.quiet("idle", func() { s.wait(5 * Second) })
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("idle", func() { s.advance(5 * Second) })
 	for range 3 {
-		s.ops(1, 0, Full)
+		s.runOps(1, 0, Full)
 	}
-	s.ops(1, 1, Acked)
-	s.note("cut %d", s.node.all.cut)
-	s.compare()
+	s.runOps(1, 1, Acked)
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.compareTrace()
 }
 
 // A server is slow as soon as a push there is overdue: its turns shrink before an answer has come, or a time-out.
-func TestOverdueTurns(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	s.quiet("well", func() { s.ops(400, 0, Acked) })
+func TestOverduePushesLowerWeight(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("well", func() { s.runOps(400, 0, Acked) })
 	turns := map[ServerID]int{}
 	for range 200 {
-		s.node.servers[0].held = 0 // the skip is not what keeps ops away
-		s.last++
-		s.op(s.last, 0)
-		to := s.to[fmt.Sprint(s.last)]
+		s.node.servers[0].inFlight = 0 // the skip is not what keeps ops away
+		s.lastOp++
+		s.arrive(s.lastOp, 0)
+		to := s.lastServer[fmt.Sprint(s.lastOp)]
 		turns[to]++
-		s.wait(10 * Millisecond)
+		s.advance(10 * Millisecond)
 		if to != 1 {
-			s.end(s.last, 0, Acked)
+			s.endPush(s.lastOp, 0, Acked)
 		} else if turns[1] == 1 {
-			s.quiet("overdue, and nothing has come back", func() { s.wait(700 * Millisecond) })
+			s.summarize("overdue, and nothing has come back", func() { s.advance(700 * Millisecond) })
 		}
 	}
 	if turns[1] > 5 {
 		t.Errorf("turns by server %v: the slow one keeps its share", turns)
 	}
-	s.quiet("nothing is pushed there for long", func() { s.wait(20 * Second) })
+	s.summarize("nothing is pushed there for long", func() { s.advance(20 * Second) })
 	for range 20 {
-		s.ops(1, 0, Acked)
-		turns[s.to[fmt.Sprint(s.last)]]++
+		s.runOps(1, 0, Acked)
+		turns[s.lastServer[fmt.Sprint(s.lastOp)]]++
 	}
 	if turns[1] < 5 {
 		t.Errorf("turns by server %v: the one that was slow gets none back", turns)
@@ -445,22 +445,22 @@
 
 // Each of ten servers sees ten ops a second of this node, and of many such nodes a mark for every fifth op. In the
 // first tier all servers are then controlled together; further down a nack costs more.
-func TestManyNodes(t *testing.T) {
+func TestControlOfAllServersByTier(t *testing.T) {
 	for tier, controlled := range []bool{true, false} {
-		s := start(t, pushed, safe, plain)
-		s.node.place.Tier, s.node.place.TierCount = tier, 2
-		s.many()
-		s.list(ListCached, servers(10))
-		s.roomy()
+		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+		s.node.topology.Tier, s.node.topology.TierCount = tier, 2
+		s.shareServers()
+		s.receiveList(ListCached, readyServers(10))
+		s.liftConcurrencyLimits()
 		for i := range 700 {
 			how := Acked
 			if i > 200 && i%5 == 0 {
 				how = Full
 			}
-			s.ops(1, 1, how)
+			s.runOps(1, 1, how)
 		}
-		if s.node.all.on != controlled {
-			t.Errorf("tier %d: control of all servers together: %v", tier, s.node.all.on)
+		if s.node.allServers.active != controlled {
+			t.Errorf("tier %d: control of all servers together: %v", tier, s.node.allServers.active)
 		}
 	}
 }
@@ -469,26 +469,26 @@
 // at first, shrinks as soon as answers take more than 5/3 of the usual, and is never under four: a node that holds
 // so little can't tell a crowd from chance.
 func TestRoom(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
-	s.quiet("well, one at a time", func() { s.ops(300, 0, Acked) })
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.summarize("well, one at a time", func() { s.runOps(300, 0, Acked) })
 	round := func(took Micros) {
-		from := s.last
+		from := s.lastOp
 		for range 30 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 		}
-		s.wait(took)
-		for id := from + 1; id <= s.last; id++ {
-			if _, found := s.node.byOp[id]; found {
-				s.ack(id, took)
+		s.advance(took)
+		for id := from + 1; id <= s.lastOp; id++ {
+			if _, found := s.node.opSlots[id]; found {
+				s.ackFirstPush(id, took)
 			}
 		}
 	}
 	for i, took := range []Micros{50, 50, 50, 50, 150, 150, 150, 150, 150, 150, 50, 50, 50} {
-		s.quiet(fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, took), func() { round(took * Millisecond) })
+		s.summarize(fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, took), func() { round(took * Millisecond) })
 	}
-	s.compare()
+	s.compareTrace()
 }
 
 // Where a push to another zone costs benefit, the own zone's servers come first while they have room and are not under
@@ -496,88 +496,88 @@
 func TestOwnZone(t *testing.T) {
 	for _, cross := range []float64{0, 0.01} {
 		t.Run(fmt.Sprint(cross), func(t *testing.T) {
-			s := start(t, pushed, safe)
-			s.many()
-			s.node.place.CrossZoneCost = cross
-			list := servers(8)
+			s := newScenario(t, unaskedRegistry, redeliverable)
+			s.shareServers()
+			s.node.topology.CrossZoneCost = cross
+			list := readyServers(8)
 			for i := range list {
 				list[i].Zone = ZoneID(i % 2)
 			}
-			s.list(ListCached, list)
-			s.quiet("80 ops, one at a time", func() { s.ops(80, 0, Acked) })
-			s.quiet("20 at once", func() {
+			s.receiveList(ListCached, list)
+			s.summarize("80 ops, one at a time", func() { s.runOps(80, 0, Acked) })
+			s.summarize("20 at once", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 0)
+					s.arrive(id, 0)
 				}
 			})
-			s.wait(100 * Millisecond)
+			s.advance(100 * Millisecond)
 			for id := OpID(1); id <= 20; id++ {
-				s.ack(id, 100*Millisecond)
+				s.ackFirstPush(id, 100*Millisecond)
 			}
-			s.quiet("own zone lost, 40 ops", func() {
+			s.summarize("own zone lost, 40 ops", func() {
 				for range 40 {
-					s.play(0, func(to ServerID) Outcome {
+					s.runOp(0, func(to ServerID) Outcome {
 						if to%2 == 1 {
 							return ConnectFailed
 						}
 						return Acked
 					})
-					s.wait(10 * Millisecond)
+					s.advance(10 * Millisecond)
 				}
 			})
-			s.wait(10 * Second)
-			s.quiet("back, 80 ops", func() { s.ops(80, 0, Acked) })
+			s.advance(10 * Second)
+			s.summarize("back, 80 ops", func() { s.runOps(80, 0, Acked) })
 			for i := range s.node.servers {
-				s.node.servers[i].on, s.node.servers[i].cut, s.node.servers[i].quiet = true, -1, s.now
+				s.node.servers[i].active, s.node.servers[i].cutoffLevel, s.node.servers[i].lastActivityAt = true, -1, s.now
 			}
-			s.quiet("under control, 12 ops", func() { s.ops(12, 0, Acked) })
-			s.compare()
+			s.summarize("under control, 12 ops", func() { s.runOps(12, 0, Acked) })
+			s.compareTrace()
 		})
 	}
 }
 
 // Further pushes go by benefit, and those that add work are bounded for the whole node.
 func TestFurtherPushes(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(8))
-	s.quiet("well", func() { s.ops(400, 0, Acked) })
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(8))
+	s.summarize("well", func() { s.runOps(400, 0, Acked) })
 	for c := range CategoryID(2) {
-		s.play(c, func(ServerID) Outcome { return Full })
+		s.runOp(c, func(ServerID) Outcome { return Full })
 	}
-	s.quiet("twenty ops, all pushes reset", func() {
+	s.summarize("twenty ops, all pushes reset", func() {
 		for range 20 {
-			s.play(0, func(ServerID) Outcome { return Reset })
+			s.runOp(0, func(ServerID) Outcome { return Reset })
 		}
 	})
-	s.note("%.1f further pushes left", s.node.again)
-	s.compare()
+	s.record("%.1f further pushes left", s.node.retryBudget)
+	s.compareTrace()
 }
 
 // The registry is asked at random, again after failures ever later, and not while subscribed.
 func TestRegistry(t *testing.T) {
-	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
-	s.list(ListCached, servers(1))
-	s.wait(2 * Second)
+	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.advance(2 * Second)
 	for range 4 {
-		s.list(ListFailed, nil)
-		s.wait(8 * Second)
+		s.receiveList(ListFailed, nil)
+		s.advance(8 * Second)
 	}
-	s.list(ListChanges, servers(2))
-	s.wait(20 * Second)
-	s.list(ListFailed, nil)
-	s.wait(2 * Second)
-	s.compare()
+	s.receiveList(ListChanges, readyServers(2))
+	s.advance(20 * Second)
+	s.receiveList(ListFailed, nil)
+	s.advance(2 * Second)
+	s.compareTrace()
 }
 
 // Nodes keep to runs of the servers that use all of them alike, and go beyond for those that are down.
 func TestFewServers(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.many()
-	s.list(ListCached, servers(20))
-	s.quiet("forty ops", func() { s.ops(40, 0, Acked) })
-	s.quiet("ten ops that connect to none of these", func() {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.shareServers()
+	s.receiveList(ListCached, readyServers(20))
+	s.summarize("forty ops", func() { s.runOps(40, 0, Acked) })
+	s.summarize("ten ops that connect to none of these", func() {
 		for range 10 {
-			s.play(0, func(to ServerID) Outcome {
+			s.runOp(0, func(to ServerID) Outcome {
 				if to < 11 {
 					return Acked
 				}
@@ -585,31 +585,31 @@
 			})
 		}
 	})
-	s.wait(20 * Second)
-	s.quiet("forty ops, some exchanges later", func() { s.ops(40, 0, Acked) })
-	s.compare()
+	s.advance(20 * Second)
+	s.summarize("forty ops, some exchanges later", func() { s.runOps(40, 0, Acked) })
+	s.compareTrace()
 }
 
 // Turns are even; a server that holds over twice the mean is skipped, a slower one gets fewer.
 func TestRotation(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	s.quiet("eighty ops", func() { s.ops(80, 0, Acked) })
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("eighty ops", func() { s.runOps(80, 0, Acked) })
 	for i := range OpID(4) {
-		s.op(i, 0)
+		s.arrive(i, 0)
 	}
-	s.end(0, 0, Acked)
-	s.end(1, 0, Acked)
-	s.end(2, 0, Acked)
-	s.quiet("twenty ops beside one held", func() { s.ops(20, 0, Acked) })
-	s.compare()
+	s.endPush(0, 0, Acked)
+	s.endPush(1, 0, Acked)
+	s.endPush(2, 0, Acked)
+	s.summarize("twenty ops beside one held", func() { s.runOps(20, 0, Acked) })
+	s.compareTrace()
 }
 
 // The ordinary path allocates nothing.
 func TestNoAllocation(t *testing.T) {
-	n := start(t, pushed, safe).node
+	n := newScenario(t, unaskedRegistry, redeliverable).node
 	now, op := Second, OpID(0)
-	n.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: servers(4)})
+	n.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: readyServers(4)})
 	var in Input
 	got := testing.AllocsPerRun(2000, func() {
 		op++
@@ -626,134 +626,134 @@
 
 // A node that each server hears little of controls all of them together, by benefit; one mark starts nothing.
 func TestQuietNode(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(8))
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(8))
 	mixed := func(n int, how Outcome) {
 		for i := range n {
-			s.play(CategoryID(i%2), func(ServerID) Outcome { return how })
-			s.wait(250 * Millisecond)
+			s.runOp(CategoryID(i%2), func(ServerID) Outcome { return how })
+			s.advance(250 * Millisecond)
 		}
 	}
-	s.quiet("well, 10 s", func() { mixed(40, Acked) })
-	s.quiet("one full", func() { s.play(1, func(ServerID) Outcome { return Full }) })
-	s.quiet("well, 10 s", func() { mixed(40, Acked) })
-	s.quiet("all full, 10 s", func() { mixed(40, Full) })
-	s.note("cut %d", s.node.all.cut)
-	s.quiet("well, 30 s", func() { mixed(120, Acked) })
-	s.compare()
+	s.summarize("well, 10 s", func() { mixed(40, Acked) })
+	s.summarize("one full", func() { s.runOp(1, func(ServerID) Outcome { return Full }) })
+	s.summarize("well, 10 s", func() { mixed(40, Acked) })
+	s.summarize("all full, 10 s", func() { mixed(40, Full) })
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.summarize("well, 30 s", func() { mixed(120, Acked) })
+	s.compareTrace()
 }
 
 // Hundreds of quiet nodes do not push a cold server over with an op each: their parts add up to one whole.
 func TestColdAndMany(t *testing.T) {
-	s := start(t, pushed, safe)
-	list, counts := servers(1), [4]int{}
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list, counts := readyServers(1), [4]int{}
 	for seed := range int64(200) {
-		s.node = New(seed, s.node.place, s.node.kinds, s.node.rule, s.node.cold, RegistryRule{})
+		s.node = New(seed, s.node.topology, s.node.categories, s.node.limits, s.node.coldStart, RegistryRule{})
 		list[0].StartedAt = s.now
-		s.list(ListCached, list)
+		s.receiveList(ListCached, list)
 		for i := range 8 {
-			s.last++
-			s.op(s.last, 0)
-			if s.inHand() {
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
+			if s.lastOpPending() {
 				counts[i/2]++
-				s.end(s.last, 0, Acked)
+				s.endPush(s.lastOp, 0, Acked)
 			}
-			s.wait(250 * Millisecond)
+			s.advance(250 * Millisecond)
 		}
 	}
-	s.out.Reset()
-	s.note("of 400 ops each half second, to a server cold at a quarter of its capacity, went %d", counts)
-	s.compare()
+	s.trace.Reset()
+	s.record("of 400 ops each half second, to a server cold at a quarter of its capacity, went %d", counts)
+	s.compareTrace()
 }
 
 // At a quiet node a push that is overdue is a mark while it is out, and only once: control starts before
 // any of them ends.
 func TestOverdue(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.many()
-	s.list(ListCached, servers(10))
-	s.quiet("well", func() {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.shareServers()
+	s.receiveList(ListCached, readyServers(10))
+	s.summarize("well", func() {
 		for range 50 {
-			s.ops(1, 0, Acked)
-			s.wait(90 * Millisecond)
+			s.runOps(1, 0, Acked)
+			s.advance(90 * Millisecond)
 		}
 	})
-	s.quiet("nothing comes back", func() {
+	s.summarize("nothing comes back", func() {
 		for range 14 {
-			s.last++
-			s.op(s.last, 1)
-			s.wait(100 * Millisecond)
+			s.lastOp++
+			s.arrive(s.lastOp, 1)
+			s.advance(100 * Millisecond)
 		}
 	})
-	s.note("%.1f marks/s", s.node.all.marks.read(s.now))
-	s.quiet("they time out", func() {
-		for op := s.last - 13; op <= s.last; op++ {
-			s.end(op, 0, TimedOut)
+	s.record("%.1f marks/s", s.node.allServers.markRate.current(s.now))
+	s.summarize("they time out", func() {
+		for op := s.lastOp - 13; op <= s.lastOp; op++ {
+			s.endPush(op, 0, TimedOut)
 		}
 	})
-	s.note("%.1f marks/s", s.node.all.marks.read(s.now))
-	s.compare()
+	s.record("%.1f marks/s", s.node.allServers.markRate.current(s.now))
+	s.compareTrace()
 }
 
 // Danger: at a busy node a queue grows for as long as an answer takes before its marks are seen. An overdue push is a
 // mark there too while it is out: control starts before any of them ends.
 func TestOverdueBusy(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(2))
-	s.roomy()
-	s.quiet("well, 3 s", func() { s.ops(300, 0, Acked) })
-	s.quiet("nothing comes back, 1 s", func() {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(2))
+	s.liftConcurrencyLimits()
+	s.summarize("well, 3 s", func() { s.runOps(300, 0, Acked) })
+	s.summarize("nothing comes back, 1 s", func() {
 		for range 100 {
-			s.last++
-			s.op(s.last, 1)
-			s.wait(10 * Millisecond)
+			s.lastOp++
+			s.arrive(s.lastOp, 1)
+			s.advance(10 * Millisecond)
 		}
 	})
-	s.compare()
+	s.compareTrace()
 }
 
 // Danger: servers and ops are ever new on long days; what the module keeps is bounded by what is there at once.
-func TestReplacements(t *testing.T) {
-	s := start(t, pushed, safe)
-	list := servers(4)
-	s.list(ListCached, list)
+func TestMemoryIsBounded(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list := readyServers(4)
+	s.receiveList(ListCached, list)
 	for i := range 3000 {
 		gone := list[i%4]
 		gone.State = Gone
 		list[i%4] = ListEntry{Server: ServerID(i + 5), StartedAt: s.now, Weight: 1}
-		s.last++
-		s.step(Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 3*Second})
+		s.lastOp++
+		s.step(Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 3*Second})
 		s.step(Input{Kind: ListReceived, Form: ListChanges, List: []ListEntry{gone, list[i%4]}})
-		if s.inHand() {
-			s.step(Input{Kind: PushEnded, Op: s.last, Outcome: Acked, Latency: Millisecond, OpSettled: true})
+		if s.lastOpPending() {
+			s.step(Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, Latency: Millisecond, OpSettled: true})
 		}
 		s.now += 10 * Millisecond
 	}
-	if n := s.node; len(n.servers) > 6 || len(n.byID) > 6 || len(n.ops) > 4 || len(n.byOp) > 0 {
-		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.byID), len(n.ops), len(n.byOp))
+	if n := s.node; len(n.servers) > 6 || len(n.serverIndex) > 6 || len(n.ops) > 4 || len(n.opSlots) > 0 {
+		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.serverIndex), len(n.ops), len(n.opSlots))
 	}
 }
 
 // Weights that others' judgement changes say nothing of the subscription: a node whose list service is away still asks, and
 // no server goes or comes by them.
-func TestWeighed(t *testing.T) {
-	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
-	s.list(ListCached, servers(3))
-	s.list(ListFailed, nil)
-	next := s.node.registry.next
-	little := servers(3)[1:2]
+func TestReweightedList(t *testing.T) {
+	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
+	s.receiveList(ListCached, readyServers(3))
+	s.receiveList(ListFailed, nil)
+	next := s.node.subscription.nextCallAt
+	little := readyServers(3)[1:2]
 	little[0].Weight = 1.0 / 32
-	s.list(ListReweighted, little)
-	if got := s.node.registry.next; got == 0 || got != next {
+	s.receiveList(ListReweighted, little)
+	if got := s.node.subscription.nextCallAt; got == 0 || got != next {
 		t.Errorf("the next call is at %d, not %d", got, next)
 	}
-	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.byID[2]].Weight != 1.0/32 || s.node.servers[s.node.byID[1]].Weight != 1 {
+	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverIndex[2]].Weight != 1.0/32 || s.node.servers[s.node.serverIndex[1]].Weight != 1 {
 		t.Errorf("%d servers: %+v", n, s.node.servers)
 	}
 }
 
 // Danger: where no category has any benefit, a share of the highest is no number, and every op was nacked unsent.
-func TestNoBenefit(t *testing.T) {
+func TestZeroBenefit(t *testing.T) {
 	n := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond}, []Category{{TargetLatency: Second, TTL: Second}}, PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
 		ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: Second}, RegistryRule{})
 	n.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
--- a/policy/script_test.go
+++ b/policy/script_test.go
@@ -25,18 +25,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := start(t, pushed, safe, once)
+			s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
 			for line := range strings.Lines(string(raw)) {
 				if input, found := strings.CutPrefix(strings.TrimSpace(line), "> "); found {
-					fmt.Fprintf(&s.out, "> %s\n", input)
-					s.do(input)
+					fmt.Fprintf(&s.trace, "> %s\n", input)
+					s.runLine(input)
 				} else if strings.HasPrefix(line, "#") {
-					s.out.WriteString(line)
+					s.trace.WriteString(line)
 				}
 			}
-			if *update {
-				err = os.WriteFile(path, []byte(s.out.String()), 0o644)
-			} else if diff := cmp.Diff(strings.Split(string(raw), "\n"), strings.Split(s.out.String(), "\n")); diff != "" {
+			if *updateTraces {
+				err = os.WriteFile(path, []byte(s.trace.String()), 0o644)
+			} else if diff := cmp.Diff(strings.Split(string(raw), "\n"), strings.Split(s.trace.String(), "\n")); diff != "" {
 				t.Errorf("trace (-kept +now):\n%s", diff)
 			}
 			if err != nil {
@@ -46,80 +46,80 @@
 	}
 }
 
-func (s *script) do(line string) {
-	if n, inputs, many := strings.Cut(line, " x "); many {
-		s.quiet("all", func() {
-			for range s.number(n) {
+func (s *scenario) runLine(line string) {
+	if count, inputs, repeated := strings.Cut(line, " x "); repeated {
+		s.summarize("all", func() {
+			for range s.parseInt(count) {
 				for input := range strings.SplitSeq(inputs, "; ") {
-					s.do(input)
+					s.runLine(input)
 				}
 			}
 		})
 		return
 	}
-	f := append(strings.Fields(line), "0", "0", "0")
-	server := ServerID(f[2][0]-'a') + 1
-	switch f[0] {
+	fields := append(strings.Fields(line), "0", "0", "0")
+	server := ServerID(fields[2][0]-'a') + 1
+	switch fields[0] {
 	case "node": // of so many, the number, servers; asking the registry
-		reg := RegistryRule{MustSubscribe: strings.Contains(line, "asks"), SubscribeWithin: 10 * Second}
-		s.node = start(s.T, reg, safe, once).node
-		s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = s.number(f[1]), s.number(f[2]), true
-		s.list(ListCached, servers(s.number(f[3])))
+		registry := RegistryRule{MustSubscribe: strings.Contains(line, "asks"), SubscribeWithin: 10 * Second}
+		s.node = newScenario(s.T, registry, redeliverable, atMostOnce).node
+		s.node.topology.NodeCount, s.node.topology.NodeNumber, s.node.topology.PeerMessaging = s.parseInt(fields[1]), s.parseInt(fields[2]), true
+		s.receiveList(ListCached, readyServers(s.parseInt(fields[3])))
 	case "alone": // may not tell others
-		s.node.place.PeerMessaging = false
+		s.node.topology.PeerMessaging = false
 	case "op": // category, patience; a repeat by the client
-		s.last++
-		s.step(Input{Kind: OpArrived, Op: s.last, Category: CategoryID(s.number(f[1])),
-			Deadline: s.now + Micros(s.number(f[2]))*Millisecond, ClientRetry: strings.Contains(line, "again")})
+		s.lastOp++
+		s.step(Input{Kind: OpArrived, Op: s.lastOp, Category: CategoryID(s.parseInt(fields[1])),
+			Deadline: s.now + Micros(s.parseInt(fields[2]))*Millisecond, ClientRetry: strings.Contains(line, "again")})
 	case "acked", "lost", "refused", "errored": // the last op's last push, after so many milliseconds
-		how := map[string]Outcome{"acked": Acked, "lost": TimedOut, "refused": ConnectFailed, "errored": Errored}[f[0]]
-		if p, found := s.node.byOp[s.last]; found {
-			s.step(Input{Kind: PushEnded, Op: s.last, Push: PushNumber(s.node.ops[p].pushes - 1), Outcome: how,
-				Latency: Micros(s.number(f[1])) * Millisecond, OpSettled: how == Acked})
+		outcome := map[string]Outcome{"acked": Acked, "lost": TimedOut, "refused": ConnectFailed, "errored": Errored}[fields[0]]
+		if slot, found := s.node.opSlots[s.lastOp]; found {
+			s.step(Input{Kind: PushEnded, Op: s.lastOp, Push: PushNumber(s.node.ops[slot].pushCount - 1), Outcome: outcome,
+				Latency: Micros(s.parseInt(fields[1])) * Millisecond, OpSettled: outcome == Acked})
 		}
 	case "cancelled": // all pushes that are out
 		for i := range s.node.ops {
-			if o := &s.node.ops[i]; o.out > 0 {
-				s.step(Input{Kind: PushEnded, Op: o.id, Push: PushNumber(o.pushes - 1), Outcome: Cancelled, OpSettled: true})
+			if op := &s.node.ops[i]; op.inFlight > 0 {
+				s.step(Input{Kind: PushEnded, Op: op.id, Push: PushNumber(op.pushCount - 1), Outcome: Cancelled, OpSettled: true})
 			}
 		}
 	case "wait":
-		s.wait(Micros(s.number(f[1])) * Millisecond)
+		s.advance(Micros(s.parseInt(fields[1])) * Millisecond)
 	case "push", "end", "ack": // said by another node, of a server, with its pace
-		what := map[string]saidWhat{"push": saidPush, "end": saidEnd, "ack": saidAck}[f[0]]
-		pace, _ := strconv.ParseFloat(f[3], 64)
-		b := said{what, pace, fold(server)}.bytes()
-		s.step(Input{Kind: PeerMessageReceived, Message: b[:]})
+		event := map[string]peerEvent{"push": peerPushSent, "end": peerPushEnded, "ack": peerPushAcked}[fields[0]]
+		relativeLatency, _ := strconv.ParseFloat(fields[3], 64)
+		encoded := peerMessage{event, relativeLatency, foldServerID(server)}.encode()
+		s.step(Input{Kind: PeerMessageReceived, Message: encoded[:]})
 	case "hear": // bytes
-		raw, err := hex.DecodeString(f[1])
+		raw, err := hex.DecodeString(fields[1])
 		if err != nil {
 			s.Fatal(err)
 		}
 		s.step(Input{Kind: PeerMessageReceived, Message: raw})
 	case "list": // form, and of each server its name, then - where it drains, ! where it is gone, + where it has just started
 		var list []ListEntry
-		for _, word := range f[2 : len(f)-3] {
-			e := ListEntry{Server: ServerID(word[0]-'a') + 1, Weight: 1}
-			e.State = map[string]ServerState{"-": Draining, "!": Gone}[word[1:]]
-			e.StartedAt = s.now * Micros(number(word[1:] == "+"))
-			list = append(list, e)
+		for _, word := range fields[2 : len(fields)-3] {
+			entry := ListEntry{Server: ServerID(word[0]-'a') + 1, Weight: 1}
+			entry.State = map[string]ServerState{"-": Draining, "!": Gone}[word[1:]]
+			entry.StartedAt = s.now * Micros(indicator(word[1:] == "+"))
+			list = append(list, entry)
 		}
-		s.list(map[string]ListForm{"changes": ListChanges, "whole": ListFull, "failed": ListFailed}[f[1]], list)
+		s.receiveList(map[string]ListForm{"changes": ListChanges, "whole": ListFull, "failed": ListFailed}[fields[1]], list)
 	case "show":
-		for _, i := range s.node.run {
-			v := &s.node.servers[i]
-			s.note("  %s: full %.2f, holds %d, room %.0f, failed %d times, down %v", name(v.Server), s.node.full(v), v.held,
-				v.room, v.failures, v.down > s.now)
+		for _, i := range s.node.subset {
+			server := &s.node.servers[i]
+			s.record("  %s: full %.2f, holds %d, room %.0f, failed %d times, down %v", serverName(server.Server), s.node.fullness(server), server.inFlight,
+				server.concurrencyLimit, server.consecutiveFailures, server.downUntil > s.now)
 		}
 	default:
 		s.Fatalf("unknown input: %s", line)
 	}
 }
 
-func (s *script) number(word string) int {
-	n, err := strconv.Atoi(word)
+func (s *scenario) parseInt(text string) int {
+	number, err := strconv.Atoi(text)
 	if err != nil {
 		s.Fatal(err)
 	}
-	return n
+	return number
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -194,7 +194,7 @@
 	Token      TimerToken
 	Text       string
 	PeerNumber int // number of a node
-	Message    [sayLen]byte
+	Message    [peerMessageLength]byte
 }
 
 // Decider is what a protocol calls, whichever it is: the simulator's wire, an external processor
@@ -207,149 +207,149 @@
 // What follows is the module's own: an op in hand and its words.
 
 // state of an op in hand.
-type state uint8
+type opState uint8
 
 const (
-	fresh     state = iota
-	out             // a push is out
-	streaming       // the answer has begun and is the client's
-	over            // answered; pushes may still be out
+	opArriving  opState = iota
+	opPushed            // a push is out
+	opStreaming         // the answer has begun and is the client's
+	opAnswered          // answered; pushes may still be out
 )
 
 // signal is an input as an op's state sees it.
-type signal uint8
+type opEvent uint8
 
 const (
-	arrives signal = iota
-	answered
-	failed
-	began
-	due
-	leaves
+	eventArrived opEvent = iota
+	eventAnswered
+	eventPushFailed
+	eventStreamBegan
+	eventDeadline
+	eventAbandoned
 )
 
 // blame is what the end of a push is evidence of.
-type blame uint8
+type evidence uint8
 
 const (
-	onLoad   blame = 1 << iota // more is sent than is borne: a mark
-	onServer                   // this one fails: it leaves the rotation for a while
+	overloadEvidence    evidence = 1 << iota // more is sent than is borne: a mark
+	serverFaultEvidence                      // this one fails: it leaves the rotation for a while
 )
 
 // mostPushes is the places for an op's pushes.
-const mostPushes = 8
+const maxPushesPerOp = 8
 
 // op is an op in hand. It keeps its place in the slab until its last push has ended.
-type op struct {
-	id                   OpID
-	category             CategoryID
-	level                int
-	state                state
-	pushes, allowed, out uint8  // pushes made, allowed by benefit, still out
-	place                int32  // in the slab
-	goal, last           Micros // an answer past goal is worth nothing; one is given by last
-	rest                 int    // step of how long its server had rested
-	risk                 Micros // send time of the first push that may have run; 0: none
-	zone                 ZoneID // of the server it may have run at
-	cell                 CellID
-	late                 uint8             // bit of each push that was slow while out
-	to                   [mostPushes]int32 // server of each push still out, or -1
-	sent                 [mostPushes]Micros
+type pendingOp struct {
+	id                                 OpID
+	category                           CategoryID
+	benefitLevel                       int
+	state                              opState
+	pushCount, allowedPushes, inFlight uint8  // pushes made, allowed by benefit, still out
+	slot                               int32  // in the slab
+	usefulUntil, answerDeadline        Micros // an answer past goal is worth nothing; one is given by last
+	idleStep                           int    // step of how long its server had rested
+	mayHaveRunSince                    Micros // send time of the first push that may have run; 0: none
+	mayHaveRunZone                     ZoneID // of the server it may have run at
+	mayHaveRunCell                     CellID
+	overduePushes                      uint8                 // bit of each push that was slow while out
+	pushServers                        [maxPushesPerOp]int32 // server of each push still out, or -1
+	pushSentAt                         [maxPushesPerOp]Micros
 }
 
 // tokens are what is left of a part that fills with time.
-type tokens struct {
-	left float64
-	at   Micros
+type tokenBucket struct {
+	available float64
+	updatedAt Micros
 }
 
 // throttle is the overload control towards one server, or all of a quiet node (clause 8.2).
 type throttle struct {
-	of                string // server, in the log
-	marks, accepted   rate
-	target            float64 // marks a second that control steers to
-	slow              float64 // share of recent answers past target latency
-	on                bool
-	cut               int
-	interval          Micros // LeakInterval
-	count, leak       float64
-	high, low         float64 // bounds of LeakAmount
-	leaked, quiet     Micros  // last leak; last mark or rejection
-	since, marked     Micros  // start; last mark
-	offered, rejected int
+	name                         string // server, in the log
+	markRate, acceptedRate       decayingRate
+	targetMarkRate               float64 // marks a second that control steers to
+	slowShare                    float64 // share of recent answers past target latency
+	active                       bool
+	cutoffLevel                  int
+	leakInterval                 Micros // LeakInterval
+	bucketFill, leakAmount       float64
+	maxLeakAmount, minLeakAmount float64 // bounds of LeakAmount
+	lastLeakAt, lastActivityAt   Micros  // last leak; last mark or rejection
+	activeSince, lastMarkAt      Micros  // start; last mark
+	offered, rejected            int
 }
 
 // server is what the node knows of one server.
-type server struct {
+type knownServer struct {
 	ListEntry
 	throttle
-	held     int     // pushes out
-	crowd    float64 // the most that it held at a mark, while under control
-	turn     float64 // of the weighted rotation
-	pace     float64 // recent answer times, as a multiple of their categories'
-	errors   float64 // share of recent pushes that ended in an error
-	failures int     // in a row
-	heard    Micros  // last answer of any kind, of which this node knows
-	ended    Micros  // last end of a push
-	down     Micros  // no push before this
-	room     float64 // pushes it may hold
-	crowding float64 // recent answer times, as a multiple of the usual ones
-	tight    bool    // it was crowded once
-	asked    Micros  // last time that it had no room
-	tried    uint64  // the round of pick that passed it over
-	told     rate    // pushes of others there, by hearsay, less those that ended
-	spot     int     // in the ring
-	part     tokens  // while cold: this node's part of what it can do
+	inFlight            int          // pushes out
+	maxInFlightAtMark   float64      // the most that it held at a mark, while under control
+	currentWeight       float64      // of the weighted rotation
+	relativeLatency     float64      // recent answer times, as a multiple of their categories'
+	errorShare          float64      // share of recent pushes that ended in an error
+	consecutiveFailures int          // in a row
+	lastAnswerAt        Micros       // last answer of any kind, of which this node knows
+	lastPushEndAt       Micros       // last end of a push
+	downUntil           Micros       // no push before this
+	concurrencyLimit    float64      // pushes it may hold
+	congestion          float64      // recent answer times, as a multiple of the usual ones
+	wasCongested        bool         // it was crowded once
+	lastAtLimitAt       Micros       // last time that it had no room
+	skippedInRound      uint64       // the round of pick that passed it over
+	peerPushRate        decayingRate // pushes of others there, by hearsay, less those that ended
+	ringIndex           int          // in the ring
+	coldTokens          tokenBucket  // while cold: this node's part of what it can do
 }
 
 // registry is the subscription to the list.
-type registry struct {
+type subscription struct {
 	RegistryRule
-	next, wait Micros // next call, 0 while subscribed; last wait after a failure
+	nextCallAt, retryDelay Micros // next call, 0 while subscribed; last wait after a failure
 }
 
 // Node decides for one balancer.
 type Node struct {
-	now       Micros
-	rng       *rand.Rand
-	place     Topology
-	rule      PushLimits
-	cold      ColdStartRule
-	registry  registry
-	kinds     []Category
-	took      []answers // by category
-	levels    []float64 // distinct benefits, ascending
-	offered   rate      // ops that came
-	acks      rate
-	servers   []server
-	byID      map[ServerID]int32
-	ops       []op
-	free      []int32
-	byOp      map[OpID]int32
-	errors    float64    // share of recent answers of all servers that are errors
-	again     float64    // further pushes saved up
-	carry     float64    // acks a second of a warm server, over a longer time
-	bearable  float64    // pushes a second that a warm server of this node surely bears
-	round     uint64     // of pick
-	all       throttle   // of all servers together, while each is too quiet to be seen
-	up, out   float64    // servers in the rotation that are not down; pushes out
-	warm      float64    // of those up, counted by their warmth
-	crowd     float64    // the most that were out at a mark, while all are under control
-	ring      []int32    // ready servers by id
-	run, near []int32    // of them, this node's; those of its zone that come first
-	lost      [8]float64 // share of recent pushes that timed out, by their server's rest in doubling steps
-	words     float64    // that it may say
-	beatAt    Micros     // next beat of the steering
-	beats     float64    // that carry remembers
-	effects   []Effect
+	now                    Micros
+	rng                    *rand.Rand
+	topology               Topology
+	limits                 PushLimits
+	coldStart              ColdStartRule
+	subscription           subscription
+	categories             []Category
+	latencies              []latencyStats // by category
+	benefitLevels          []float64      // distinct benefits, ascending
+	offeredRate            decayingRate   // ops that came
+	ackRate                decayingRate
+	servers                []knownServer
+	serverIndex            map[ServerID]int32
+	ops                    []pendingOp
+	freeOpSlots            []int32
+	opSlots                map[OpID]int32
+	errorShare             float64    // share of recent answers of all servers that are errors
+	retryBudget            float64    // further pushes saved up
+	warmServerAckRate      float64    // acks a second of a warm server, over a longer time
+	sustainableRate        float64    // pushes a second that a warm server of this node surely bears
+	selectionRound         uint64     // of pick
+	allServers             throttle   // of all servers together, while each is too quiet to be seen
+	upServers, inFlight    float64    // servers in the rotation that are not down; pushes out
+	upCapacity             float64    // of those up, counted by their warmth
+	maxInFlightAtMark      float64    // the most that were out at a mark, while all are under control
+	ring                   []int32    // ready servers by id
+	subset, zoneSubset     []int32    // of them, this node's; those of its zone that come first
+	timeoutShareByIdleStep [8]float64 // share of recent pushes that timed out, by their server's rest in doubling steps
+	peerMessageBudget      float64    // that it may say
+	nextTickAt             Micros     // next beat of the steering
+	ackRateSamples         float64    // that carry remembers
+	effects                []Effect
 }
 
 // rate is a number a second that forgets at the pace of one period.
-type rate struct {
-	value float64
-	at    Micros
-	first Micros // when it began to count
+type decayingRate struct {
+	perSecond     float64
+	updatedAt     Micros
+	countingSince Micros // when it began to count
 }
 
 // answers is the recent answer time of a category: mean and deviation, and over a long time without control.
-type answers struct{ mean, dev, usual float64 }
+type latencyStats struct{ mean, deviation, baseline float64 }
