--- a/policy/inspect.go
+++ b/policy/inspect.go
@@ -1,10 +1,11 @@
 package policy
 
-// NeverRan says that a push that ended so has surely not run.
+// NeverRan reports whether the outcome of a push proves that the server did not run the op.
 func NeverRan(outcome Outcome) bool { return int(outcome) < len(provesNotRun) && provesNotRun[outcome] }
 
-// Throttles tells of each server's overload control that acts at the moment, and of the one of all servers together
-// (server 0): ops a second that pass at the cut, and the cut, a level of benefit. It changes nothing.
+// VisitThrottles calls visit for each throttle that is active: first, as server 0, the throttle of all servers
+// together, then those of single servers. rate is the number of ops per second that pass at the cutoff level, which is
+// the index of a benefit among all distinct benefits, ascending. VisitThrottles changes nothing.
 func (n *Node) VisitThrottles(visit func(server ServerID, rate float64, cutoffLevel int)) {
 	visitActive := func(id ServerID, throttle *throttle) {
 		if throttle.active {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -729,8 +729,8 @@
 		}
 		s.now += 10 * Millisecond
 	}
-	if n := s.node; len(n.servers) > 6 || len(n.serverIndex) > 6 || len(n.ops) > 4 || len(n.opSlots) > 0 {
-		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.serverIndex), len(n.ops), len(n.opSlots))
+	if n := s.node; len(n.servers) > 6 || len(n.serverSlots) > 6 || len(n.ops) > 4 || len(n.opSlots) > 0 {
+		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.serverSlots), len(n.ops), len(n.opSlots))
 	}
 }
 
@@ -747,7 +747,7 @@
 	if got := s.node.subscription.nextCallAt; got == 0 || got != next {
 		t.Errorf("the next call is at %d, not %d", got, next)
 	}
-	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverIndex[2]].Weight != 1.0/32 || s.node.servers[s.node.serverIndex[1]].Weight != 1 {
+	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverSlots[2]].Weight != 1.0/32 || s.node.servers[s.node.serverSlots[1]].Weight != 1 {
 		t.Errorf("%d servers: %+v", n, s.node.servers)
 	}
 }
