--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -12,16 +12,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var updateTraces = flag.Bool("update", false, "write the traces anew")
+var updateTraces = flag.Bool("update", false, "overwrite the traces under testdata")
 
-// script drives one node and prints what it does. Its clock fires the timers that the node set.
+// scenario drives one node and records what the node does. Its simulated clock fires the timers that the node sets.
 type scenario struct {
 	*testing.T
 	node       *Node
 	now        Micros
-	lastOp     OpID // of those that ops numbers
-	timers     []Effect
-	lastServer map[string]ServerID // last push of each op
+	lastOp     OpID                // last op of those that the scenario numbers itself
+	timers     []Effect            // not yet fired
+	lastServer map[string]ServerID // server of the last push of each op
 	trace      strings.Builder
 }
 
@@ -29,42 +29,50 @@
 	redeliverable      = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second}
 	lowBenefit         = Category{Benefit: 1, TargetLatency: Second, TTL: 3 * Second}
 	atMostOnce         = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second, Delivery: AtMostOnce}
-	deduplicatedInCell = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second, Delivery: Deduplicated, DedupScope: DedupScopeCell,
-		DedupWindow: 600 * Millisecond}
+	deduplicatedInCell = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second, Delivery: Deduplicated,
+		DedupScope: DedupScopeCell, DedupWindow: 600 * Millisecond}
 	testColdStart = ColdStartRule{InitialShare: 0.25, WarmUpTime: 8 * Second, OverloadFactor: 2, OverloadWindow: Second}
 )
 
+// newScenario starts the second of two nodes, at second 1, with op ids from 1001.
 func newScenario(t *testing.T, registry RegistryRule, categories ...Category) *scenario {
 	topology := Topology{TierCount: 1, NodeCount: 2, NodeNumber: 1, ClockTick: 5 * Millisecond}
-	limits := PushLimits{MaxPushes: 4, MayCancel: true, MayDuplicate: true, DialTimeout: 100 * Millisecond, MaxRetryAfter: Second}
+	limits := PushLimits{MaxPushes: 4, MayCancel: true, MayDuplicate: true, DialTimeout: 100 * Millisecond,
+		MaxRetryAfter: Second}
 	return &scenario{T: t, node: New(1, topology, categories, limits, testColdStart, registry), now: Second, lastOp: 1000,
 		lastServer: map[string]ServerID{}}
 }
 
-// many makes the node one of so many that runs overlap; call it before the first list.
-func (s *scenario) shareServers() { s.node.topology.NodeCount, s.node.topology.NodeNumber = 10, 5 }
+// shareServers makes the node one of ten, so that the subsets of nodes overlap. It must be called before the first list.
+func (s *scenario) shareServers() {
+	s.node.topology.NodeCount = 10
+	s.node.topology.NodeNumber = 5
+}
 
-// roomy lets each server hold any number of pushes, as after long use at that.
+// liftConcurrencyLimits sets limits that are never reached, as if the servers had served that many pushes for long.
 func (s *scenario) liftConcurrencyLimits() {
 	for i := range s.node.servers {
 		s.node.servers[i].concurrencyLimit = 1000
 	}
 }
 
-// servers is a list of ready servers a, b, ..., spread over three cells.
-func readyServers(n int) (list []ListEntry) {
-	for i := range n {
+// readyServers returns a list of ready servers a, b, ..., spread over three cells.
+func readyServers(count int) (list []ListEntry) {
+	for i := range count {
 		list = append(list, ListEntry{Server: ServerID(i + 1), Weight: 1, Cell: CellID(i % 3)})
 	}
 	return list
 }
 
+// serverName returns the one-letter name that traces have for a server.
 func serverName(id ServerID) string { return string(rune('a' + int(id) - 1)) }
 
+// record adds a line with the current time to the trace.
 func (s *scenario) record(format string, args ...any) {
 	fmt.Fprintf(&s.trace, "%8.1f  %s\n", float64(s.now)/1000, fmt.Sprintf(format, args...))
 }
 
+// step passes an input to the node, records the effects and keeps the timers.
 func (s *scenario) step(input Input) {
 	messages := 0
 	for _, effect := range s.node.Step(s.now, &input) {
@@ -95,6 +103,7 @@
 	}
 }
 
+// receiveList passes a list of servers to the node.
 func (s *scenario) receiveList(form ListForm, entries []ListEntry) {
 	var names []string
 	for _, entry := range entries {
@@ -104,11 +113,13 @@
 	s.step(Input{Kind: ListReceived, Form: form, List: entries})
 }
 
+// arrive lets an op arrive whose client waits for 2 s.
 func (s *scenario) arrive(id OpID, category CategoryID) {
 	s.record("op %d of category %d", id, category)
 	s.step(Input{Kind: OpArrived, Op: id, Category: category, Deadline: s.now + 2*Second})
 }
 
+// endPush ends a push 50 ms after its start.
 func (s *scenario) endPush(id OpID, push PushNumber, outcome Outcome) {
 	s.record("op %d push %d %s", id, push, []string{"acked", "errored", "full", "timed out", "failed to connect",
 		"reset", "cancelled", "moot"}[outcome])
@@ -116,12 +127,13 @@
 		Latency: 50 * Millisecond, OpSettled: outcome == Acked})
 }
 
-// ack ends an op's first push after so long.
-func (s *scenario) ackFirstPush(id OpID, took Micros) {
-	s.step(Input{Kind: PushEnded, Op: id, Server: s.lastServer[fmt.Sprint(id)], Outcome: Acked, Latency: took, OpSettled: true})
+// ackFirstPush acks the first push of an op, with the given latency.
+func (s *scenario) ackFirstPush(id OpID, latency Micros) {
+	s.step(Input{Kind: PushEnded, Op: id, Server: s.lastServer[fmt.Sprint(id)], Outcome: Acked, Latency: latency,
+		OpSettled: true})
 }
 
-// wait lets time pass and fires the timers that fall due.
+// advance lets time pass and fires the timers that are due.
 func (s *scenario) advance(duration Micros) {
 	until := s.now + duration
 	for {
@@ -137,7 +149,8 @@
 	}
 }
 
-// quiet runs f without its trace, but for log lines, and notes how pushes spread over servers.
+// summarize replaces the trace of run by one line with the number of pushes per server, nacks and the like. Log lines
+// are kept.
 func (s *scenario) summarize(title string, run func()) {
 	earlier := s.trace.String()
 	s.trace.Reset()
@@ -161,7 +174,7 @@
 	s.trace.WriteString(strings.Join(logs, ""))
 }
 
-// compare holds the trace against the one kept, named after the test.
+// compareTrace compares the trace with the file under testdata that has the name of the test.
 func (s *scenario) compareTrace() {
 	s.Helper()
 	path := filepath.Join("testdata", strings.ReplaceAll(strings.TrimPrefix(s.Name(), "Test"), "/", "-")+".txt")
@@ -175,6 +188,6 @@
 		s.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(s.trace.String(), "\n")); diff != "" {
-		s.Errorf("trace (-kept +now):\n%s", diff)
+		s.Errorf("trace (-want +got):\n%s", diff)
 	}
 }
--- a/policy/peer_message_test.go
+++ b/policy/peer_message_test.go
@@ -8,117 +8,133 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What is said is understood, its pace within half a step; another version, length or kind is not.
+// A message is decoded as it was encoded, the relative latency within half a step. A message of another version, length
+// or event is not understood.
 func TestPeerMessageEncoding(t *testing.T) {
-	for _, pace := range []float64{0, 0.25, 0.5, 1, 3, 16} {
-		want := peerMessage{event: peerPushAcked, relativeLatency: pace, foldedServerID: 0xabcd}
-		b := want.encode()
-		got, understood := decodePeerMessage(b[:])
-		if off := math.Abs(math.Log2(got.relativeLatency / pace)); !understood || got.event != want.event || got.foldedServerID != want.foldedServerID ||
-			pace == 0 && got.relativeLatency != 0 || pace > 0 && off > 0.5/latencyStepsPerOctave {
-			t.Errorf("said %+v, heard %+v, %v", want, got, understood)
+	for _, latency := range []float64{0, 0.25, 0.5, 1, 3, 16} {
+		want := peerMessage{event: peerPushAcked, relativeLatency: latency, foldedServerID: 0xabcd}
+		encoded := want.encode()
+		got, understood := decodePeerMessage(encoded[:])
+		if stepError := math.Abs(math.Log2(got.relativeLatency / latency)); !understood || got.event != want.event ||
+			got.foldedServerID != want.foldedServerID ||
+			latency == 0 && got.relativeLatency != 0 || latency > 0 && stepError > 0.5/latencyStepsPerOctave {
+			t.Errorf("encoded %+v, decoded %+v, understood: %v", want, got, understood)
 		}
 	}
-	for _, b := range [][]byte{nil, {1 << 6}, {1<<6 | 0<<4, 0}, {2 << 6, 0, 1}, {1<<6 | 3<<4, 0, 1}, {1 << 6, 0, 1, 0}} {
-		if got, understood := decodePeerMessage(b); understood {
-			t.Errorf("% x is heard as %+v", b, got)
+	for _, encoded := range [][]byte{nil, {1 << 6}, {1<<6 | 0<<4, 0}, {2 << 6, 0, 1}, {1<<6 | 3<<4, 0, 1}, {1 << 6, 0, 1, 0}} {
+		if got, understood := decodePeerMessage(encoded); understood {
+			t.Errorf("% x is decoded as %+v", encoded, got)
 		}
 	}
 }
 
-// Of each push and its end all nodes hear, and only those, that have the server in their run, each once.
+// Each push and its end is reported once to all nodes that have the server in their subset, and to no other node.
 func TestPeerMessageRecipients(t *testing.T) {
 	for _, fleet := range []struct{ nodes, servers int }{{40, 8}, {7, 30}, {20, 1}, {31, 13}} {
-		talk := func(k int) *Node {
+		newNode := func(number int) *Node {
 			s := newScenario(t, unaskedRegistry, redeliverable)
-			s.node.topology.NodeCount, s.node.topology.NodeNumber, s.node.topology.PeerMessaging = fleet.nodes, k, true
+			s.node.topology.NodeCount = fleet.nodes
+			s.node.topology.NodeNumber = number
+			s.node.topology.PeerMessaging = true
 			s.receiveList(ListCached, readyServers(fleet.servers))
 			return s.node
 		}
-		users := map[int32][]int{}
-		for k := range fleet.nodes {
-			for _, i := range talk(k).subset {
-				users[i] = append(users[i], k)
+		nodesByServer := map[int32][]int{}
+		for number := range fleet.nodes {
+			for _, i := range newNode(number).subset {
+				nodesByServer[i] = append(nodesByServer[i], number)
 			}
 		}
-		for k := range fleet.nodes {
-			n := talk(k)
-			n.peerMessageBudget = 8 * peerMessagesPerOp // some ops were nacked before
+		for number := range fleet.nodes {
+			node := newNode(number)
+			node.peerMessageBudget = 8 * peerMessagesPerOp // as if ops had been nacked before
 			var want []int
-			for _, in := range []Input{{Kind: OpArrived, Op: 1, Deadline: 3 * Second},
+			for _, input := range []Input{{Kind: OpArrived, Op: 1, Deadline: 3 * Second},
 				{Kind: PushEnded, Op: 1, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
-				told := []int{k}
-				for _, e := range n.Step(2*Second, &in) {
-					if e.Kind == SendToPeer {
-						told = append(told, e.PeerNumber)
+				recipients := []int{number}
+				for _, effect := range node.Step(2*Second, &input) {
+					if effect.Kind == SendToPeer {
+						recipients = append(recipients, effect.PeerNumber)
 					}
-					if e.Kind == Push {
-						want = users[n.ops[0].pushServers[0]]
+					if effect.Kind == Push {
+						want = nodesByServer[node.ops[0].pushServers[0]]
 					}
 				}
-				if slices.Sort(told); !slices.Equal(told, want) {
-					t.Errorf("%v, node %d: told %v, used by %v", fleet, k, told, want)
+				if slices.Sort(recipients); !slices.Equal(recipients, want) {
+					t.Errorf("%v, node %d: message sent to %v and itself, server used by %v", fleet, number, recipients, want)
 				}
 			}
 		}
 	}
 }
 
-// talk makes the node number k of so many that tell each other.
+// newPeerScenario starts one of several nodes that send each other peer messages.
 func newPeerScenario(t *testing.T, nodeCount, nodeNumber, serverCount int) *scenario {
 	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
-	s.node.topology.NodeCount, s.node.topology.NodeNumber, s.node.topology.PeerMessaging = nodeCount, nodeNumber, true
+	s.node.topology.NodeCount = nodeCount
+	s.node.topology.NodeNumber = nodeNumber
+	s.node.topology.PeerMessaging = true
 	s.receiveList(ListCached, readyServers(serverCount))
 	return s
 }
 
+// receiveEvent passes a peer message to the node.
 func (s *scenario) receiveEvent(event peerEvent, server ServerID, relativeLatency float64) {
 	encoded := peerMessage{event, relativeLatency, foldServerID(server)}.encode()
 	s.step(Input{Kind: PeerMessageReceived, Message: encoded[:]})
 }
 
-// What others push counts for what a server holds: ops go to the other one, until the ends are told, or for as long as
-// such a word is remembered. A slow pace told does the same.
+// Pushes of peers count for the load of a server: ops go to the other server until the peers report the ends of their
+// pushes, or until the messages are forgotten. A high relative latency reported by peers has the same effect.
 func TestPeerMessagesShiftLoad(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		do   func(*scenario)
-		to   string // where an op goes; "": both are equally full
+	for _, test := range []struct {
+		name       string
+		prepare    func(*scenario)
+		wantServer string // where an op goes; "": both are equally full
 	}{
-		{"nothing", func(*scenario) {}, ""},
+		{"no messages", func(*scenario) {}, ""},
 		{"ten pushes at a", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0) }, "b"},
-		{"and their ends", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0); s.receiveEvents(10, peerPushAcked, 1, 1) }, ""},
+		{"ten pushes at a and their ends", func(s *scenario) {
+			s.receiveEvents(10, peerPushSent, 1, 0)
+			s.receiveEvents(10, peerPushAcked, 1, 1)
+		}, ""},
 		{"more ends than pushes", func(s *scenario) { s.receiveEvents(50, peerPushEnded, 1, 0) }, ""},
-		{"ten pushes, 20 s ago", func(s *scenario) { s.receiveEvents(10, peerPushSent, 1, 0); s.advance(20 * Second) }, ""},
+		{"ten pushes at a 20 s ago", func(s *scenario) {
+			s.receiveEvents(10, peerPushSent, 1, 0)
+			s.advance(20 * Second)
+		}, ""},
 		{"b is slow", func(s *scenario) { s.receiveEvents(10, peerPushAcked, 2, 8) }, "a"},
-		{"of a server that is not listed", func(s *scenario) { s.receiveEvents(10, peerPushSent, 77, 0) }, ""},
-		{"cut short", func(s *scenario) { s.step(Input{Kind: PeerMessageReceived, Message: []byte{64}}) }, ""},
+		{"pushes at a server that is not listed", func(s *scenario) { s.receiveEvents(10, peerPushSent, 77, 0) }, ""},
+		{"truncated message", func(s *scenario) { s.step(Input{Kind: PeerMessageReceived, Message: []byte{64}}) }, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := newPeerScenario(t, 20, 0, 2)
-			c.do(s)
-			a, b := s.node.fullness(&s.node.servers[0]), s.node.fullness(&s.node.servers[1])
+			test.prepare(s)
+			a := s.node.fullness(&s.node.servers[0])
+			b := s.node.fullness(&s.node.servers[1])
 			s.arrive(1, 0)
-			if c.to != "" && serverName(s.lastServer["1"]) != c.to || c.to == "" && math.Abs(a-b) > 0.01 {
-				t.Errorf("a is %v full, b %v, an op went to %s", a, b, serverName(s.lastServer["1"]))
+			if test.wantServer != "" && serverName(s.lastServer["1"]) != test.wantServer ||
+				test.wantServer == "" && math.Abs(a-b) > 0.01 {
+				t.Errorf("fullness of a %v, of b %v; an op went to %s", a, b, serverName(s.lastServer["1"]))
 			}
 		})
 	}
 }
 
+// receiveEvents passes a peer message to the node several times.
 func (s *scenario) receiveEvents(count int, event peerEvent, server ServerID, relativeLatency float64) {
 	for range count {
 		s.receiveEvent(event, server, relativeLatency)
 	}
 }
 
-// Danger: hearsay never makes a server known, nor one usable that drains or has fallen silent here; an answer told only
-// ends its trial once its wait is over, and then an at-most-once op may go there too.
+// Peer messages never add a server, nor do they make one usable that drains or that has failed at this node. A reported
+// ack only saves the trial push after the server's down time, so that an at-most-once op may go there too.
 func TestPeerMessagesDoNotRestoreServers(t *testing.T) {
 	s := newPeerScenario(t, 20, 0, 2)
-	drained := readyServers(1)
-	drained[0].State = Draining
-	s.receiveList(ListChanges, drained)
+	draining := readyServers(1)
+	draining[0].State = Draining
+	s.receiveList(ListChanges, draining)
 	s.arrive(1, 1)
 	s.endPush(1, 0, ConnectFailed)
 	s.receiveEvents(20, peerPushAcked, 1, 1)
@@ -127,125 +143,130 @@
 	if _, found := s.lastServer["2"]; found && s.lastServer["2"] != 2 {
 		t.Errorf("an op went to server %d", s.lastServer["2"])
 	}
-	down := s.node.servers[1].downUntil
+	downUntil := s.node.servers[1].downUntil
 	s.receiveEvents(20, peerPushAcked, 2, 1)
-	if s.node.servers[1].downUntil != down || s.node.servers[1].consecutiveFailures != 0 {
-		t.Errorf("down until %d, before %d; %d failures", s.node.servers[1].downUntil, down, s.node.servers[1].consecutiveFailures)
+	if s.node.servers[1].downUntil != downUntil || s.node.servers[1].consecutiveFailures != 0 {
+		t.Errorf("down until %d, before the messages %d; %d consecutive failures", s.node.servers[1].downUntil, downUntil,
+			s.node.servers[1].consecutiveFailures)
 	}
 }
 
-// Words are bounded by the clients' first tries, however many pushes end and repeats come.
+// The number of peer messages is bounded by the clients' first tries, however many pushes end and retries come.
 func TestPeerMessageBudget(t *testing.T) {
 	s := newPeerScenario(t, 2000, 0, 2)
-	words := 0
+	messages := 0
 	for op := OpID(1); op <= 100; op++ {
-		for _, in := range []Input{{Kind: OpArrived, Op: op, Deadline: s.now + 2*Second, ClientRetry: op > 50},
+		for _, input := range []Input{{Kind: OpArrived, Op: op, Deadline: s.now + 2*Second, ClientRetry: op > 50},
 			{Kind: PushEnded, Op: op, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
-			for _, e := range s.node.Step(s.now, &in) {
-				words += int(indicator(e.Kind == SendToPeer))
+			for _, effect := range s.node.Step(s.now, &input) {
+				messages += int(indicator(effect.Kind == SendToPeer))
 			}
 		}
 	}
-	if most := 50 * peerMessagesPerOp; words > most || words < most/2 {
-		t.Errorf("%d words of 50 ops, at most %d", words, most)
+	if maxMessages := 50 * peerMessagesPerOp; messages > maxMessages || messages < maxMessages/2 {
+		t.Errorf("%d peer messages for 50 ops, want at most %d and at least half of that", messages, maxMessages)
 	}
 }
 
-// Danger: nodes whose servers died go on together to the next ones, and none is told there what the others push; those
-// jam, and the next after them. A node keeps to what is left of its run, and goes beyond only when all of it is down.
+// If nodes whose servers failed all went on to the next servers of the ring, where they get no peer messages, these would
+// be congested, and then the next ones. A node keeps to the rest of its subset until all of that is down.
 func TestSubsetWithPeers(t *testing.T) {
-	s := newPeerScenario(t, 40, 0, 8) // a run of four
-	run := func() (names string) {
+	s := newPeerScenario(t, 40, 0, 8) // with subsets of four servers
+	subset := func() (names string) {
 		for _, i := range s.node.subset {
 			names += serverName(s.node.servers[i].Server)
 		}
 		return names
 	}
-	got := []string{run()}
+	got := []string{subset()}
 	for _, down := range []int32{0, 1, 2, 3} {
 		s.node.servers[down].downUntil = s.now + Second
 		s.node.chooseSubset()
-		got = append(got, run())
+		got = append(got, subset())
 	}
 	if diff := cmp.Diff([]string{"abcd", "abcd", "abcd", "abcd", "abcde"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Danger: a connection that has rested may be dropped unseen on the way; what is sent on it is lost in silence, and each
-// server looks as if it had fallen silent. Once a third of what goes out after such a rest is lost, and three times
-// what is lost without, the connection closes first; where all is lost alike, none does.
+// An idle connection may be dropped on its way without notice: what is then sent on it is lost without an error, and its
+// server looks as if it had stopped answering. Once more than a third of the pushes after such an idle time is lost, and
+// more than three times the share lost without idle time, idle connections are closed before a push. Where pushes are
+// lost at any time, none is closed.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	for name, c := range map[string]struct {
-		rested, busy Outcome
-		closes       bool
+	for name, test := range map[string]struct {
+		afterIdle, whileBusy Outcome
+		closes               bool
 	}{
-		"well":               {Acked, Acked, false},
-		"lost after a rest":  {TimedOut, Acked, true},
-		"lost at every time": {TimedOut, TimedOut, false},
+		"well":                 {Acked, Acked, false},
+		"lost after idle time": {TimedOut, Acked, true},
+		"lost at any time":     {TimedOut, TimedOut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, unaskedRegistry, atMostOnce)
 			s.receiveList(ListCached, readyServers(1))
 			closed := false
-			send := func(how Outcome) {
+			send := func(outcome Outcome) {
 				s.lastOp++
-				in := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
-				for _, e := range s.node.Step(s.now, &in) {
-					closed = closed || e.Kind == CloseIdle
+				input := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
+				for _, effect := range s.node.Step(s.now, &input) {
+					closed = closed || effect.Kind == CloseIdle
 				}
-				s.step(Input{Kind: PushEnded, Op: s.lastOp, Outcome: how, Latency: 50 * Millisecond, OpSettled: how == Acked})
-				s.node.servers[0].consecutiveFailures, s.node.servers[0].downUntil = 0, 0 // its trials are another matter
+				s.step(Input{Kind: PushEnded, Op: s.lastOp, Outcome: outcome, Latency: 50 * Millisecond,
+					OpSettled: outcome == Acked})
+				// Keep the server in the rotation.
+				s.node.servers[0].consecutiveFailures = 0
+				s.node.servers[0].downUntil = 0
 			}
 			for range 8 {
 				s.advance(3 * Second)
-				send(c.rested)
+				send(test.afterIdle)
 				for range 4 {
 					s.advance(20 * Millisecond)
-					send(c.busy)
+					send(test.whileBusy)
 				}
 			}
-			if closed != c.closes {
-				t.Errorf("closed: %v", closed)
+			if closed != test.closes {
+				t.Errorf("idle connections closed: %v", closed)
 			}
 		})
 	}
 }
 
-// A node that sees an op every half second refuses none while answers are as usual, though one in twenty is slow.
+// A node that gets an op every half second rejects none although one answer in twenty is slow.
 func TestLowTrafficNode(t *testing.T) {
 	s := newPeerScenario(t, 1200, 7, 130)
 	for i := range 200 {
 		s.lastOp++
 		s.arrive(s.lastOp, 1)
 		if _, pushed := s.lastServer[opKey(s.lastOp)]; !pushed {
-			t.Errorf("op %d is refused", i)
+			t.Errorf("op %d is rejected", i)
 			continue
 		}
-		took := 150 * Millisecond
+		latency := 150 * Millisecond
 		if i%20 == 19 {
-			took = 900 * Millisecond
+			latency = 900 * Millisecond
 		}
-		s.advance(took)
-		s.ackFirstPush(s.lastOp, took)
-		s.advance(500*Millisecond - min(took, 500*Millisecond))
+		s.advance(latency)
+		s.ackFirstPush(s.lastOp, latency)
+		s.advance(500*Millisecond - min(latency, 500*Millisecond))
 	}
 }
 
-// A client that comes again at once, 15 times, and waits no longer than a tenth of target latency: each try has one answer by
-// its end, and no more is out than room at the servers allows.
+// A client retries at once, 15 times, and waits no longer than a tenth of the target latency: each try gets one answer by
+// its deadline, and in the end no push is left in flight.
 func TestImpatientClient(t *testing.T) {
 	s := newPeerScenario(t, 20, 0, 2)
 	answers := map[OpID]int{}
-	step := func(in Input) {
-		for _, e := range s.node.Step(s.now, &in) {
-			switch e.Kind {
+	step := func(input Input) {
+		for _, effect := range s.node.Step(s.now, &input) {
+			switch effect.Kind {
 			case Push:
-				s.lastServer[opKey(e.Op)] = e.Server
+				s.lastServer[opKey(effect.Op)] = effect.Server
 			case Nack, DeadLetter:
-				answers[e.Op]++
+				answers[effect.Op]++
 			case SetTimer:
-				s.timers = append(s.timers, e)
+				s.timers = append(s.timers, effect)
 			}
 		}
 	}
@@ -266,28 +287,30 @@
 		}
 	}
 	if s.node.inFlight != 0 || s.node.peerMessageBudget > 8*peerMessagesPerOp {
-		t.Errorf("%v out, %v words saved", s.node.inFlight, s.node.peerMessageBudget)
+		t.Errorf("%v pushes in flight, %v peer messages saved up", s.node.inFlight, s.node.peerMessageBudget)
 	}
 }
 
-// A node with ten times the mean traffic is served by its run while the servers keep up: an op is pushed or nacked in the same
-// step, and no server holds more than there is room for, with what others push there.
+// A node with ten times the mean traffic is served by its subset while the servers keep up: an op is pushed or nacked in
+// the step of its arrival, and no server holds more pushes than its concurrency limit.
 func TestHighTrafficNode(t *testing.T) {
 	s := newPeerScenario(t, 40, 0, 8)
 	pushed, nacked := 0, 0
-	var out []OpID
+	var inFlight []OpID
 	for i := range 400 {
 		s.lastOp++
-		in := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
+		input := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
 		answered := 0
-		for _, e := range s.node.Step(s.now, &in) {
-			switch e.Kind {
+		for _, effect := range s.node.Step(s.now, &input) {
+			switch effect.Kind {
 			case Push:
-				s.lastServer[opKey(e.Op)] = e.Server
-				out = append(out, e.Op)
-				pushed, answered = pushed+1, answered+1
+				s.lastServer[opKey(effect.Op)] = effect.Server
+				inFlight = append(inFlight, effect.Op)
+				pushed++
+				answered++
 			case Nack:
-				nacked, answered = nacked+1, answered+1
+				nacked++
+				answered++
 			}
 		}
 		if answered != 1 {
@@ -296,19 +319,19 @@
 		if i%10 < 4 {
 			s.receiveEvent(peerPushSent, ServerID(1+i%10), 0)
 		}
-		for _, k := range s.node.subset {
-			if sv := &s.node.servers[k]; float64(sv.inFlight) > sv.concurrencyLimit+1 {
-				t.Errorf("op %d: server %d holds %d, room %v", i, k, sv.inFlight, sv.concurrencyLimit)
+		for _, slot := range s.node.subset {
+			if server := &s.node.servers[slot]; float64(server.inFlight) > server.concurrencyLimit+1 {
+				t.Errorf("op %d: server %d holds %d pushes, limit %v", i, slot, server.inFlight, server.concurrencyLimit)
 			}
 		}
 		s.now += 10 * Millisecond
-		if i%10 == 9 { // ten answers each 100 ms, of what a server can do
-			for _, op := range out[:min(len(out), 10)] {
+		if i%10 == 9 { // ten answers per 100 ms, which the servers can do
+			for _, op := range inFlight[:min(len(inFlight), 10)] {
 				s.ackFirstPush(op, 200*Millisecond)
 			}
-			out = out[min(len(out), 10):]
-			for k := range 4 {
-				s.receiveEvent(peerPushAcked, ServerID(1+k), 0)
+			inFlight = inFlight[min(len(inFlight), 10):]
+			for slot := range 4 {
+				s.receiveEvent(peerPushAcked, ServerID(1+slot), 0)
 			}
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
+// unaskedRegistry reports changes of the list without a subscription.
 var unaskedRegistry = RegistryRule{}
 
-// Every op gets one answer before its TTL though nothing else happens, and none after it.
+// Every op gets exactly one answer, by its deadline, even if no push ends before.
 func TestOneAnswer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
 	s.receiveList(ListCached, readyServers(2))
@@ -19,7 +20,7 @@
 	s.compareTrace()
 }
 
-// An at-most-once op goes again or is nacked only while no push may have run.
+// An at-most-once op is pushed again or nacked only as long as none of its pushes may have run.
 func TestAtMostOnce(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, atMostOnce)
 	s.receiveList(ListCached, readyServers(3))
@@ -34,7 +35,7 @@
 	s.compareTrace()
 }
 
-// A deduplicated op that may have run stays inside its cell and its window, and is never nacked.
+// A deduplicated op that may have run is pushed again only inside its cell and its window, and is never nacked.
 func TestDeduplicated(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, deduplicatedInCell)
 	s.receiveList(ListCached, readyServers(6))
@@ -48,8 +49,8 @@
 	s.compareTrace()
 }
 
-// Nothing new goes to a server told draining or gone, nor to one that a whole list leaves out.
-func TestDrains(t *testing.T) {
+// No new push goes to a server that the list reports as draining or gone, or that a full list leaves out.
+func TestDrainingServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
 	changed := readyServers(4)[:2]
@@ -63,52 +64,53 @@
 	s.compareTrace()
 }
 
-// Danger: a list from before comes again and says that a cold server started long ago. It did not: what it may be sent
-// goes on being its part. A later start is believed. Servers that don't exist cost a push each until the next trial.
+// An outdated list may come again and report that a cold server started long ago. The server stays cold; a later start
+// is taken over. A listed server that does not exist costs one push per trial.
 func TestStaleListAndUnreachableServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
-	old := readyServers(3)
-	s.receiveList(ListCached, old)
+	staleList := readyServers(3)
+	s.receiveList(ListCached, staleList)
 	s.runOps(300, 0, Acked)
-	now := readyServers(3)
-	now[2].StartedAt = s.now
-	s.receiveList(ListFull, now)
-	s.receiveList(ListFull, old)
-	if w := s.node.servers[2].capacityShare(s.now+Second, &testColdStart); w > 0.5 {
-		t.Errorf("a second after its start, and an old list, it is %v warm", w)
-	}
-	now[2].StartedAt = s.now + 2*Second
+	freshList := readyServers(3)
+	freshList[2].StartedAt = s.now
+	s.receiveList(ListFull, freshList)
+	s.receiveList(ListFull, staleList)
+	if share := s.node.servers[2].capacityShare(s.now+Second, &testColdStart); share > 0.5 {
+		t.Errorf("a second after its start and after a stale list, the server has share %v of its capacity", share)
+	}
+	freshList[2].StartedAt = s.now + 2*Second
 	s.advance(3 * Second)
-	s.receiveList(ListFull, now)
-	if got := s.node.servers[2].StartedAt; got != now[2].StartedAt {
-		t.Errorf("started at %d, held as %d", now[2].StartedAt, got)
+	s.receiveList(ListFull, freshList)
+	if got := s.node.servers[2].StartedAt; got != freshList[2].StartedAt {
+		t.Errorf("the server started at %d, the node has %d", freshList[2].StartedAt, got)
 	}
-	s.receiveList(ListFull, readyServers(5)) // the last two are ghosts
-	ghosts := 0
+	s.receiveList(ListFull, readyServers(5)) // the last two do not exist
+	unreachablePushes := 0
 	for range 400 {
 		s.runOp(0, func(to ServerID) Outcome {
 			if to > 3 {
-				ghosts++
+				unreachablePushes++
 				return ConnectFailed
 			}
 			return Acked
 		})
 		s.advance(10 * Millisecond)
 	}
-	if ghosts < 2 || ghosts > 16 {
-		t.Errorf("400 ops in 4 s: %d pushes to two servers that don't exist", ghosts)
+	if unreachablePushes < 2 || unreachablePushes > 16 {
+		t.Errorf("400 ops in 4 s: %d pushes to two servers that don't exist", unreachablePushes)
 	}
 }
 
+// opKey returns the key of an op in lastServer.
 func opKey(op OpID) string { return fmt.Sprint(op) }
 
-// inHand says that the last op still has a push out.
+// lastOpPending reports whether the last op is unanswered or has a push in flight.
 func (s *scenario) lastOpPending() bool {
 	_, found := s.node.opSlots[s.lastOp]
 	return found
 }
 
-// ops sends ops that end at once.
+// runOps lets ops arrive 10 ms apart and ends the last push of each after that time.
 func (s *scenario) runOps(count int, category CategoryID, outcome Outcome) {
 	for range count {
 		s.lastOp++
@@ -120,17 +122,19 @@
 	}
 }
 
-// play sends an op and ends each of its pushes at once, as how says, until none is out.
+// runOp lets an op arrive and ends each of its pushes at once, with the outcome that outcomeOf returns, until the op is
+// over.
 func (s *scenario) runOp(category CategoryID, outcomeOf func(to ServerID) Outcome) {
 	s.lastOp++
 	s.arrive(s.lastOp, category)
 	for s.lastOpPending() {
-		s.endPush(s.lastOp, PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount-1), outcomeOf(s.lastServer[opKey(s.lastOp)]))
+		push := PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount - 1)
+		s.endPush(s.lastOp, push, outcomeOf(s.lastServer[opKey(s.lastOp)]))
 	}
 }
 
-// A timer of an op that is over does not end the next one in its place.
-func TestReusedPlace(t *testing.T) {
+// The timer of an op that is over does not end the next op in the same slot.
+func TestReusedOpSlot(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
 	s.arrive(1, 0)
@@ -143,8 +147,8 @@
 	s.compareTrace()
 }
 
-// A cold server is not pushed over while its like are under control, nor are all of them cold at once.
-func TestCold(t *testing.T) {
+// A cold server is not overloaded while the other servers are under control, nor are all servers when all are cold.
+func TestColdServer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list := readyServers(3)
 	s.receiveList(ListCached, list)
@@ -178,14 +182,15 @@
 	s.compareTrace()
 }
 
-// Control starts on marks past the target, takes the lowest benefit first, and ends 10 s after the last.
+// Control starts when overload marks exceed the target rate, rejects the lowest benefit first, and ends 10 s after the
+// last mark or rejection.
 func TestControl(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(1))
 	s.liftConcurrencyLimits()
-	mixed := func(n int, how Outcome) {
-		for i := range n {
-			s.runOps(1, CategoryID(i%2), how)
+	mixed := func(count int, outcome Outcome) {
+		for i := range count {
+			s.runOps(1, CategoryID(i%2), outcome)
 		}
 	}
 	s.summarize("well", func() { mixed(200, Acked) })
@@ -207,8 +212,8 @@
 	s.compareTrace()
 }
 
-// Danger: steps down go on while marks are remembered; a short queue would shut a server that holds nothing any more.
-// While the queue stands they go on all the same.
+// The rate would fall for as long as overload marks are remembered: after a short queue, a server with nothing in flight
+// any more would get no pushes. Once the queue has drained the rate rises; while the queue stands it goes on falling.
 func TestDrained(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
@@ -234,9 +239,9 @@
 	}
 }
 
-// Danger: few ops are above the cut, so a server whose queue is gone stays nearly idle until the cut falls. It falls at
-// the next beat; while the queue stands it does not.
-func TestDrainedCut(t *testing.T) {
+// Few ops are above the cutoff level, so a server whose queue has drained stays nearly idle until the level falls. The
+// level falls at the next control tick; while the queue stands it does not.
+func TestDrainedCutoffLevel(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
@@ -269,7 +274,7 @@
 	}
 }
 
-// The control of all servers together recovers as soon as what stood at them has come back, too.
+// The control of all servers together also recovers as soon as the pushes that were queued have ended.
 func TestAllServersDrained(t *testing.T) {
 	for _, drained := range []bool{true, false} {
 		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
@@ -288,7 +293,7 @@
 			s.advance(100 * Millisecond)
 		}
 		if s.node.allServers.cutoffLevel != 1 {
-			t.Fatalf("cut %d of a node whose pushes are turned away", s.node.allServers.cutoffLevel)
+			t.Fatalf("cutoff level %d of a node whose pushes are rejected, want 1", s.node.allServers.cutoffLevel)
 		}
 		for id := OpID(1); id <= 20 && drained; id++ {
 			if _, found := s.node.opSlots[id]; found {
@@ -296,41 +301,41 @@
 			}
 		}
 		s.advance(3 * controlInterval)
-		if cut := s.node.allServers.cutoffLevel; drained != (cut == 0) {
-			t.Errorf("drained %v: cut %d", drained, cut)
+		if cutoffLevel := s.node.allServers.cutoffLevel; drained != (cutoffLevel == 0) {
+			t.Errorf("drained %v: cutoff level %d", drained, cutoffLevel)
 		}
 	}
 }
 
-// Slow answers are marks only while more than their share of recent ones is slow.
-func TestSlow(t *testing.T) {
+// Slow answers are overload marks only while more than maxSlowShare of recent answers are slow.
+func TestSlowAnswers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
-	slow := func(every int, took Micros) {
+	runSlow := func(every int, latency Micros) {
 		for i := range 40 {
 			s.lastOp++
 			s.arrive(s.lastOp, 0)
 			s.now += 10 * Millisecond
-			in := Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
+			input := Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
 			if i%every == 0 {
-				in.Latency = took
+				input.Latency = latency
 			}
-			s.step(in)
+			s.step(input)
 		}
 	}
-	s.summarize("one in eight slow", func() { slow(8, 900*Millisecond) })
-	s.summarize("one in two slow", func() { slow(2, 900*Millisecond) })
+	s.summarize("one in eight slow", func() { runSlow(8, 900*Millisecond) })
+	s.summarize("one in two slow", func() { runSlow(2, 900*Millisecond) })
 	s.compareTrace()
 }
 
-// A server that alone fails fast leaves the rotation; where all do, errors are marks.
+// A single server that fails fast leaves the rotation. If all servers do, errors are overload marks.
 func TestErrors(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
-	fail := func(n int, bad func(ServerID) bool) {
-		for range n {
+	fail := func(count int, isFaulty func(ServerID) bool) {
+		for range count {
 			s.runOp(0, func(to ServerID) Outcome {
-				if bad(to) {
+				if isFaulty(to) {
 					return Errored
 				}
 				return Acked
@@ -344,8 +349,9 @@
 	s.compareTrace()
 }
 
-// A server heard nothing of since a push that timed out is tried again by one op that can go again.
-func TestSilent(t *testing.T) {
+// A server that has not answered since a push that timed out leaves the rotation. Later one op that may be pushed
+// twice tries it.
+func TestSilentServer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
 	s.receiveList(ListCached, readyServers(2))
 	for range 2 {
@@ -362,32 +368,32 @@
 	s.compareTrace()
 }
 
-// Danger: where some answers never come, time-outs that teach their own length grow to the goal, and no time is left to
-// push again. Where all are late they grow all the same, or every push would be cut off.
+// Where some answers never come, timeouts counted in full would grow up to their bound and leave no time to push again.
+// Where all answers are late the timeouts must still grow, or every push would time out.
 func TestTimeoutsWithMissingAnswers(t *testing.T) {
-	const goal = 900 * Millisecond
-	after := func(every int) Micros {
-		a := latencyStats{mean: 100_000, deviation: 30_000}
-		timeOut := func() Micros { return min(goal, Micros(a.mean+6*a.deviation)) }
+	const maxTimeout = 900 * Millisecond
+	timeoutAfter := func(every int) Micros {
+		stats := latencyStats{mean: 100_000, deviation: 30_000}
+		timeout := func() Micros { return min(maxTimeout, Micros(stats.mean+6*stats.deviation)) }
 		for i := range 300 {
 			if i%every == 0 {
-				a.observe(timeOut(), TimedOut)
+				stats.observe(timeout(), TimedOut)
 			} else {
-				a.observe(Micros(60+40*(i%3))*Millisecond, Acked)
+				stats.observe(Micros(60+40*(i%3))*Millisecond, Acked)
 			}
 		}
-		return timeOut()
+		return timeout()
 	}
-	if got := after(6); got > goal/2 {
-		t.Errorf("a sixth missing: time-out after %d ms", got/Millisecond)
+	if got := timeoutAfter(6); got > maxTimeout/2 {
+		t.Errorf("a sixth of the answers missing: timeout after %d ms", got/Millisecond)
 	}
-	if got := after(1); got < goal {
-		t.Errorf("all late: time-out after %d ms", got/Millisecond)
+	if got := timeoutAfter(1); got < maxTimeout {
+		t.Errorf("all answers late: timeout after %d ms", got/Millisecond)
 	}
 }
 
-// A node that sees marks before its memory is full refuses all but the highest benefit at once.
-func TestFirstCut(t *testing.T) {
+// A node that gets overload marks within rateMemory of its first op rejects all but the highest benefit at once.
+func TestInitialCutoffLevel(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
 	for range 3 {
@@ -398,8 +404,8 @@
 	s.compareTrace()
 }
 
-// A node that has stood idle since its start is no wiser than a fresh one.
-func TestFirstCutIdle(t *testing.T) {
+// A node that has been idle since its start behaves like one that has just started.
+func TestInitialCutoffLevelAfterIdle(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
 	s.summarize("idle", func() { s.advance(5 * Second) })
@@ -411,14 +417,14 @@
 	s.compareTrace()
 }
 
-// A server is slow as soon as a push there is overdue: its turns shrink before an answer has come, or a time-out.
+// A server counts as slow as soon as a push there is overdue: its weight falls before an answer or a timeout has come.
 func TestOverduePushesLowerWeight(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
 	s.summarize("well", func() { s.runOps(400, 0, Acked) })
 	turns := map[ServerID]int{}
 	for range 200 {
-		s.node.servers[0].inFlight = 0 // the skip is not what keeps ops away
+		s.node.servers[0].inFlight = 0 // so that fullness does not keep ops away
 		s.lastOp++
 		s.arrive(s.lastOp, 0)
 		to := s.lastServer[fmt.Sprint(s.lastOp)]
@@ -431,7 +437,7 @@
 		}
 	}
 	if turns[1] > 5 {
-		t.Errorf("turns by server %v: the slow one keeps its share", turns)
+		t.Errorf("pushes by server %v: the slow server keeps its share", turns)
 	}
 	s.summarize("nothing is pushed there for long", func() { s.advance(20 * Second) })
 	for range 20 {
@@ -439,12 +445,12 @@
 		turns[s.lastServer[fmt.Sprint(s.lastOp)]]++
 	}
 	if turns[1] < 5 {
-		t.Errorf("turns by server %v: the one that was slow gets none back", turns)
+		t.Errorf("pushes by server %v: the server that was slow gets no pushes again", turns)
 	}
 }
 
-// Each of ten servers sees ten ops a second of this node, and of many such nodes a mark for every fifth op. In the
-// first tier all servers are then controlled together; further down a nack costs more.
+// Each of ten servers gets ten ops per second from this node, one of many, and rejects every fifth. In the first tier
+// all servers are then controlled together; in lower tiers they are not, as a nack costs more there.
 func TestControlOfAllServersByTier(t *testing.T) {
 	for tier, controlled := range []bool{true, false} {
 		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
@@ -453,52 +459,54 @@
 		s.receiveList(ListCached, readyServers(10))
 		s.liftConcurrencyLimits()
 		for i := range 700 {
-			how := Acked
+			outcome := Acked
 			if i > 200 && i%5 == 0 {
-				how = Full
+				outcome = Full
 			}
-			s.runOps(1, 1, how)
+			s.runOps(1, 1, outcome)
 		}
 		if s.node.allServers.active != controlled {
-			t.Errorf("tier %d: control of all servers together: %v", tier, s.node.allServers.active)
+			t.Errorf("tier %d: control of all servers together is active: %v", tier, s.node.allServers.active)
 		}
 	}
 }
 
-// Danger: where a server does less the more it holds, marks come when it is lost. Its room doubles in an answer's time
-// at first, shrinks as soon as answers take more than 5/3 of the usual, and is never under four: a node that holds
-// so little can't tell a crowd from chance.
-func TestRoom(t *testing.T) {
+// Where a server does less work the more pushes it holds, overload marks come too late. Its concurrency limit doubles per
+// latency at first, falls as soon as answers take more than 5/3 of the baseline, and is never below four: with so few
+// pushes in flight a node cannot tell congestion from chance.
+func TestConcurrencyLimit(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
 	s.summarize("well, one at a time", func() { s.runOps(300, 0, Acked) })
-	round := func(took Micros) {
-		from := s.lastOp
+	round := func(latency Micros) {
+		last := s.lastOp
 		for range 30 {
 			s.lastOp++
 			s.arrive(s.lastOp, 0)
 		}
-		s.advance(took)
-		for id := from + 1; id <= s.lastOp; id++ {
+		s.advance(latency)
+		for id := last + 1; id <= s.lastOp; id++ {
 			if _, found := s.node.opSlots[id]; found {
-				s.ackFirstPush(id, took)
+				s.ackFirstPush(id, latency)
 			}
 		}
 	}
-	for i, took := range []Micros{50, 50, 50, 50, 150, 150, 150, 150, 150, 150, 50, 50, 50} {
-		s.summarize(fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, took), func() { round(took * Millisecond) })
+	for i, latency := range []Micros{50, 50, 50, 50, 150, 150, 150, 150, 150, 150, 50, 50, 50} {
+		title := fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, latency)
+		s.summarize(title, func() { round(latency * Millisecond) })
 	}
 	s.compareTrace()
 }
 
-// Where a push to another zone costs benefit, the own zone's servers come first while they have room and are not under
-// control; with no such cost, turns are even. Control evens them out again, and a zone that is lost is passed over.
+// Where a push to another zone costs benefit, the servers of the own zone come first while they have few pushes in
+// flight and are not under control. Without such a cost, or under control, all zones get even shares. A zone that has
+// failed is passed over.
 func TestOwnZone(t *testing.T) {
-	for _, cross := range []float64{0, 0.01} {
-		t.Run(fmt.Sprint(cross), func(t *testing.T) {
+	for _, crossZoneCost := range []float64{0, 0.01} {
+		t.Run(fmt.Sprint(crossZoneCost), func(t *testing.T) {
 			s := newScenario(t, unaskedRegistry, redeliverable)
 			s.shareServers()
-			s.node.topology.CrossZoneCost = cross
+			s.node.topology.CrossZoneCost = crossZoneCost
 			list := readyServers(8)
 			for i := range list {
 				list[i].Zone = ZoneID(i % 2)
@@ -528,7 +536,9 @@
 			s.advance(10 * Second)
 			s.summarize("back, 80 ops", func() { s.runOps(80, 0, Acked) })
 			for i := range s.node.servers {
-				s.node.servers[i].active, s.node.servers[i].cutoffLevel, s.node.servers[i].lastActivityAt = true, -1, s.now
+				s.node.servers[i].active = true
+				s.node.servers[i].cutoffLevel = -1
+				s.node.servers[i].lastActivityAt = s.now
 			}
 			s.summarize("under control, 12 ops", func() { s.runOps(12, 0, Acked) })
 			s.compareTrace()
@@ -536,13 +546,13 @@
 	}
 }
 
-// Further pushes go by benefit, and those that add work are bounded for the whole node.
+// The number of further pushes depends on benefit, and those that add work have a budget for the whole node.
 func TestFurtherPushes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(8))
 	s.summarize("well", func() { s.runOps(400, 0, Acked) })
-	for c := range CategoryID(2) {
-		s.runOp(c, func(ServerID) Outcome { return Full })
+	for category := range CategoryID(2) {
+		s.runOp(category, func(ServerID) Outcome { return Full })
 	}
 	s.summarize("twenty ops, all pushes reset", func() {
 		for range 20 {
@@ -553,7 +563,7 @@
 	s.compareTrace()
 }
 
-// The registry is asked at random, again after failures ever later, and not while subscribed.
+// Calls to the registry come at random times, back off after failures, and stop while subscribed.
 func TestRegistry(t *testing.T) {
 	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
@@ -569,8 +579,8 @@
 	s.compareTrace()
 }
 
-// Nodes keep to runs of the servers that use all of them alike, and go beyond for those that are down.
-func TestFewServers(t *testing.T) {
+// A node keeps to its subset of the servers and passes over servers that are down for the next ones in the ring.
+func TestSubset(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.shareServers()
 	s.receiveList(ListCached, readyServers(20))
@@ -590,13 +600,13 @@
 	s.compareTrace()
 }
 
-// Turns are even; a server that holds over twice the mean is skipped, a slower one gets fewer.
+// Pushes are spread evenly; a server with more than twice the mean number of pushes in flight is passed over.
 func TestRotation(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
 	s.summarize("eighty ops", func() { s.runOps(80, 0, Acked) })
-	for i := range OpID(4) {
-		s.arrive(i, 0)
+	for id := range OpID(4) {
+		s.arrive(id, 0)
 	}
 	s.endPush(0, 0, Acked)
 	s.endPush(1, 0, Acked)
@@ -605,32 +615,33 @@
 	s.compareTrace()
 }
 
-// The ordinary path allocates nothing.
+// An op that is acked by its first push causes no allocation.
 func TestNoAllocation(t *testing.T) {
-	n := newScenario(t, unaskedRegistry, redeliverable).node
+	node := newScenario(t, unaskedRegistry, redeliverable).node
 	now, op := Second, OpID(0)
-	n.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: readyServers(4)})
-	var in Input
+	node.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: readyServers(4)})
+	var input Input
 	got := testing.AllocsPerRun(2000, func() {
 		op++
 		now += Millisecond
-		in = Input{Kind: OpArrived, Op: op, Deadline: now + 2*Second}
-		to := n.Step(now, &in)[0].Server
-		in = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}
-		n.Step(now, &in)
+		input = Input{Kind: OpArrived, Op: op, Deadline: now + 2*Second}
+		to := node.Step(now, &input)[0].Server
+		input = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}
+		node.Step(now, &input)
 	})
 	if got != 0 {
-		t.Errorf("%v allocations an op", got)
+		t.Errorf("%v allocations per op", got)
 	}
 }
 
-// A node that each server hears little of controls all of them together, by benefit; one mark starts nothing.
-func TestQuietNode(t *testing.T) {
+// A node that sends little to each server controls all servers together, by benefit. A single overload mark at a server
+// does not start the control of that server.
+func TestControlOfAllServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(8))
-	mixed := func(n int, how Outcome) {
-		for i := range n {
-			s.runOp(CategoryID(i%2), func(ServerID) Outcome { return how })
+	mixed := func(count int, outcome Outcome) {
+		for i := range count {
+			s.runOp(CategoryID(i%2), func(ServerID) Outcome { return outcome })
 			s.advance(250 * Millisecond)
 		}
 	}
@@ -643,8 +654,9 @@
 	s.compareTrace()
 }
 
-// Hundreds of quiet nodes do not push a cold server over with an op each: their parts add up to one whole.
-func TestColdAndMany(t *testing.T) {
+// Hundreds of nodes with little traffic do not overload a cold server with an op each: their shares add up to no more
+// than what the server can do.
+func TestColdServerWithManyNodes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list, counts := readyServers(1), [4]int{}
 	for seed := range int64(200) {
@@ -666,9 +678,9 @@
 	s.compareTrace()
 }
 
-// At a quiet node a push that is overdue is a mark while it is out, and only once: control starts before
-// any of them ends.
-func TestOverdue(t *testing.T) {
+// At a node with little traffic an overdue push is an overload mark while it is in flight, and only once: control starts
+// before any of the pushes ends.
+func TestOverduePushes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.shareServers()
 	s.receiveList(ListCached, readyServers(10))
@@ -695,9 +707,9 @@
 	s.compareTrace()
 }
 
-// Danger: at a busy node a queue grows for as long as an answer takes before its marks are seen. An overdue push is a
-// mark there too while it is out: control starts before any of them ends.
-func TestOverdueBusy(t *testing.T) {
+// At a node with much traffic a queue would grow for as long as an answer takes before its overload marks are seen. An
+// overdue push is a mark there too while it is in flight: control starts before any of the pushes ends.
+func TestOverduePushesAtHighTraffic(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(2))
 	s.liftConcurrencyLimits()
@@ -712,7 +724,7 @@
 	s.compareTrace()
 }
 
-// Danger: servers and ops are ever new on long days; what the module keeps is bounded by what is there at once.
+// Servers and ops come and go all the time: a node keeps no more state than those present at once need.
 func TestMemoryIsBounded(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list := readyServers(4)
@@ -729,39 +741,44 @@
 		}
 		s.now += 10 * Millisecond
 	}
-	if n := s.node; len(n.servers) > 6 || len(n.serverSlots) > 6 || len(n.ops) > 4 || len(n.opSlots) > 0 {
-		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.serverSlots), len(n.ops), len(n.opSlots))
+	if node := s.node; len(node.servers) > 6 || len(node.serverSlots) > 6 || len(node.ops) > 4 || len(node.opSlots) > 0 {
+		t.Errorf("the node keeps %d servers, %d server slots, %d ops, %d op slots",
+			len(node.servers), len(node.serverSlots), len(node.ops), len(node.opSlots))
 	}
 }
 
-// Weights that others' judgement changes say nothing of the subscription: a node whose list service is away still asks, and
-// no server goes or comes by them.
+// Weights changed by outlier detection tell nothing about the subscription: a node that has lost the registry still
+// calls it, and no server is added or removed.
 func TestReweightedList(t *testing.T) {
 	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
 	s.receiveList(ListCached, readyServers(3))
 	s.receiveList(ListFailed, nil)
 	next := s.node.subscription.nextCallAt
-	little := readyServers(3)[1:2]
-	little[0].Weight = 1.0 / 32
-	s.receiveList(ListReweighted, little)
+	reweighted := readyServers(3)[1:2]
+	reweighted[0].Weight = 1.0 / 32
+	s.receiveList(ListReweighted, reweighted)
 	if got := s.node.subscription.nextCallAt; got == 0 || got != next {
-		t.Errorf("the next call is at %d, not %d", got, next)
+		t.Errorf("the next call to the registry is at %d, want %d", got, next)
 	}
-	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverSlots[2]].Weight != 1.0/32 || s.node.servers[s.node.serverSlots[1]].Weight != 1 {
-		t.Errorf("%d servers: %+v", n, s.node.servers)
+	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverSlots[2]].Weight != 1.0/32 ||
+		s.node.servers[s.node.serverSlots[1]].Weight != 1 {
+		t.Errorf("%d servers in the ring; the node has %+v", n, s.node.servers)
 	}
 }
 
-// Danger: where no category has any benefit, a share of the highest is no number, and every op was nacked unsent.
+// Where no category has any benefit, a share of the highest benefit would be no number, and every op would be nacked
+// without a push.
 func TestZeroBenefit(t *testing.T) {
-	n := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond}, []Category{{TargetLatency: Second, TTL: Second}}, PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
+	node := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond},
+		[]Category{{TargetLatency: Second, TTL: Second}},
+		PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
 		ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: Second}, RegistryRule{})
-	n.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
+	node.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
 	pushed := false
-	for _, e := range n.Step(2, &Input{Kind: OpArrived, Op: 1, Deadline: Second}) {
-		pushed = pushed || e.Kind == Push
+	for _, effect := range node.Step(2, &Input{Kind: OpArrived, Op: 1, Deadline: Second}) {
+		pushed = pushed || effect.Kind == Push
 	}
 	if !pushed {
-		t.Error("an op of no benefit is not pushed to an idle server")
+		t.Error("an op without benefit is not pushed to an idle server")
 	}
 }
