--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -35,7 +35,7 @@
 		"a word that one leaves ends here":     {"members/members.go", "if news {", "if news && false {", "internal/fleet/members", "TestPassesOnOnce"},
 		"who was found dead did not leave":     {"members/table.go", "if m.State == Dead {", "if false {", "internal/fleet/members", "TestLeavesInAnyOrder"},
 		"weights of drained servers change":    {"../node/peers.go", "e.State == policy.Ready && was != is", "was != is", "internal/node", "TestPeers"},
-		"weights look like a list that came":   {"../../policy/policy.go", "case !r.MustSubscribe || form == ListReweighted:", "case !r.MustSubscribe:", "policy", "TestReweightedList"},
+		"weights look like a list that came":   {"../../policy/list.go", "case !r.MustSubscribe || form == ListReweighted:", "case !r.MustSubscribe:", "policy", "TestReweightedList"},
 		"older news keeps fresher out":         {"judged/judged.go", "!b.makeRoom(k.at)", "true", "internal/fleet/judged", "TestBounds"},
 
 		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
@@ -63,7 +63,7 @@
 		"a silent watch waits":                     {"../registry/registry.go", "least := 1; errors.Is", "least := 1; false && errors.Is", "internal/registry", "TestWatch"},
 		"an older whole list is taken":             {"../registry/registry.go", "if generation < r.generation {", "if false {", "internal/registry", "TestWatch"},
 		"a watch comes back ever later":            {"../registry/registry.go", "most = min(most, grace/2)", "_ = grace", "internal/registry", "TestUnaskedSpread"},
-		"an op without benefit is nacked":          {"../../policy/policy.go", "cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 1)", "n.benefitLevels[len(n.benefitLevels)-1]", "policy", "TestZeroBenefit"},
+		"an op without benefit is nacked":          {"../../policy/op.go", "cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 1)", "cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 0)", "policy", "TestZeroBenefit"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path, err := filepath.Abs(c.file)
