--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -35,7 +35,7 @@
 		"a word that one leaves ends here":     {"members/members.go", "if news {", "if news && false {", "internal/fleet/members", "TestPassesOnOnce"},
 		"who was found dead did not leave":     {"members/table.go", "if m.State == Dead {", "if false {", "internal/fleet/members", "TestLeavesInAnyOrder"},
 		"weights of drained servers change":    {"../node/peers.go", "e.State == policy.Ready && was != is", "was != is", "internal/node", "TestPeers"},
-		"weights look like a list that came":   {"../../policy/list.go", "case !r.MustSubscribe || form == ListReweighted:", "case !r.MustSubscribe:", "policy", "TestReweightedList"},
+		"weights look like a list that came":   {"../../policy/list.go", "case !s.MustSubscribe || form == ListReweighted:", "case !s.MustSubscribe:", "policy", "TestReweightedList"},
 		"older news keeps fresher out":         {"judged/judged.go", "!b.makeRoom(k.at)", "true", "internal/fleet/judged", "TestBounds"},
 
 		"a push goes on for a client that left":    {"../node/op.go", "&& !p.op.stays() {", "&& false {", "internal/node", "TestLeftInMailbox"},
--- a/policy/list.go
+++ b/policy/list.go
@@ -17,18 +17,18 @@
 // scheduleNextCall sets the time of the next call to the registry after a list, or a failure, has come. All nodes
 // may start, or lose the registry, at the same moment, and the registry is one small service: calls are
 // therefore spread at random and back off after failures.
-func (r *subscription) scheduleNextCall(now Micros, form ListForm, rng *rand.Rand) {
+func (s *subscription) scheduleNextCall(now Micros, form ListForm, rng *rand.Rand) {
 	switch {
-	case !r.MustSubscribe || form == ListReweighted:
+	case !s.MustSubscribe || form == ListReweighted:
 	case form == ListCached:
-		r.nextCallAt = now + 1 + Micros(rng.Float64()*float64(r.SubscribeWithin/8))
-		r.retryDelay = r.SubscribeWithin / 16
+		s.nextCallAt = now + 1 + Micros(rng.Float64()*float64(s.SubscribeWithin/8))
+		s.retryDelay = s.SubscribeWithin / 16
 	case form == ListFailed:
-		r.nextCallAt = now + 1 + Micros((1.0/2+rng.Float64())*float64(r.retryDelay))
-		r.retryDelay = min(2*r.retryDelay, r.SubscribeWithin/2)
+		s.nextCallAt = now + 1 + Micros((1.0/2+rng.Float64())*float64(s.retryDelay))
+		s.retryDelay = min(2*s.retryDelay, s.SubscribeWithin/2)
 	default:
-		r.nextCallAt = 0
-		r.retryDelay = r.SubscribeWithin / 16
+		s.nextCallAt = 0
+		s.retryDelay = s.SubscribeWithin / 16
 	}
 }
 
@@ -52,7 +52,7 @@
 			n.serverSlots[entry.Server] = slot
 		}
 		server := &n.servers[slot]
-		// An outdated list may come again. Without this, a cold server would count as warm.
+		// An outdated list may come again. Without the later of both starts, a cold server would count as warm.
 		if found {
 			entry.StartedAt = max(entry.StartedAt, server.StartedAt)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -27,7 +27,8 @@
 	controlInterval = rateMemory / 8
 	// splashAmount is what an admitted op adds to the leaky bucket, which counts ops.
 	splashAmount = 1.0
-	// maximumFill is the capacity of the leaky bucket, in ops.
+	// maximumFill is the capacity of the leaky bucket, in ops. It is also the smallest concurrency limit, and the
+	// fewest pushes in flight that count as a queue: with fewer, a node cannot tell congestion from chance.
 	maximumFill = 4 * splashAmount
 	// leakIntervalTicks is the LeakInterval, in ticks of the clock.
 	leakIntervalTicks = 4
@@ -47,11 +48,13 @@
 	maxSlowShare = 1.0 / 3
 	// maxErrorShare is the share of errors in all recent answers above which errors count as overload marks.
 	maxErrorShare = 1.0 / 8
-	// shareSamples is the number of recent answers over which the shares of a server are averaged.
+	// shareSamples is the number of recent answers over which shares and the latencies of a category are averaged.
 	shareSamples = 16
-	// latencySamples is the number of recent answers over which the relative latency of a server is averaged.
+	// latencySamples is the number of recent answers over which the relative latency and the congestion of a server
+	// are averaged, and the timeouts after idle time.
 	latencySamples = 4
-	// subsetSize is the number of servers in a node's rotation, unless more pushes than that are allowed for an op.
+	// subsetSize is the number of servers in a node's rotation. It is more only where an op may have more pushes than
+	// that, and may be less where nodes send each other peer messages.
 	subsetSize = 10
 	// retryBudgetRatio is the number of further pushes that may add work, for each first push.
 	retryBudgetRatio = 1.0 / 8
@@ -73,33 +76,33 @@
 	coldStart              ColdStartRule
 	subscription           subscription
 	categories             []Category
-	latencies              []latencyStats // by category
-	benefitLevels          []float64      // distinct benefits, ascending
-	offeredRate            decayingRate   // ops that arrive
-	ackRate                decayingRate   // pushes that are acked
-	servers                []knownServer  // by slot
-	serverSlots            map[ServerID]int32
-	ops                    []pendingOp // by slot
-	freeOpSlots            []int32
-	opSlots                map[OpID]int32
-	errorShare             float64    // share of recent answers of all servers that are errors
-	retryBudget            float64    // further pushes that may add work
-	warmServerAckRate      float64    // acks per second of a warm server, averaged over a longer time
-	sustainableRate        float64    // pushes per second that a warm server certainly takes from this node
-	selectionRound         uint64     // counts calls of nextInRotation
-	allServers             throttle   // of all servers together, used while traffic to each is low
-	upServers              float64    // servers in the rotation that are not down
-	inFlight               float64    // pushes not yet ended
-	upCapacity             float64    // sum of the capacity shares of upServers
-	maxInFlightAtMark      float64    // most pushes in flight at an overload mark, while allServers is active
-	ring                   []int32    // slots of the ready servers, by server id
-	subset                 []int32    // slots of the ring in this node's rotation
-	zoneSubset             []int32    // slots of the own zone that are tried first
-	timeoutShareByIdleStep [8]float64 // share of recent pushes that timed out, by the server's idle time in doubling steps
-	peerMessageBudget      float64    // peer messages that may be sent
-	nextTickAt             Micros     // time of the next control tick
-	ackRateSamples         float64    // control ticks over which warmServerAckRate is averaged
-	effects                []Effect   // result of the current step
+	latencies              []latencyStats     // by category
+	benefitLevels          []float64          // distinct benefits, ascending
+	offeredRate            decayingRate       // ops that arrive
+	ackRate                decayingRate       // pushes that are acked
+	servers                []knownServer      // by slot
+	serverSlots            map[ServerID]int32 // index in servers
+	ops                    []pendingOp        // by slot
+	freeOpSlots            []int32            // slots for the next ops
+	opSlots                map[OpID]int32     // index in ops
+	errorShare             float64            // share of recent answers of all servers that are errors
+	retryBudget            float64            // further pushes that may add work
+	warmServerAckRate      float64            // acks per second of a warm server, averaged over a longer time
+	sustainableRate        float64            // pushes per second that a warm server certainly takes from this node
+	selectionRound         uint64             // counts calls of nextInRotation
+	allServers             throttle           // of all servers together, used while traffic to each is low
+	upServers              float64            // servers in the rotation that are not down
+	inFlight               float64            // pushes not yet ended
+	upCapacity             float64            // sum of the capacity shares of upServers
+	maxInFlightAtMark      float64            // most pushes in flight at an overload mark, while allServers is active
+	ring                   []int32            // slots of the ready servers, by server id
+	subset                 []int32            // slots of the ring in this node's rotation
+	zoneSubset             []int32            // slots of the own zone that are tried first
+	timeoutShareByIdleStep [8]float64         // share of recent pushes that timed out, by the server's idle time in doubling steps
+	peerMessageBudget      float64            // peer messages that may be sent
+	nextTickAt             Micros             // time of the next control tick
+	ackRateSamples         float64            // control ticks over which warmServerAckRate is averaged
+	effects                []Effect           // result of the current step
 }
 
 // New returns a node that does not know any server yet. seed starts its random numbers: nodes with the same seed
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -39,16 +39,16 @@
 	baseline  float64
 }
 
-// observe adds the latency of a push. A timeout counts for little more than the mean: where a tenth of the answers
-// never come, timeouts counted in full would lengthen the next timeouts until no time is left for another push.
-// Where all answers are late, the timeouts still grow.
-func (a *latencyStats) observe(latency Micros, outcome Outcome) {
+// observe adds the latency of a push. A timeout counts for at most the mean plus 5/4 of the deviation: where a tenth of
+// the answers never come, timeouts counted in full would lengthen the next timeouts until no time is left for another
+// push. Where all answers are late, the timeouts still grow.
+func (s *latencyStats) observe(latency Micros, outcome Outcome) {
 	sample := float64(latency)
 	if outcome == TimedOut {
-		sample = min(sample, a.mean+5.0/4*a.deviation)
+		sample = min(sample, s.mean+5.0/4*s.deviation)
 	}
-	updateMean(&a.deviation, math.Abs(sample-a.mean), shareSamples)
-	updateMean(&a.mean, sample, shareSamples)
+	updateMean(&s.deviation, math.Abs(sample-s.mean), shareSamples)
+	updateMean(&s.mean, sample, shareSamples)
 }
 
 // updateMean moves an exponentially weighted mean over about the given number of samples towards a new sample.
@@ -69,8 +69,8 @@
 }
 
 // refill adds tokens for the time since the last call, up to the capacity, and returns the tokens available.
-func (a *tokenBucket) refill(now Micros, perSecond, capacity float64) float64 {
-	a.available = min(capacity, a.available+perSecond*float64(now-a.updatedAt)/float64(Second))
-	a.updatedAt = now
-	return a.available
+func (b *tokenBucket) refill(now Micros, perSecond, capacity float64) float64 {
+	b.available = min(capacity, b.available+perSecond*float64(now-b.updatedAt)/float64(Second))
+	b.updatedAt = now
+	return b.available
 }
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -10,11 +10,11 @@
 	acceptedRate   decayingRate // pushes that the server may have run
 	targetMarkRate float64      // overload marks per second that control aims at
 	slowShare      float64      // share of recent answers that were slow
-	active         bool
-	cutoffLevel    int     // lowest benefit level that may pass
-	leakInterval   Micros  // LeakInterval
-	bucketFill     float64 // ops in the leaky bucket
-	leakAmount     float64 // LeakAmount: ops that leak from the bucket per LeakInterval
+	active         bool         // control is in force
+	cutoffLevel    int          // lowest benefit level that may pass
+	leakInterval   Micros       // LeakInterval
+	bucketFill     float64      // ops in the leaky bucket
+	leakAmount     float64      // LeakAmount: ops that leak from the bucket per LeakInterval
 	maxLeakAmount  float64
 	minLeakAmount  float64
 	lastLeakAt     Micros
@@ -131,9 +131,10 @@
 	}
 }
 
-// hasLowTraffic reports whether each server gets too few pushes from this node for its overload marks alone to tell
-// anything. Without the control of all servers, each of many such nodes would stay below the target mark rate and
-// none would throttle. Below the first tier the bound is lower, as a nack there discards work already done.
+// hasLowTraffic reports whether the servers get too few pushes from this node for the overload marks of one server
+// alone to tell anything. Without the control of all servers, the marks of each of many such nodes would stay below the
+// target rate, and none would throttle. Below the first tier the bound is lower, as a nack there discards work already
+// done.
 func (n *Node) hasLowTraffic() bool {
 	maxAcceptedPerServer := 3 * targetMarkRate
 	if n.topology.Tier == 0 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -9,17 +9,26 @@
 	Second             = 1000 * Millisecond
 )
 
-// Each kind of identifier has a type of its own. None of them carries any information.
+// Each kind of identifier has a type of its own, so that they cannot be mixed up. None carries further information.
 type (
-	OpID          uint32 // identifies an op among the pending ops of a node
-	ServerID      uint64 // identifies a server
-	CategoryID    uint8  // is the index of a Category
-	TenantID      uint16 // identifies a tenant
-	ZoneID        uint8  // identifies a zone
-	MachineTypeID uint8  // identifies a type of machine
-	CellID        uint16 // identifies a cell
-	PushNumber    uint8  // numbers the pushes of an op, from 0
-	TimerToken    uint32 // tells which timer has fired
+	// OpID identifies an op among the pending ops of a node.
+	OpID uint32
+	// ServerID identifies a server.
+	ServerID uint64
+	// CategoryID is the index of a Category in the list given to New.
+	CategoryID uint8
+	// TenantID identifies a tenant.
+	TenantID uint16
+	// ZoneID identifies a zone.
+	ZoneID uint8
+	// MachineTypeID identifies a type of machine.
+	MachineTypeID uint8
+	// CellID identifies a cell.
+	CellID uint16
+	// PushNumber numbers the pushes of an op, from 0.
+	PushNumber uint8
+	// TimerToken tells which timer has fired.
+	TimerToken uint32
 )
 
 // DeliverySemantics tells what happens when an op runs a second time.
@@ -203,5 +212,5 @@
 // external processor that is called per op, or HL7 over MLLP. An adapter turns its frames into Inputs and carries
 // out the Effects. The returned slice is valid until the next call.
 type Decider interface {
-	Step(now Micros, in *Input) []Effect
+	Step(now Micros, input *Input) []Effect
 }
