--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -156,7 +156,7 @@
 	s.trace.Reset()
 	run()
 	counts := map[string]int{}
-	var logs []string
+	var logLines []string
 	for _, line := range strings.Split(s.trace.String(), "\n") {
 		fields := strings.Fields(line)
 		switch {
@@ -165,13 +165,13 @@
 		case len(fields) > 1 && (fields[1] == "nack" || fields[1] == "dead" || fields[1] == "close"):
 			counts[fields[1]]++
 		case len(fields) > 1 && fields[1] == "log:":
-			logs = append(logs, line+"\n")
+			logLines = append(logLines, line+"\n")
 		}
 	}
 	s.trace.Reset()
 	s.trace.WriteString(earlier)
 	s.record("%s: %v", title, counts)
-	s.trace.WriteString(strings.Join(logs, ""))
+	s.trace.WriteString(strings.Join(logLines, ""))
 }
 
 // compareTrace compares the trace with the file under testdata that has the name of the test.
--- a/policy/peer_message_test.go
+++ b/policy/peer_message_test.go
@@ -196,7 +196,7 @@
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for name, test := range map[string]struct {
 		afterIdle, whileBusy Outcome
-		closes               bool
+		wantClosed           bool
 	}{
 		"well":                 {Acked, Acked, false},
 		"lost after idle time": {TimedOut, Acked, true},
@@ -226,7 +226,7 @@
 					send(test.whileBusy)
 				}
 			}
-			if closed != test.closes {
+			if closed != test.wantClosed {
 				t.Errorf("idle connections closed: %v", closed)
 			}
 		})
@@ -297,7 +297,7 @@
 	s := newPeerScenario(t, 40, 0, 8)
 	pushed, nacked := 0, 0
 	var inFlight []OpID
-	for i := range 400 {
+	for round := range 400 {
 		s.lastOp++
 		input := Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 2*Second}
 		answered := 0
@@ -314,18 +314,18 @@
 			}
 		}
 		if answered != 1 {
-			t.Errorf("op %d: pushed or nacked %d times", i, answered)
+			t.Errorf("op %d: pushed or nacked %d times", round, answered)
 		}
-		if i%10 < 4 {
-			s.receiveEvent(peerPushSent, ServerID(1+i%10), 0)
+		if round%10 < 4 {
+			s.receiveEvent(peerPushSent, ServerID(1+round%10), 0)
 		}
 		for _, slot := range s.node.subset {
 			if server := &s.node.servers[slot]; float64(server.inFlight) > server.concurrencyLimit+1 {
-				t.Errorf("op %d: server %d holds %d pushes, limit %v", i, slot, server.inFlight, server.concurrencyLimit)
+				t.Errorf("op %d: server %d holds %d pushes, limit %v", round, slot, server.inFlight, server.concurrencyLimit)
 			}
 		}
 		s.now += 10 * Millisecond
-		if i%10 == 9 { // ten answers per 100 ms, which the servers can do
+		if round%10 == 9 { // ten answers per 100 ms, which the servers can do
 			for _, op := range inFlight[:min(len(inFlight), 10)] {
 				s.ackFirstPush(op, 200*Millisecond)
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -422,37 +422,37 @@
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
 	s.summarize("well", func() { s.runOps(400, 0, Acked) })
-	turns := map[ServerID]int{}
+	pushesByServer := map[ServerID]int{}
 	for range 200 {
 		s.node.servers[0].inFlight = 0 // so that fullness does not keep ops away
 		s.lastOp++
 		s.arrive(s.lastOp, 0)
-		to := s.lastServer[fmt.Sprint(s.lastOp)]
-		turns[to]++
+		server := s.lastServer[fmt.Sprint(s.lastOp)]
+		pushesByServer[server]++
 		s.advance(10 * Millisecond)
-		if to != 1 {
+		if server != 1 {
 			s.endPush(s.lastOp, 0, Acked)
-		} else if turns[1] == 1 {
+		} else if pushesByServer[1] == 1 {
 			s.summarize("overdue, and nothing has come back", func() { s.advance(700 * Millisecond) })
 		}
 	}
-	if turns[1] > 5 {
-		t.Errorf("pushes by server %v: the slow server keeps its share", turns)
+	if pushesByServer[1] > 5 {
+		t.Errorf("pushes by server %v: the slow server keeps its share", pushesByServer)
 	}
 	s.summarize("nothing is pushed there for long", func() { s.advance(20 * Second) })
 	for range 20 {
 		s.runOps(1, 0, Acked)
-		turns[s.lastServer[fmt.Sprint(s.lastOp)]]++
+		pushesByServer[s.lastServer[fmt.Sprint(s.lastOp)]]++
 	}
-	if turns[1] < 5 {
-		t.Errorf("pushes by server %v: the server that was slow gets no pushes again", turns)
+	if pushesByServer[1] < 5 {
+		t.Errorf("pushes by server %v: the server that was slow gets no pushes again", pushesByServer)
 	}
 }
 
 // Each of ten servers gets ten ops per second from this node, one of many, and rejects every fifth. In the first tier
 // all servers are then controlled together; in lower tiers they are not, as a nack costs more there.
 func TestControlOfAllServersByTier(t *testing.T) {
-	for tier, controlled := range []bool{true, false} {
+	for tier, wantActive := range []bool{true, false} {
 		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 		s.node.topology.Tier, s.node.topology.TierCount = tier, 2
 		s.shareServers()
@@ -465,7 +465,7 @@
 			}
 			s.runOps(1, 1, outcome)
 		}
-		if s.node.allServers.active != controlled {
+		if s.node.allServers.active != wantActive {
 			t.Errorf("tier %d: control of all servers together is active: %v", tier, s.node.allServers.active)
 		}
 	}
@@ -551,8 +551,8 @@
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(8))
 	s.summarize("well", func() { s.runOps(400, 0, Acked) })
-	for category := range CategoryID(2) {
-		s.runOp(category, func(ServerID) Outcome { return Full })
+	for id := range CategoryID(2) {
+		s.runOp(id, func(ServerID) Outcome { return Full })
 	}
 	s.summarize("twenty ops, all pushes reset", func() {
 		for range 20 {
--- a/policy/script_test.go
+++ b/policy/script_test.go
@@ -96,17 +96,17 @@
 		encoded := peerMessage{event, relativeLatency, foldServerID(server)}.encode()
 		s.step(Input{Kind: PeerMessageReceived, Message: encoded[:]})
 	case "hear": // bytes of a peer message, in hexadecimal
-		raw, err := hex.DecodeString(fields[1])
+		message, err := hex.DecodeString(fields[1])
 		if err != nil {
 			s.Fatal(err)
 		}
-		s.step(Input{Kind: PeerMessageReceived, Message: raw})
+		s.step(Input{Kind: PeerMessageReceived, Message: message})
 	case "list": // form; the name of each server, then - (draining), ! (gone) or + (just started)
 		var list []ListEntry
-		for _, word := range fields[2 : len(fields)-3] {
-			entry := ListEntry{Server: ServerID(word[0]-'a') + 1, Weight: 1}
-			entry.State = map[string]ServerState{"-": Draining, "!": Gone}[word[1:]]
-			entry.StartedAt = s.now * Micros(indicator(word[1:] == "+"))
+		for _, item := range fields[2 : len(fields)-3] {
+			entry := ListEntry{Server: ServerID(item[0]-'a') + 1, Weight: 1}
+			entry.State = map[string]ServerState{"-": Draining, "!": Gone}[item[1:]]
+			entry.StartedAt = s.now * Micros(indicator(item[1:] == "+"))
 			list = append(list, entry)
 		}
 		form := map[string]ListForm{"changes": ListChanges, "whole": ListFull, "failed": ListFailed}[fields[1]]
