--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -127,7 +127,7 @@
 		return c.awaitReplica(k)
 	}
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bound(c.nodes + k)}}
-	r, err := store.NewReplica(store.ReplicaOptions{Number: k, Peers: c.advertised(), Dir: dir, Check: apply.CheckChange, Dial: dialer.DialContext}, zerolog.Nop())
+	r, err := store.NewReplica(store.ReplicaOptions{Index: k, Replicas: c.advertised(), Dir: dir, Validate: apply.ValidateChange, Dial: dialer.DialContext}, zerolog.Nop())
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := apply.New(apply.Options{Config: conf, Getenv: none, Lock: &sync.Mutex{}, Life: fmt.Sprint(place), Seed: c.seed + uint64(place), Log: zerolog.Nop(),
+	a := apply.New(apply.Options{Config: conf, Getenv: none, InstallLock: &sync.Mutex{}, Incarnation: fmt.Sprint(place), Seed: c.seed + uint64(place), Log: zerolog.Nop(),
 		Install: func(*config.Config) error { return nil }})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -191,13 +191,13 @@
 	return func() { cancel(); <-over }, nil
 }
 
-func (c *storeCluster) state(k int) (*store.State, error) {
+func (c *storeCluster) state(k int) (*store.ReplicaState, error) {
 	response, err := c.client.Get("http://" + relay.Bound(c.nodes+k, c.relay.Port()).String() + "/state")
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	s := &store.State{}
+	s := &store.ReplicaState{}
 	return s, json.NewDecoder(response.Body).Decode(s)
 }
 
@@ -229,12 +229,12 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	var a store.Answer
+	var a store.ChangeResponse
 	if err := json.NewDecoder(response.Body).Decode(&a); err != nil {
 		return 0, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s: %s %s", response.Status, a.Verdict, a.Why)
+		return 0, fmt.Errorf("%s: %s %s", response.Status, a.Verdict, a.Reason)
 	}
 	return a.Version, nil
 }
@@ -246,7 +246,7 @@
 		all, lag := c.reports(), 0
 		for _, place := range places {
 			n, known := all[fmt.Sprintf("n%d", place)]
-			if !known || slices.Contains(n.Keys, key) && n.Runs[key] < version {
+			if !known || slices.Contains(n.Keys, key) && n.Applied[key] < version {
 				lag++
 			}
 		}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -118,7 +118,7 @@
 // none carries nothing and asks nobody: a hollow node has no servers and no registry.
 type none struct{}
 
-func (none) Follow(*node.List)         {}
+func (none) UpdateList(*node.List)     {}
 func (none) Push(*node.Push)           {}
 func (none) CloseIdle(policy.ServerID) {}
 func (none) Watch()                    {}
@@ -133,7 +133,7 @@
 		return err
 	}
 	clock := node.NewSlowedClock(c.slow)
-	n := node.New(node.Options{MostOpen: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
+	n := node.New(node.Options{MaxPendingOps: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
 	list := &node.List{Form: policy.ListFull}
 	h.list = servers(place, len(c.nodes), c.called)
 	for _, s := range h.list {
@@ -145,7 +145,7 @@
 	ctx, h.stop = context.WithCancel(context.Background())
 	h.ended = make(chan error, 1)
 	go func() { h.ended <- n.Run(ctx) }()
-	f, err := fleet.StartKeeping(conf, n, clock, zerolog.Nop(), c.keep)
+	f, err := fleet.StartWithRetention(conf, n, clock, zerolog.Nop(), c.keep)
 	if err != nil {
 		h.stop()
 		<-h.ended
@@ -204,10 +204,10 @@
 // Agree is Cluster's.
 func (c *HollowCluster) Agree(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
 	begun, slow := time.Now(), time.Duration(c.slow)
-	want := make(map[transport.LifeID]bool, len(places))
+	want := make(map[transport.IncarnationID]bool, len(places))
 	for _, place := range places {
 		if f := c.fleetOf(place); f != nil {
-			want[f.Life()] = true
+			want[f.Incarnation()] = true
 		}
 	}
 	for {
@@ -233,13 +233,13 @@
 	}
 }
 
-func knows(f *fleet.Fleet, want map[transport.LifeID]bool) bool {
-	others := f.Others()
+func knows(f *fleet.Fleet, want map[transport.IncarnationID]bool) bool {
+	others := f.AlivePeers()
 	if len(others) != len(want)-1 {
 		return false
 	}
 	for i := range others {
-		if !want[others[i].Life] {
+		if !want[others[i].Incarnation] {
 			return false
 		}
 	}
@@ -275,17 +275,17 @@
 				}
 				now := time.Now()
 				for len(out) > 0 && now.After(out[0].due) {
-					f.Ended(out[0].server, 0, policy.TimedOut, policy.Micros(wait.Microseconds()))
+					f.PushEnded(out[0].server, 0, policy.TimedOut, policy.Micros(wait.Microseconds()))
 					out = out[1:]
 				}
 				for due += callRate * beat.Seconds(); due >= 1; due-- {
 					s := h.list[rng.IntN(len(h.list))]
-					f.Sent(s, 0)
+					f.PushSent(s, 0)
 					if silent(s) {
 						out = append(out, push{s, now.Add(slow * wait)})
 						continue
 					}
-					f.Ended(s, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
+					f.PushEnded(s, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
 				}
 			}
 		})
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -59,8 +59,8 @@
 		if err != nil {
 			return p, err
 		}
-		r := registry.New(registry.Options{Addr: addr, Zones: words.Zones, Kinds: words.Kinds, Unasked: true, Again: time.Second, Grace: drainGrace, Seed: seed + uint64(i)},
-			sockets.NewPart(4), zerolog.Nop())
+		r := registry.New(registry.Options{Addr: addr, Zones: words.Zones, MachineTypes: words.Kinds, AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: drainGrace, Seed: seed + uint64(i)},
+			sockets.NewBudget(4), zerolog.Nop())
 		over.Go(func() {
 			r.Run(follow, func(l *node.List) {
 				now := time.Now()
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -165,7 +165,7 @@
 
 // whole is the least number of whole spans between two exchanges of all that is known, that lasts for a calm minute and for least.
 func whole(nodes int, least time.Duration) time.Duration {
-	every := members.ExchangeEvery(nodes)
+	every := members.ExchangeInterval(nodes)
 	return (max(least, calmLeast) + every - 1) / every * every
 }
 
@@ -209,7 +209,7 @@
 		}
 		return nil
 	}
-	err = startSpread(ctx, c, all, members.ExchangeEvery(n))
+	err = startSpread(ctx, c, all, members.ExchangeInterval(n))
 	agree("", all)
 	if rest(ctx, c, settle); err != nil {
 		return p, err
@@ -296,7 +296,7 @@
 func Judgements(ctx context.Context, c *HollowCluster, calm time.Duration, tell Progress) (p Point, err error) {
 	n := c.Size()
 	p = Point{Nodes: n, Values: map[string]float64{}, Slowed: c.Slow()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
+	if err = startSpread(ctx, c, span(0, n), members.ExchangeInterval(n)); err != nil {
 		return p, err
 	}
 	if _, err = c.Agree(ctx, span(0, n), mostAgree); err != nil {
@@ -318,8 +318,8 @@
 	judged := func() (bytes float64) {
 		for i := range n {
 			if f := c.fleetOf(i); f != nil {
-				k := f.Counts()
-				bytes += float64(k.SentKinds.Judgements + k.GotKinds.Judgements)
+				k := f.TransportCounts()
+				bytes += float64(k.SentBytesByKind.ServerReports + k.ReceivedBytesByKind.ServerReports)
 			}
 		}
 		return bytes / float64(n)
@@ -365,7 +365,7 @@
 		for _, s := range h.list {
 			if silent(s) {
 				with++
-				if f.Lowered() > 0 {
+				if f.ReducedServers() > 0 {
 					know++
 				}
 				break
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -19,7 +19,7 @@
 func Views(ctx context.Context, c Cluster, tell Progress) (p Point, err error) {
 	n := c.Size()
 	p = Point{Nodes: n, Values: map[string]float64{}, Slowed: c.Slow()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
+	if err = startSpread(ctx, c, span(0, n), members.ExchangeInterval(n)); err != nil {
 		return p, err
 	}
 	if _, err = c.Agree(ctx, span(0, n), mostAgree); err != nil {
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -224,15 +224,15 @@
 func (p *Processes) View(ctx context.Context, place int) (*fleet.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return fleet.Ask(ctx, p.Control(place))
+	return fleet.FetchView(ctx, p.Control(place))
 }
 
 // there are the lives that a view has as there, its own among them.
 func there(v *fleet.View) []string {
-	all := []string{v.Own.Name + "/" + v.Own.Life}
+	all := []string{v.Self.Name + "/" + v.Self.Incarnation}
 	for _, m := range v.Members {
 		if m.State == "alive" {
-			all = append(all, m.Name+"/"+m.Life)
+			all = append(all, m.Name+"/"+m.Incarnation)
 		}
 	}
 	slices.Sort(all)
@@ -261,7 +261,7 @@
 				last = errs[i].Error()
 				break
 			}
-			want = append(want, v.Own.Name+"/"+v.Own.Life)
+			want = append(want, v.Self.Name+"/"+v.Self.Incarnation)
 		}
 		slices.Sort(want)
 		agreed := len(want) == len(places)
--- a/internal/lab/together/processes_test.go
+++ b/internal/lab/together/processes_test.go
@@ -116,8 +116,8 @@
 	p.start(t, 5) // at once, while it counts as alive everywhere
 	p.agree(t, "back under its name", span(0, nodes)...)
 	after, err := p.View(t.Context(), 5)
-	if err != nil || after.Own.Life == before.Own.Life {
-		t.Errorf("%v: the life %s came back", err, after.Own.Life)
+	if err != nil || after.Self.Incarnation == before.Self.Incarnation {
+		t.Errorf("%v: the life %s came back", err, after.Self.Incarnation)
 	}
 	p.signal(t, syscall.SIGKILL, 6, 7)
 	p.agree(t, "two killed", span(0, 6)...)
@@ -145,10 +145,10 @@
 	spoilt, doubled := int64(0), int64(0)
 	for _, place := range span(0, nodes) {
 		v, err := p.View(t.Context(), place)
-		if err != nil || v.Ways.Panicked > 0 {
-			t.Fatalf("%v: place %d: %+v", err, place, v.Ways)
+		if err != nil || v.Transport.HandlerPanics > 0 {
+			t.Fatalf("%v: place %d: %+v", err, place, v.Transport)
 		}
-		spoilt, doubled = spoilt+v.Ways.Spoilt, doubled+v.Ways.Doubled
+		spoilt, doubled = spoilt+v.Transport.Malformed, doubled+v.Transport.Duplicates
 	}
 	if spoilt == 0 || doubled == 0 {
 		t.Errorf("%d bad frames and %d doubled ones were counted", spoilt, doubled)
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -155,7 +155,7 @@
 
 func (b *baseline) push(now policy.Micros, id policy.OpID, o *plainOp) {
 	var can []int
-	if o.pushes < b.rules.Push.MaxPushes && now < o.notAfter {
+	if o.pushes < b.rules.PushLimits.MaxPushes && now < o.notAfter {
 		for i := range b.servers {
 			if b.allowed(now, o, &b.servers[i].ListEntry) && (b.servers[i].Server != o.to.Server || o.pushes == 0) {
 				can = append(can, i)
--- a/internal/node/generation.go
+++ b/internal/node/generation.go
@@ -18,7 +18,7 @@
 var errStopped = errors.New("the node ends")
 
 // ErrTooManySwitches says that there is no room for other settings until ops of earlier ones have ended.
-var ErrTooManySwitches = errors.New("too many settings still have ops in hand")
+var ErrTooManyGenerations = errors.New("too many settings still have ops in hand")
 
 // Generation is the module as one set of settings made it. Ops end under the generation that took them: its
 // categories, its timers, its rules. The newest takes what comes; an older one gets lists and what ends, and goes
@@ -56,7 +56,7 @@
 func (n *Node) switchTo(m switched) {
 	n.retire()
 	if len(n.generations) >= mostGenerations {
-		m.done <- switchedTo{0, fmt.Errorf("%w: %d generations", ErrTooManySwitches, len(n.generations))}
+		m.done <- switchedTo{0, fmt.Errorf("%w: %d generations", ErrTooManyGenerations, len(n.generations))}
 		return
 	}
 	n.newest().until = max(1, n.clock.Now()+readWait)
--- a/internal/node/generation_test.go
+++ b/internal/node/generation_test.go
@@ -20,19 +20,19 @@
 		return nil
 	}
 	got := play(t, 10, pushAll, func(r *rig) {
-		r.Listed(&List{Form: policy.ListFull, Entries: []policy.ListEntry{{Server: 7, StartedAt: 5}}, Addrs: []string{"a"}})
+		r.ListReceived(&List{Form: policy.ListFull, Entries: []policy.ListEntry{{Server: 7, StartedAt: 5}}, Addrs: []string{"a"}})
 		first := r.take()
-		next := &Generation{Options: Options{MostOpen: 10, Slack: policy.Second}, Module: &module{
+		next := &Generation{Options: Options{MaxPendingOps: 10, AnswerSlack: policy.Second}, Module: &module{
 			note: func(line string) { r.note("new: " + line) }, script: pushAll}}
 		number, err := r.Switch(next)
 		if number != 1 || err != nil {
 			t.Errorf("switch: number %d, %v", number, err)
 		}
 		second := NewOp()
-		second.Generation, second.NotAfter = 1, r.clock.Now()+policy.Second
+		second.GenerationNumber, second.Deadline = 1, r.clock.Now()+policy.Second
 		second.Body, _ = ReadPayload(strings.NewReader(""), -1)
-		r.Arrive(second)
-		r.Listed(&List{Form: policy.ListChanges, Entries: []policy.ListEntry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
+		r.Submit(second)
+		r.ListReceived(&List{Form: policy.ListChanges, Entries: []policy.ListEntry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
 		after(1)
 		r.end(0, policy.Acked)
 		r.end(1, policy.Acked)
@@ -55,7 +55,7 @@
 	play(t, 10, func(*policy.Input) []policy.Effect { return nil }, func(r *rig) {
 		refused := 0
 		for range 3 * mostGenerations {
-			next := &Generation{Options: Options{MostOpen: 10}, Module: &module{note: func(string) {},
+			next := &Generation{Options: Options{MaxPendingOps: 10}, Module: &module{note: func(string) {},
 				script: func(*policy.Input) []policy.Effect { return nil }}}
 			if _, err := r.Switch(next); err != nil {
 				refused++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,8 +28,8 @@
 
 // Options are the actor's few settings.
 type Options struct {
-	MostOpen int           // ops in hand and not settled
-	Slack    policy.Micros // past the client's wait, in which a final answer still counts
+	MaxPendingOps int           // ops in hand and not settled
+	AnswerSlack   policy.Micros // past the client's wait, in which a final answer still counts
 }
 
 // Node is the actor.
@@ -81,7 +81,7 @@
 }
 
 // Arrive hands over an op. Its answer comes in any case.
-func (n *Node) Arrive(op *Op) { n.send(arrived{op}) }
+func (n *Node) Submit(op *Op) { n.send(arrived{op}) }
 
 // Abandon says that the op's client has left. The answer still comes, to be thrown away.
 //
@@ -92,13 +92,13 @@
 }
 
 // EndBy says that the process ends soon: what is in hand, and what comes yet, is answered by then.
-func (n *Node) EndBy(at policy.Micros) { n.send(endBy{at}) }
+func (n *Node) SetShutdownDeadline(at policy.Micros) { n.send(endBy{at}) }
 
 // Ended ends a push.
-func (n *Node) Ended(push *Push, result Result) { n.send(ended{push, result, n.clock.Now()}) }
+func (n *Node) PushEnded(push *Push, result Result) { n.send(ended{push, result, n.clock.Now()}) }
 
 // Listed hands over what the registry told.
-func (n *Node) Listed(list *List) { n.send(list) }
+func (n *Node) ListReceived(list *List) { n.send(list) }
 
 func (n *Node) send(message any) {
 	select {
@@ -151,7 +151,7 @@
 // Turn is one round of Run, without waiting: what has come and what is due by now. It gives the time of the next
 // timer, if one is set. It is for drivers in simulated time, which call it, and everything else of the node, from
 // one goroutine, after each message and at each timer.
-func (n *Node) Turn() (next policy.Micros, set bool) {
+func (n *Node) RunPending() (next policy.Micros, set bool) {
 	n.drain()
 	for t := n.timers.due(n.clock.Now()); t != nil; t = n.timers.due(n.clock.Now()) {
 		t.fire()
@@ -216,7 +216,7 @@
 	case arrived:
 		n.arrive(m.op)
 	case left:
-		n.abandon(m.op, Left)
+		n.abandon(m.op, ClientLeft)
 	case endBy:
 		n.endAll(m.at)
 	case ended:
@@ -238,20 +238,20 @@
 // rejected before it reaches the module, as the wire's limits.max_open has it: nothing of it has run.
 func (n *Node) arrive(op *Op) {
 	n.open++
-	if n.open > n.newest().Options.MostOpen {
-		n.settle(op, Answer{Verdict: Nacked, Excess: true})
+	if n.open > n.newest().Options.MaxPendingOps {
+		n.settle(op, Answer{Verdict: Nacked, OverLimit: true})
 		if n.excess++; n.now-n.told >= policy.Second {
 			n.log.Warn().Int("nacked", n.excess).Int("in hand", n.open).Msg("more ops than sockets allow")
 			n.excess, n.told = 0, n.now
 		}
 		return
 	}
-	if op.of = n.generation(op.Generation); op.of == nil {
+	if op.of = n.generation(op.GenerationNumber); op.of == nil {
 		n.settle(op, Answer{Verdict: Nacked}) // nothing of it has run, and its category's number may be another's by now
 		return
 	}
 	if !op.stays() {
-		n.settle(op, Answer{Verdict: Left}) // nobody waits for it, and the module never hears of it
+		n.settle(op, Answer{Verdict: ClientLeft}) // nobody waits for it, and the module never hears of it
 		return
 	}
 	op.of.ops++
@@ -263,10 +263,10 @@
 	n.bound(op)
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).
-			Int64("left_ms", int64(op.NotAfter-n.now)/int64(policy.Millisecond)).Msg("op")
+			Int64("left_ms", int64(op.Deadline-n.now)/int64(policy.Millisecond)).Msg("op")
 	}
 	n.step(op.of, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
-		Deadline: op.NotAfter, ClientRetry: op.Repeated})
+		Deadline: op.Deadline, ClientRetry: op.ClientRetry})
 }
 
 // endAll gives every op in hand its end by a moment.
@@ -286,7 +286,7 @@
 // the case that it ever does not, and for the process's end.
 func (n *Node) bound(op *Op) {
 	n.timers.stop(op.end)
-	if at := op.NotAfter + op.of.Options.Slack; n.until == 0 || at <= n.until {
+	if at := op.Deadline + op.of.Options.AnswerSlack; n.until == 0 || at <= n.until {
 		op.end = n.timers.set(at, func() {
 			n.log.Error().Uint32("op", uint32(op.id)).Msg("op overdue, dead-lettered")
 			n.abandon(op, DeadLettered)
@@ -332,7 +332,7 @@
 	case policy.TimedOut, policy.Cancelled:
 		// Danger: a push that never got its connection is no doubt about what ran; told as a time-out, it would keep an
 		// op that must not run twice from going on, or from being nacked.
-		switch called := push.KeptBack(); {
+		switch called := push.Withdrawn(); {
 		case called || op.settled && push.keepBack():
 			result.Outcome = policy.Moot
 		case push.keepBack():
@@ -344,7 +344,7 @@
 		op.ran = true
 	}
 	if !op.stays() {
-		n.settle(op, Answer{Verdict: Left}) // or the module would push it again
+		n.settle(op, Answer{Verdict: ClientLeft}) // or the module would push it again
 	}
 	op.out--
 	n.timers.stop(push.timeout)
@@ -359,7 +359,7 @@
 			Stringer("outcome", result.Outcome).Int64("took_ms", int64(took/policy.Millisecond)).Msg("push ended")
 	}
 	if n.peers != nil {
-		n.peers.Ended(push.Server, op.Category, result.Outcome, max(0, took))
+		n.peers.PushEnded(push.Server, op.Category, result.Outcome, max(0, took))
 	}
 	n.step(op.of, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no, Server: push.Server,
 		Outcome: result.Outcome, Latency: max(0, took), OpSettled: op.settled})
@@ -376,9 +376,9 @@
 	}
 	before := slices.Clone(n.list)
 	n.keep(list)
-	n.servers.Follow(list)
+	n.servers.UpdateList(list)
 	if n.peers != nil {
-		n.peers.Follow(n.list)
+		n.peers.ListChanged(n.list)
 	}
 	n.callBack(before)
 	for _, g := range n.generations { // a drain binds all that still have ops in hand
@@ -418,7 +418,7 @@
 	n.open--
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).Stringer("verdict", answer.Verdict).
-			Int("pushes", len(op.pushes)).Int64("left_ms", n.clock.Until(op.NotAfter).Milliseconds()).Msg("answer")
+			Int("pushes", len(op.pushes)).Int64("left_ms", n.clock.Until(op.Deadline).Milliseconds()).Msg("answer")
 	}
 	n.timers.stop(op.end)
 	for _, push := range op.pushes {
@@ -480,7 +480,7 @@
 		n.registry.Watch()
 	case policy.SendToPeer:
 		if n.peers != nil {
-			n.peers.Tell(e.PeerNumber, e.Message)
+			n.peers.Send(e.PeerNumber, e.Message)
 		}
 	case policy.CloseIdle:
 		n.servers.CloseIdle(e.Server)
@@ -508,11 +508,11 @@
 	push.Context, push.cancel = context.WithCancel(context.Background())
 	op.pushes = append(op.pushes, push)
 	op.out++
-	push.For = op.NotAfter - n.now
+	push.Timeout = op.Deadline - n.now
 	if e.Duration > 0 {
-		push.For = min(push.For, e.Duration)
+		push.Timeout = min(push.Timeout, e.Duration)
 	}
-	if op.settled || !op.stays() || push.For <= 0 {
+	if op.settled || !op.stays() || push.Timeout <= 0 {
 		// Danger: an op that is over, or out of time, would run for nobody.
 		push.ended = true
 		op.out--
@@ -521,16 +521,16 @@
 			Server: push.Server, Outcome: policy.Moot, OpSettled: op.settled})
 		return
 	}
-	push.timeout = n.timers.set(n.now+push.For, func() {
+	push.timeout = n.timers.set(n.now+push.Timeout, func() {
 		n.end(push, Result{Outcome: policy.TimedOut}, n.clock.Now()-push.sent)
 	})
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.no)).Str("server", fmt.Sprintf("%012x", push.Server)).
-			Int64("for_ms", int64(push.For/policy.Millisecond)).Msg("push")
+			Int64("for_ms", int64(push.Timeout/policy.Millisecond)).Msg("push")
 	}
-	push.Body = op.Body.Reader()
+	push.Body = op.Body.NewReader()
 	if n.peers != nil {
-		n.peers.Sent(push.Server, op.Category)
+		n.peers.PushSent(push.Server, op.Category)
 	}
 	n.servers.Push(push)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -92,7 +92,7 @@
 		if n, err := io.ReadFull(in, body); err != nil {
 			return fmt.Errorf("batch %d: %d bytes announced, %d came: %w", batch, length, n, err)
 		}
-		if err := h.batch(config.Micros(clock), count, body); err != nil {
+		if err := h.batch(config.MillisToMicros(clock), count, body); err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 		var reply [8]byte
@@ -143,7 +143,7 @@
 func (c *cursor) u32() uint32         { return binary.BigEndian.Uint32(c.take(4)) }
 func (c *cursor) u64() uint64         { return binary.BigEndian.Uint64(c.take(8)) }
 func (c *cursor) f32() float64        { return float64(math.Float32frombits(c.u32())) }
-func (c *cursor) time() policy.Micros { return config.Micros(math.Float64frombits(c.u64())) }
+func (c *cursor) time() policy.Micros { return config.MillisToMicros(math.Float64frombits(c.u64())) }
 func (c *cursor) server() policy.ServerID {
 	return policy.ServerID(c.u32())<<16 | policy.ServerID(c.u16())
 }
