--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -35,7 +35,7 @@
 		"a leave message is not forwarded":     {"members/members.go", "if isNew {", "if isNew && false {", "internal/fleet/members", "TestLeaveForwardedOnce"},
 		"a dead member does not become left":   {"members/table.go", "if m.State == Dead {", "if false {", "internal/fleet/members", "TestLeaveAndDepartureInAnyOrder"},
 		"weights of drained servers change":    {"../node/peers.go", "e.State == policy.Ready && before != after", "before != after", "internal/node", "TestPeers"},
-		"new weights look like a new list":     {"../../policy/policy.go", "case !r.Ask || form == ListWeighed:", "case !r.Ask:", "policy", "TestWeighed"},
+		"new weights look like a new list":     {"../../policy/list.go", "case !s.MustSubscribe || form == ListReweighted:", "case !s.MustSubscribe:", "policy", "TestReweightedList"},
 		"older reports keep newer ones out":    {"judged/report_table.go", "!t.evictServer(incoming.evidenceAt)", "true", "internal/fleet/judged", "TestBounds"},
 
 		"a push continues after its client left":   {"../node/op.go", "&& !p.op.clientConnected() {", "&& false {", "internal/node", "TestClientLeavesWhileActorIsBusy"},
@@ -63,7 +63,7 @@
 		"a silent watch is not reopened at once":   {"../registry/registry.go", "minLines := 1; errors.Is", "minLines := 1; false && errors.Is", "internal/registry", "TestWatch"},
 		"an older full list is accepted":           {"../registry/registry.go", "if generation < c.generation {", "if false {", "internal/registry", "TestWatch"},
 		"the delay of a watch grows too long":      {"../registry/registry.go", "limit = min(limit, grace/2)", "_ = grace", "internal/registry", "TestAutoWatchBackoff"},
-		"an op without benefit is nacked":          {"../../policy/policy.go", "cmp.Or(n.levels[len(n.levels)-1], 1)", "n.levels[len(n.levels)-1]", "policy", "TestNoBenefit"},
+		"an op without benefit is nacked":          {"../../policy/op.go", "cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 1)", "cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 0)", "policy", "TestZeroBenefit"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path, err := filepath.Abs(c.file)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -5,579 +5,589 @@
 	"testing"
 )
 
-var pushed = RegistryRule{}
+// unaskedRegistry reports changes of the list without a subscription.
+var unaskedRegistry = RegistryRule{}
 
-// Every op gets one answer before its TTL though nothing else happens, and none after it.
+// Every op gets exactly one answer, by its deadline, even if no push ends before.
 func TestOneAnswer(t *testing.T) {
-	s := start(t, pushed, safe, once)
-	s.list(ListCached, servers(2))
-	s.op(1, 0)
-	s.op(2, 1)
-	s.wait(3 * Second)
-	s.end(1, 0, Cancelled)
-	s.end(2, 0, Acked)
-	s.compare()
+	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
+	s.receiveList(ListCached, readyServers(2))
+	s.arrive(1, 0)
+	s.arrive(2, 1)
+	s.advance(3 * Second)
+	s.endPush(1, 0, Cancelled)
+	s.endPush(2, 0, Acked)
+	s.compareTrace()
 }
 
-// An at-most-once op goes again or is nacked only while no push may have run.
+// An at-most-once op is pushed again or nacked only as long as none of its pushes may have run.
 func TestAtMostOnce(t *testing.T) {
-	s := start(t, pushed, once)
-	s.list(ListCached, servers(3))
-	s.op(1, 0)
-	s.end(1, 0, Full)
-	s.end(1, 1, ConnectFailed)
-	s.end(1, 2, Reset)
-	s.op(2, 0)
-	s.end(2, 0, Errored)
-	s.op(3, 0)
-	s.wait(2 * Second)
-	s.compare()
-}
-
-// A deduplicated op that may have run stays inside its cell and its window, and is never nacked.
+	s := newScenario(t, unaskedRegistry, atMostOnce)
+	s.receiveList(ListCached, readyServers(3))
+	s.arrive(1, 0)
+	s.endPush(1, 0, Full)
+	s.endPush(1, 1, ConnectFailed)
+	s.endPush(1, 2, Reset)
+	s.arrive(2, 0)
+	s.endPush(2, 0, Errored)
+	s.arrive(3, 0)
+	s.advance(2 * Second)
+	s.compareTrace()
+}
+
+// A deduplicated op that may have run is pushed again only inside its cell and its window, and is never nacked.
 func TestDeduplicated(t *testing.T) {
-	s := start(t, pushed, inCell)
-	s.list(ListCached, servers(6))
-	s.op(1, 0)
-	s.end(1, 0, Reset)
-	s.end(1, 1, Reset)
-	s.wait(Second)
-	s.op(2, 0)
-	s.wait(700 * Millisecond)
-	s.end(2, 0, Reset)
-	s.compare()
-}
-
-// Nothing new goes to a server told draining or gone, nor to one that a whole list leaves out.
-func TestDrains(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	changed := servers(4)[:2]
+	s := newScenario(t, unaskedRegistry, deduplicatedInCell)
+	s.receiveList(ListCached, readyServers(6))
+	s.arrive(1, 0)
+	s.endPush(1, 0, Reset)
+	s.endPush(1, 1, Reset)
+	s.advance(Second)
+	s.arrive(2, 0)
+	s.advance(700 * Millisecond)
+	s.endPush(2, 0, Reset)
+	s.compareTrace()
+}
+
+// No new push goes to a server that the list reports as draining or gone, or that a full list leaves out.
+func TestDrainingServers(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	changed := readyServers(4)[:2]
 	changed[0].State, changed[1].State = Draining, Gone
-	s.list(ListChanges, changed)
-	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListFull, servers(3)[2:])
-	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListFull, nil)
-	s.op(99, 0)
-	s.compare()
-}
-
-// Danger: a list from before comes again and says that a cold server started long ago. It did not: what it may be sent
-// goes on being its part. A later start is believed. Servers that don't exist cost a push each until the next trial.
-func TestOldListAndGhosts(t *testing.T) {
-	s := start(t, pushed, safe)
-	old := servers(3)
-	s.list(ListCached, old)
-	s.ops(300, 0, Acked)
-	now := servers(3)
-	now[2].StartedAt = s.now
-	s.list(ListFull, now)
-	s.list(ListFull, old)
-	if w := s.node.servers[2].warmth(s.now+Second, &warming); w > 0.5 {
-		t.Errorf("a second after its start, and an old list, it is %v warm", w)
-	}
-	now[2].StartedAt = s.now + 2*Second
-	s.wait(3 * Second)
-	s.list(ListFull, now)
-	if got := s.node.servers[2].StartedAt; got != now[2].StartedAt {
-		t.Errorf("started at %d, held as %d", now[2].StartedAt, got)
-	}
-	s.list(ListFull, servers(5)) // the last two are ghosts
-	ghosts := 0
+	s.receiveList(ListChanges, changed)
+	s.summarize("ten ops", func() { s.runOps(10, 0, Acked) })
+	s.receiveList(ListFull, readyServers(3)[2:])
+	s.summarize("ten ops", func() { s.runOps(10, 0, Acked) })
+	s.receiveList(ListFull, nil)
+	s.arrive(99, 0)
+	s.compareTrace()
+}
+
+// An outdated list may come again and report that a cold server started long ago. The server stays cold; a later start
+// is taken over. A listed server that does not exist costs one push per trial.
+func TestStaleListAndUnreachableServers(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	staleList := readyServers(3)
+	s.receiveList(ListCached, staleList)
+	s.runOps(300, 0, Acked)
+	freshList := readyServers(3)
+	freshList[2].StartedAt = s.now
+	s.receiveList(ListFull, freshList)
+	s.receiveList(ListFull, staleList)
+	if share := s.node.servers[2].capacityShare(s.now+Second, &testColdStart); share > 0.5 {
+		t.Errorf("a second after its start and after a stale list, the server has share %v of its capacity", share)
+	}
+	freshList[2].StartedAt = s.now + 2*Second
+	s.advance(3 * Second)
+	s.receiveList(ListFull, freshList)
+	if got := s.node.servers[2].StartedAt; got != freshList[2].StartedAt {
+		t.Errorf("the server started at %d, the node has %d", freshList[2].StartedAt, got)
+	}
+	s.receiveList(ListFull, readyServers(5)) // the last two do not exist
+	unreachablePushes := 0
 	for range 400 {
-		s.play(0, func(to ServerID) Outcome {
+		s.runOp(0, func(to ServerID) Outcome {
 			if to > 3 {
-				ghosts++
+				unreachablePushes++
 				return ConnectFailed
 			}
 			return Acked
 		})
-		s.wait(10 * Millisecond)
+		s.advance(10 * Millisecond)
 	}
-	if ghosts < 2 || ghosts > 16 {
-		t.Errorf("400 ops in 4 s: %d pushes to two servers that don't exist", ghosts)
+	if unreachablePushes < 2 || unreachablePushes > 16 {
+		t.Errorf("400 ops in 4 s: %d pushes to two servers that don't exist", unreachablePushes)
 	}
 }
 
-func id(op OpID) string { return fmt.Sprint(op) }
+// opKey returns the key of an op in lastServer.
+func opKey(op OpID) string { return fmt.Sprint(op) }
 
-// inHand says that the last op still has a push out.
-func (s *script) inHand() bool {
-	_, found := s.node.byOp[s.last]
+// lastOpPending reports whether the last op is unanswered or has a push in flight.
+func (s *scenario) lastOpPending() bool {
+	_, found := s.node.opSlots[s.lastOp]
 	return found
 }
 
-// ops sends ops that end at once.
-func (s *script) ops(n int, category CategoryID, how Outcome) {
-	for range n {
-		s.last++
-		s.op(s.last, category)
-		s.wait(10 * Millisecond)
-		if s.inHand() {
-			s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how)
+// runOps lets ops arrive 10 ms apart and ends the last push of each after that time.
+func (s *scenario) runOps(count int, category CategoryID, outcome Outcome) {
+	for range count {
+		s.lastOp++
+		s.arrive(s.lastOp, category)
+		s.advance(10 * Millisecond)
+		if s.lastOpPending() {
+			s.endPush(s.lastOp, PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount-1), outcome)
 		}
 	}
 }
 
-// play sends an op and ends each of its pushes at once, as how says, until none is out.
-func (s *script) play(category CategoryID, how func(to ServerID) Outcome) {
-	s.last++
-	s.op(s.last, category)
-	for s.inHand() {
-		s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how(s.to[id(s.last)]))
+// runOp lets an op arrive and ends each of its pushes at once, with the outcome that outcomeOf returns, until the op is
+// over.
+func (s *scenario) runOp(category CategoryID, outcomeOf func(to ServerID) Outcome) {
+	s.lastOp++
+	s.arrive(s.lastOp, category)
+	for s.lastOpPending() {
+		push := PushNumber(s.node.ops[s.node.opSlots[s.lastOp]].pushCount - 1)
+		s.endPush(s.lastOp, push, outcomeOf(s.lastServer[opKey(s.lastOp)]))
 	}
 }
 
-// A timer of an op that is over does not end the next one in its place.
-func TestReusedPlace(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
-	s.op(1, 0)
-	s.wait(500 * Millisecond)
-	s.end(1, 0, Acked)
-	s.op(2, 0)
-	s.wait(600 * Millisecond)
-	s.note("op 2 is still in hand")
-	s.wait(500 * Millisecond)
-	s.compare()
+// The timer of an op that is over does not end the next op in the same slot.
+func TestReusedOpSlot(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.arrive(1, 0)
+	s.advance(500 * Millisecond)
+	s.endPush(1, 0, Acked)
+	s.arrive(2, 0)
+	s.advance(600 * Millisecond)
+	s.record("op 2 is still in hand")
+	s.advance(500 * Millisecond)
+	s.compareTrace()
 }
 
-// A cold server is not pushed over while its like are under control, nor are all of them cold at once.
-func TestCold(t *testing.T) {
-	s := start(t, pushed, safe)
-	list := servers(3)
-	s.list(ListCached, list)
-	s.quiet("warm, 10 s", func() { s.ops(1000, 0, Acked) })
+// A cold server is not overloaded while the other servers are under control, nor are all servers when all are cold.
+func TestColdServer(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list := readyServers(3)
+	s.receiveList(ListCached, list)
+	s.summarize("warm, 10 s", func() { s.runOps(1000, 0, Acked) })
 	list[2].StartedAt = s.now
-	s.list(ListChanges, list[2:])
-	s.quiet("c cold, 2 s", func() { s.ops(200, 0, Acked) })
-	s.quiet("a and b full, c cold, 2 s", func() {
+	s.receiveList(ListChanges, list[2:])
+	s.summarize("c cold, 2 s", func() { s.runOps(200, 0, Acked) })
+	s.summarize("a and b full, c cold, 2 s", func() {
 		for range 200 {
-			s.last++
-			s.op(s.last, 0)
-			for s.inHand() && s.to[id(s.last)] < 3 {
-				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Full)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
+			for s.lastOpPending() && s.lastServer[opKey(s.lastOp)] < 3 {
+				s.endPush(s.lastOp, PushNumber(s.node.ops[0].pushCount-1), Full)
 			}
-			if s.inHand() {
-				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Acked)
+			if s.lastOpPending() {
+				s.endPush(s.lastOp, PushNumber(s.node.ops[0].pushCount-1), Acked)
 			}
-			s.wait(10 * Millisecond)
+			s.advance(10 * Millisecond)
 		}
 	})
 	for i := range list {
 		list[i].StartedAt = s.now
 	}
-	s.list(ListFull, list)
-	s.quiet("all cold, nothing comes back", func() {
+	s.receiveList(ListFull, list)
+	s.summarize("all cold, nothing comes back", func() {
 		for range 10 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 		}
 	})
-	s.compare()
+	s.compareTrace()
 }
 
-// Control starts on marks past the target, takes the lowest benefit first, and ends 10 s after the last.
+// Control starts when overload marks exceed the target rate, rejects the lowest benefit first, and ends 10 s after the
+// last mark or rejection.
 func TestControl(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(1))
-	s.roomy()
-	mixed := func(n int, how Outcome) {
-		for i := range n {
-			s.ops(1, CategoryID(i%2), how)
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(1))
+	s.liftConcurrencyLimits()
+	mixed := func(count int, outcome Outcome) {
+		for i := range count {
+			s.runOps(1, CategoryID(i%2), outcome)
 		}
 	}
-	s.quiet("well", func() { mixed(200, Acked) })
-	s.quiet("one full", func() { s.ops(1, 1, Full) })
-	s.quiet("well again", func() { mixed(100, Acked) })
+	s.summarize("well", func() { mixed(200, Acked) })
+	s.summarize("one full", func() { s.runOps(1, 1, Full) })
+	s.summarize("well again", func() { mixed(100, Acked) })
 	for range 4 {
-		s.quiet("half of them full", func() {
+		s.summarize("half of them full", func() {
 			for range 10 {
 				mixed(4, Full)
 				mixed(4, Acked)
 			}
 		})
-		s.note("cut %d", s.node.servers[0].cut)
+		s.record("cut %d", s.node.servers[0].cutoffLevel)
 	}
 	for range 8 {
-		s.quiet("well, 2 s", func() { mixed(200, Acked) })
-		s.note("cut %d", s.node.servers[0].cut)
+		s.summarize("well, 2 s", func() { mixed(200, Acked) })
+		s.record("cut %d", s.node.servers[0].cutoffLevel)
 	}
-	s.compare()
+	s.compareTrace()
 }
 
-// Danger: steps down go on while marks are remembered; a short queue would shut a server that holds nothing any more.
-// While the queue stands they go on all the same.
+// The rate would fall for as long as overload marks are remembered: after a short queue, a server with nothing in flight
+// any more would get no pushes. Once the queue has drained the rate rises; while the queue stands it goes on falling.
 func TestDrained(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, pushed, safe, plain)
-			s.list(ListCached, servers(1))
-			s.roomy()
-			s.quiet("well", func() { s.ops(200, 1, Acked) })
-			s.quiet("twenty wait, and more if it stands", func() {
+			s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+			s.receiveList(ListCached, readyServers(1))
+			s.liftConcurrencyLimits()
+			s.summarize("well", func() { s.runOps(200, 1, Acked) })
+			s.summarize("twenty wait, and more if it stands", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 1)
+					s.arrive(id, 1)
 				}
-				s.wait(10 * Millisecond)
+				s.advance(10 * Millisecond)
 				for id := OpID(1); id <= 10 || name == "Drained" && id <= 20; id++ {
-					s.end(id, 0, Full)
+					s.endPush(id, 0, Full)
 				}
 			})
 			for range 6 {
-				s.quiet("well, 500 ms", func() { s.ops(50, 1, Acked) })
-				s.note("cut %d, rate %.0f", s.node.servers[0].cut, s.node.servers[0].leak*50)
+				s.summarize("well, 500 ms", func() { s.runOps(50, 1, Acked) })
+				s.record("cut %d, rate %.0f", s.node.servers[0].cutoffLevel, s.node.servers[0].leakAmount*50)
 			}
-			s.compare()
+			s.compareTrace()
 		})
 	}
 }
 
-// Danger: few ops are above the cut, so a server whose queue is gone stays nearly idle until the cut falls. It falls at
-// the next beat; while the queue stands it does not.
-func TestDrainedCut(t *testing.T) {
+// Few ops are above the cutoff level, so a server whose queue has drained stays nearly idle until the level falls. The
+// level falls at the next control tick; while the queue stands it does not.
+func TestDrainedCutoffLevel(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, pushed, safe, plain)
-			s.list(ListCached, servers(1))
-			s.roomy()
-			s.quiet("well", func() { s.ops(300, 1, Acked) })
-			s.quiet("twenty wait", func() {
+			s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+			s.receiveList(ListCached, readyServers(1))
+			s.liftConcurrencyLimits()
+			s.summarize("well", func() { s.runOps(300, 1, Acked) })
+			s.summarize("twenty wait", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 0)
+					s.arrive(id, 0)
 				}
 			})
-			s.quiet("the low benefit turned away, 2 s", func() {
+			s.summarize("the low benefit turned away, 2 s", func() {
 				for range 4 {
-					s.ops(4, 1, Full)
-					s.wait(460 * Millisecond)
+					s.runOps(4, 1, Full)
+					s.advance(460 * Millisecond)
 				}
 			})
-			s.note("cut %d", s.node.servers[0].cut)
-			s.quiet("answered, if it is drained", func() {
+			s.record("cut %d", s.node.servers[0].cutoffLevel)
+			s.summarize("answered, if it is drained", func() {
 				for id := OpID(1); id <= 20 && name == "Drained"; id++ {
-					s.end(id, 0, Acked)
+					s.endPush(id, 0, Acked)
 				}
 			})
 			for range 4 {
-				s.quiet("well, 250 ms", func() { s.ops(25, 1, Acked) })
-				s.note("cut %d", s.node.servers[0].cut)
+				s.summarize("well, 250 ms", func() { s.runOps(25, 1, Acked) })
+				s.record("cut %d", s.node.servers[0].cutoffLevel)
 			}
-			s.compare()
+			s.compareTrace()
 		})
 	}
 }
 
-// The control of all servers together recovers as soon as what stood at them has come back, too.
-func TestDrainedTogether(t *testing.T) {
+// The control of all servers together also recovers as soon as the pushes that were queued have ended.
+func TestAllServersDrained(t *testing.T) {
 	for _, drained := range []bool{true, false} {
-		s := start(t, pushed, safe, plain)
-		s.many()
-		s.list(ListCached, servers(10))
-		s.roomy()
+		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+		s.shareServers()
+		s.receiveList(ListCached, readyServers(10))
+		s.liftConcurrencyLimits()
 		for range 100 {
-			s.ops(1, 1, Acked)
-			s.wait(40 * Millisecond)
+			s.runOps(1, 1, Acked)
+			s.advance(40 * Millisecond)
 		}
 		for id := OpID(1); id <= 20; id++ {
-			s.op(id, 0)
+			s.arrive(id, 0)
 		}
 		for range 12 {
-			s.play(0, func(ServerID) Outcome { return Full })
-			s.wait(100 * Millisecond)
+			s.runOp(0, func(ServerID) Outcome { return Full })
+			s.advance(100 * Millisecond)
 		}
-		if s.node.all.cut != 1 {
-			t.Fatalf("cut %d of a node whose pushes are turned away", s.node.all.cut)
+		if s.node.allServers.cutoffLevel != 1 {
+			t.Fatalf("cutoff level %d of a node whose pushes are rejected, want 1", s.node.allServers.cutoffLevel)
 		}
 		for id := OpID(1); id <= 20 && drained; id++ {
-			if _, found := s.node.byOp[id]; found {
-				s.end(id, 0, Acked)
+			if _, found := s.node.opSlots[id]; found {
+				s.endPush(id, 0, Acked)
 			}
 		}
-		s.wait(3 * beat)
-		if cut := s.node.all.cut; drained != (cut == 0) {
-			t.Errorf("drained %v: cut %d", drained, cut)
+		s.advance(3 * controlInterval)
+		if cutoffLevel := s.node.allServers.cutoffLevel; drained != (cutoffLevel == 0) {
+			t.Errorf("drained %v: cutoff level %d", drained, cutoffLevel)
 		}
 	}
 }
 
-// Slow answers are marks only while more than their share of recent ones is slow.
-func TestSlow(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
-	slow := func(every int, took Micros) {
+// Slow answers are overload marks only while more than maxSlowShare of recent answers are slow.
+func TestSlowAnswers(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	runSlow := func(every int, latency Micros) {
 		for i := range 40 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 			s.now += 10 * Millisecond
-			in := Input{Kind: PushEnded, Op: s.last, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
+			input := Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
 			if i%every == 0 {
-				in.Latency = took
+				input.Latency = latency
 			}
-			s.step(in)
+			s.step(input)
 		}
 	}
-	s.quiet("one in eight slow", func() { slow(8, 900*Millisecond) })
-	s.quiet("one in two slow", func() { slow(2, 900*Millisecond) })
-	s.compare()
+	s.summarize("one in eight slow", func() { runSlow(8, 900*Millisecond) })
+	s.summarize("one in two slow", func() { runSlow(2, 900*Millisecond) })
+	s.compareTrace()
 }
 
-// A server that alone fails fast leaves the rotation; where all do, errors are marks.
+// A single server that fails fast leaves the rotation. If all servers do, errors are overload marks.
 func TestErrors(t *testing.T) {
-	s := start(t, pushed, plain)
-	s.list(ListCached, servers(4))
-	fail := func(n int, bad func(ServerID) bool) {
-		for range n {
-			s.play(0, func(to ServerID) Outcome {
-				if bad(to) {
+	s := newScenario(t, unaskedRegistry, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
+	fail := func(count int, isFaulty func(ServerID) bool) {
+		for range count {
+			s.runOp(0, func(to ServerID) Outcome {
+				if isFaulty(to) {
 					return Errored
 				}
 				return Acked
 			})
-			s.wait(10 * Millisecond)
+			s.advance(10 * Millisecond)
 		}
 	}
-	s.quiet("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
-	s.quiet("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
-	s.quiet("all fail, 1 s", func() { fail(100, func(ServerID) bool { return true }) })
-	s.compare()
+	s.summarize("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
+	s.summarize("a fails fast, 1 s", func() { fail(100, func(to ServerID) bool { return to == 1 }) })
+	s.summarize("all fail, 1 s", func() { fail(100, func(ServerID) bool { return true }) })
+	s.compareTrace()
 }
 
-// A server heard nothing of since a push that timed out is tried again by one op that can go again.
-func TestSilent(t *testing.T) {
-	s := start(t, pushed, safe, once)
-	s.list(ListCached, servers(2))
+// A server that has not answered since a push that timed out leaves the rotation. Later one op that may be pushed
+// twice tries it.
+func TestSilentServer(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
+	s.receiveList(ListCached, readyServers(2))
 	for range 2 {
-		s.last++
-		s.op(s.last, 0)
-	}
-	s.end(s.last-1, 0, Acked)
-	s.wait(600 * Millisecond)
-	s.end(s.last, 0, TimedOut)
-	s.end(s.last, 1, Acked)
-	s.quiet("down for 200 ms", func() { s.ops(20, 0, Acked) })
-	s.quiet("at-most-once ops", func() { s.ops(20, 1, Acked) })
-	s.quiet("redeliverable ops", func() { s.ops(20, 0, Acked) })
-	s.compare()
-}
-
-// Danger: where some answers never come, time-outs that teach their own length grow to the goal, and no time is left to
-// push again. Where all are late they grow all the same, or every push would be cut off.
-func TestMissingAnswers(t *testing.T) {
-	const goal = 900 * Millisecond
-	after := func(every int) Micros {
-		a := answers{mean: 100_000, dev: 30_000}
-		timeOut := func() Micros { return min(goal, Micros(a.mean+6*a.dev)) }
+		s.lastOp++
+		s.arrive(s.lastOp, 0)
+	}
+	s.endPush(s.lastOp-1, 0, Acked)
+	s.advance(600 * Millisecond)
+	s.endPush(s.lastOp, 0, TimedOut)
+	s.endPush(s.lastOp, 1, Acked)
+	s.summarize("down for 200 ms", func() { s.runOps(20, 0, Acked) })
+	s.summarize("at-most-once ops", func() { s.runOps(20, 1, Acked) })
+	s.summarize("redeliverable ops", func() { s.runOps(20, 0, Acked) })
+	s.compareTrace()
+}
+
+// Where some answers never come, timeouts counted in full would grow up to their bound and leave no time to push again.
+// Where all answers are late the timeouts must still grow, or every push would time out.
+func TestTimeoutsWithMissingAnswers(t *testing.T) {
+	const maxTimeout = 900 * Millisecond
+	timeoutAfter := func(every int) Micros {
+		stats := latencyStats{mean: 100_000, deviation: 30_000}
+		timeout := func() Micros { return min(maxTimeout, Micros(stats.mean+6*stats.deviation)) }
 		for i := range 300 {
 			if i%every == 0 {
-				a.learn(timeOut(), TimedOut)
+				stats.observe(timeout(), TimedOut)
 			} else {
-				a.learn(Micros(60+40*(i%3))*Millisecond, Acked)
+				stats.observe(Micros(60+40*(i%3))*Millisecond, Acked)
 			}
 		}
-		return timeOut()
+		return timeout()
 	}
-	if got := after(6); got > goal/2 {
-		t.Errorf("a sixth missing: time-out after %d ms", got/Millisecond)
+	if got := timeoutAfter(6); got > maxTimeout/2 {
+		t.Errorf("a sixth of the answers missing: timeout after %d ms", got/Millisecond)
 	}
-	if got := after(1); got < goal {
-		t.Errorf("all late: time-out after %d ms", got/Millisecond)
+	if got := timeoutAfter(1); got < maxTimeout {
+		t.Errorf("all answers late: timeout after %d ms", got/Millisecond)
 	}
 }
 
-// A node that sees marks before its memory is full refuses all but the highest benefit at once.
-func TestFirstCut(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(4))
+// A node that gets overload marks within rateMemory of its first op rejects all but the highest benefit at once.
+func TestInitialCutoffLevel(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
 	for range 3 {
-		s.ops(1, 0, Full)
+		s.runOps(1, 0, Full)
 	}
-	s.ops(1, 1, Acked)
-	s.note("cut %d", s.node.all.cut)
-	s.compare()
+	s.runOps(1, 1, Acked)
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.compareTrace()
 }
 
-// A node that has stood idle since its start is no wiser than a fresh one.
-func TestFirstCutIdle(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(4))
-	s.quiet("idle", func() { s.wait(5 * Second) })
+// A node that has been idle since its start behaves like one that has just started.
+func TestInitialCutoffLevelAfterIdle(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("idle", func() { s.advance(5 * Second) })
 	for range 3 {
-		s.ops(1, 0, Full)
+		s.runOps(1, 0, Full)
 	}
-	s.ops(1, 1, Acked)
-	s.note("cut %d", s.node.all.cut)
-	s.compare()
+	s.runOps(1, 1, Acked)
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.compareTrace()
 }
 
-// A server is slow as soon as a push there is overdue: its turns shrink before an answer has come, or a time-out.
-func TestOverdueTurns(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	s.quiet("well", func() { s.ops(400, 0, Acked) })
-	turns := map[ServerID]int{}
+// A server counts as slow as soon as a push there is overdue: its weight falls before an answer or a timeout has come.
+func TestOverduePushesLowerWeight(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("well", func() { s.runOps(400, 0, Acked) })
+	pushesByServer := map[ServerID]int{}
 	for range 200 {
-		s.node.servers[0].held = 0 // the skip is not what keeps ops away
-		s.last++
-		s.op(s.last, 0)
-		to := s.to[fmt.Sprint(s.last)]
-		turns[to]++
-		s.wait(10 * Millisecond)
-		if to != 1 {
-			s.end(s.last, 0, Acked)
-		} else if turns[1] == 1 {
-			s.quiet("overdue, and nothing has come back", func() { s.wait(700 * Millisecond) })
+		s.node.servers[0].inFlight = 0 // so that fullness does not keep ops away
+		s.lastOp++
+		s.arrive(s.lastOp, 0)
+		server := s.lastServer[fmt.Sprint(s.lastOp)]
+		pushesByServer[server]++
+		s.advance(10 * Millisecond)
+		if server != 1 {
+			s.endPush(s.lastOp, 0, Acked)
+		} else if pushesByServer[1] == 1 {
+			s.summarize("overdue, and nothing has come back", func() { s.advance(700 * Millisecond) })
 		}
 	}
-	if turns[1] > 5 {
-		t.Errorf("turns by server %v: the slow one keeps its share", turns)
+	if pushesByServer[1] > 5 {
+		t.Errorf("pushes by server %v: the slow server keeps its share", pushesByServer)
 	}
-	s.quiet("nothing is pushed there for long", func() { s.wait(20 * Second) })
+	s.summarize("nothing is pushed there for long", func() { s.advance(20 * Second) })
 	for range 20 {
-		s.ops(1, 0, Acked)
-		turns[s.to[fmt.Sprint(s.last)]]++
+		s.runOps(1, 0, Acked)
+		pushesByServer[s.lastServer[fmt.Sprint(s.lastOp)]]++
 	}
-	if turns[1] < 5 {
-		t.Errorf("turns by server %v: the one that was slow gets none back", turns)
+	if pushesByServer[1] < 5 {
+		t.Errorf("pushes by server %v: the server that was slow gets no pushes again", pushesByServer)
 	}
 }
 
-// Each of ten servers sees ten ops a second of this node, and of many such nodes a mark for every fifth op. In the
-// first tier all servers are then controlled together; further down a nack costs more.
-func TestManyNodes(t *testing.T) {
-	for tier, controlled := range []bool{true, false} {
-		s := start(t, pushed, safe, plain)
-		s.node.place.Tier, s.node.place.TierCount = tier, 2
-		s.many()
-		s.list(ListCached, servers(10))
-		s.roomy()
+// Each of ten servers gets ten ops per second from this node, one of many, and rejects every fifth. In the first tier
+// all servers are then controlled together; in lower tiers they are not, as a nack costs more there.
+func TestControlOfAllServersByTier(t *testing.T) {
+	for tier, wantActive := range []bool{true, false} {
+		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+		s.node.topology.Tier, s.node.topology.TierCount = tier, 2
+		s.shareServers()
+		s.receiveList(ListCached, readyServers(10))
+		s.liftConcurrencyLimits()
 		for i := range 700 {
-			how := Acked
+			outcome := Acked
 			if i > 200 && i%5 == 0 {
-				how = Full
+				outcome = Full
 			}
-			s.ops(1, 1, how)
+			s.runOps(1, 1, outcome)
 		}
-		if s.node.all.on != controlled {
-			t.Errorf("tier %d: control of all servers together: %v", tier, s.node.all.on)
+		if s.node.allServers.active != wantActive {
+			t.Errorf("tier %d: control of all servers together is active: %v", tier, s.node.allServers.active)
 		}
 	}
 }
 
-// Danger: where a server does less the more it holds, marks come when it is lost. Its room doubles in an answer's time
-// at first, shrinks as soon as answers take more than 5/3 of the usual, and is never under four: a node that holds
-// so little can't tell a crowd from chance.
-func TestRoom(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(1))
-	s.quiet("well, one at a time", func() { s.ops(300, 0, Acked) })
-	round := func(took Micros) {
-		from := s.last
+// Where a server does less work the more pushes it holds, overload marks come too late. Its concurrency limit doubles per
+// latency at first, falls as soon as answers take more than 5/3 of the baseline, and is never below four: with so few
+// pushes in flight a node cannot tell congestion from chance.
+func TestConcurrencyLimit(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.summarize("well, one at a time", func() { s.runOps(300, 0, Acked) })
+	round := func(latency Micros) {
+		last := s.lastOp
 		for range 30 {
-			s.last++
-			s.op(s.last, 0)
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
 		}
-		s.wait(took)
-		for id := from + 1; id <= s.last; id++ {
-			if _, found := s.node.byOp[id]; found {
-				s.ack(id, took)
+		s.advance(latency)
+		for id := last + 1; id <= s.lastOp; id++ {
+			if _, found := s.node.opSlots[id]; found {
+				s.ackFirstPush(id, latency)
 			}
 		}
 	}
-	for i, took := range []Micros{50, 50, 50, 50, 150, 150, 150, 150, 150, 150, 50, 50, 50} {
-		s.quiet(fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, took), func() { round(took * Millisecond) })
+	for i, latency := range []Micros{50, 50, 50, 50, 150, 150, 150, 150, 150, 150, 50, 50, 50} {
+		title := fmt.Sprintf("round %d, thirty at once, each answer takes %d ms", i, latency)
+		s.summarize(title, func() { round(latency * Millisecond) })
 	}
-	s.compare()
+	s.compareTrace()
 }
 
-// Where a push to another zone costs benefit, the own zone's servers come first while they have room and are not under
-// control; with no such cost, turns are even. Control evens them out again, and a zone that is lost is passed over.
+// Where a push to another zone costs benefit, the servers of the own zone come first while they have few pushes in
+// flight and are not under control. Without such a cost, or under control, all zones get even shares. A zone that has
+// failed is passed over.
 func TestOwnZone(t *testing.T) {
-	for _, cross := range []float64{0, 0.01} {
-		t.Run(fmt.Sprint(cross), func(t *testing.T) {
-			s := start(t, pushed, safe)
-			s.many()
-			s.node.place.CrossZoneCost = cross
-			list := servers(8)
+	for _, crossZoneCost := range []float64{0, 0.01} {
+		t.Run(fmt.Sprint(crossZoneCost), func(t *testing.T) {
+			s := newScenario(t, unaskedRegistry, redeliverable)
+			s.shareServers()
+			s.node.topology.CrossZoneCost = crossZoneCost
+			list := readyServers(8)
 			for i := range list {
 				list[i].Zone = ZoneID(i % 2)
 			}
-			s.list(ListCached, list)
-			s.quiet("80 ops, one at a time", func() { s.ops(80, 0, Acked) })
-			s.quiet("20 at once", func() {
+			s.receiveList(ListCached, list)
+			s.summarize("80 ops, one at a time", func() { s.runOps(80, 0, Acked) })
+			s.summarize("20 at once", func() {
 				for id := OpID(1); id <= 20; id++ {
-					s.op(id, 0)
+					s.arrive(id, 0)
 				}
 			})
-			s.wait(100 * Millisecond)
+			s.advance(100 * Millisecond)
 			for id := OpID(1); id <= 20; id++ {
-				s.ack(id, 100*Millisecond)
+				s.ackFirstPush(id, 100*Millisecond)
 			}
-			s.quiet("own zone lost, 40 ops", func() {
+			s.summarize("own zone lost, 40 ops", func() {
 				for range 40 {
-					s.play(0, func(to ServerID) Outcome {
+					s.runOp(0, func(to ServerID) Outcome {
 						if to%2 == 1 {
 							return ConnectFailed
 						}
 						return Acked
 					})
-					s.wait(10 * Millisecond)
+					s.advance(10 * Millisecond)
 				}
 			})
-			s.wait(10 * Second)
-			s.quiet("back, 80 ops", func() { s.ops(80, 0, Acked) })
+			s.advance(10 * Second)
+			s.summarize("back, 80 ops", func() { s.runOps(80, 0, Acked) })
 			for i := range s.node.servers {
-				s.node.servers[i].on, s.node.servers[i].cut, s.node.servers[i].quiet = true, -1, s.now
+				s.node.servers[i].active = true
+				s.node.servers[i].cutoffLevel = -1
+				s.node.servers[i].lastActivityAt = s.now
 			}
-			s.quiet("under control, 12 ops", func() { s.ops(12, 0, Acked) })
-			s.compare()
+			s.summarize("under control, 12 ops", func() { s.runOps(12, 0, Acked) })
+			s.compareTrace()
 		})
 	}
 }
 
-// Further pushes go by benefit, and those that add work are bounded for the whole node.
+// The number of further pushes depends on benefit, and those that add work have a budget for the whole node.
 func TestFurtherPushes(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(8))
-	s.quiet("well", func() { s.ops(400, 0, Acked) })
-	for c := range CategoryID(2) {
-		s.play(c, func(ServerID) Outcome { return Full })
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(8))
+	s.summarize("well", func() { s.runOps(400, 0, Acked) })
+	for id := range CategoryID(2) {
+		s.runOp(id, func(ServerID) Outcome { return Full })
 	}
-	s.quiet("twenty ops, all pushes reset", func() {
+	s.summarize("twenty ops, all pushes reset", func() {
 		for range 20 {
-			s.play(0, func(ServerID) Outcome { return Reset })
+			s.runOp(0, func(ServerID) Outcome { return Reset })
 		}
 	})
-	s.note("%.1f further pushes left", s.node.again)
-	s.compare()
+	s.record("%.1f further pushes left", s.node.retryBudget)
+	s.compareTrace()
 }
 
-// The registry is asked at random, again after failures ever later, and not while subscribed.
+// Calls to the registry come at random times, back off after failures, and stop while subscribed.
 func TestRegistry(t *testing.T) {
-	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
-	s.list(ListCached, servers(1))
-	s.wait(2 * Second)
+	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
+	s.receiveList(ListCached, readyServers(1))
+	s.advance(2 * Second)
 	for range 4 {
-		s.list(ListFailed, nil)
-		s.wait(8 * Second)
-	}
-	s.list(ListChanges, servers(2))
-	s.wait(20 * Second)
-	s.list(ListFailed, nil)
-	s.wait(2 * Second)
-	s.compare()
-}
-
-// Nodes keep to runs of the servers that use all of them alike, and go beyond for those that are down.
-func TestFewServers(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.many()
-	s.list(ListCached, servers(20))
-	s.quiet("forty ops", func() { s.ops(40, 0, Acked) })
-	s.quiet("ten ops that connect to none of these", func() {
+		s.receiveList(ListFailed, nil)
+		s.advance(8 * Second)
+	}
+	s.receiveList(ListChanges, readyServers(2))
+	s.advance(20 * Second)
+	s.receiveList(ListFailed, nil)
+	s.advance(2 * Second)
+	s.compareTrace()
+}
+
+// A node keeps to its subset of the servers and passes over servers that are down for the next ones in the ring.
+func TestSubset(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.shareServers()
+	s.receiveList(ListCached, readyServers(20))
+	s.summarize("forty ops", func() { s.runOps(40, 0, Acked) })
+	s.summarize("ten ops that connect to none of these", func() {
 		for range 10 {
-			s.play(0, func(to ServerID) Outcome {
+			s.runOp(0, func(to ServerID) Outcome {
 				if to < 11 {
 					return Acked
 				}
@@ -585,183 +595,190 @@
 			})
 		}
 	})
-	s.wait(20 * Second)
-	s.quiet("forty ops, some exchanges later", func() { s.ops(40, 0, Acked) })
-	s.compare()
+	s.advance(20 * Second)
+	s.summarize("forty ops, some exchanges later", func() { s.runOps(40, 0, Acked) })
+	s.compareTrace()
 }
 
-// Turns are even; a server that holds over twice the mean is skipped, a slower one gets fewer.
+// Pushes are spread evenly; a server with more than twice the mean number of pushes in flight is passed over.
 func TestRotation(t *testing.T) {
-	s := start(t, pushed, safe)
-	s.list(ListCached, servers(4))
-	s.quiet("eighty ops", func() { s.ops(80, 0, Acked) })
-	for i := range OpID(4) {
-		s.op(i, 0)
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	s.receiveList(ListCached, readyServers(4))
+	s.summarize("eighty ops", func() { s.runOps(80, 0, Acked) })
+	for id := range OpID(4) {
+		s.arrive(id, 0)
 	}
-	s.end(0, 0, Acked)
-	s.end(1, 0, Acked)
-	s.end(2, 0, Acked)
-	s.quiet("twenty ops beside one held", func() { s.ops(20, 0, Acked) })
-	s.compare()
+	s.endPush(0, 0, Acked)
+	s.endPush(1, 0, Acked)
+	s.endPush(2, 0, Acked)
+	s.summarize("twenty ops beside one held", func() { s.runOps(20, 0, Acked) })
+	s.compareTrace()
 }
 
-// The ordinary path allocates nothing.
+// An op that is acked by its first push causes no allocation.
 func TestNoAllocation(t *testing.T) {
-	n := start(t, pushed, safe).node
+	node := newScenario(t, unaskedRegistry, redeliverable).node
 	now, op := Second, OpID(0)
-	n.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: servers(4)})
-	var in Input
+	node.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: readyServers(4)})
+	var input Input
 	got := testing.AllocsPerRun(2000, func() {
 		op++
 		now += Millisecond
-		in = Input{Kind: OpArrived, Op: op, Deadline: now + 2*Second}
-		to := n.Step(now, &in)[0].Server
-		in = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}
-		n.Step(now, &in)
+		input = Input{Kind: OpArrived, Op: op, Deadline: now + 2*Second}
+		to := node.Step(now, &input)[0].Server
+		input = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}
+		node.Step(now, &input)
 	})
 	if got != 0 {
-		t.Errorf("%v allocations an op", got)
+		t.Errorf("%v allocations per op", got)
 	}
 }
 
-// A node that each server hears little of controls all of them together, by benefit; one mark starts nothing.
-func TestQuietNode(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(8))
-	mixed := func(n int, how Outcome) {
-		for i := range n {
-			s.play(CategoryID(i%2), func(ServerID) Outcome { return how })
-			s.wait(250 * Millisecond)
+// A node that sends little to each server controls all servers together, by benefit. A single overload mark at a server
+// does not start the control of that server.
+func TestControlOfAllServers(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(8))
+	mixed := func(count int, outcome Outcome) {
+		for i := range count {
+			s.runOp(CategoryID(i%2), func(ServerID) Outcome { return outcome })
+			s.advance(250 * Millisecond)
 		}
 	}
-	s.quiet("well, 10 s", func() { mixed(40, Acked) })
-	s.quiet("one full", func() { s.play(1, func(ServerID) Outcome { return Full }) })
-	s.quiet("well, 10 s", func() { mixed(40, Acked) })
-	s.quiet("all full, 10 s", func() { mixed(40, Full) })
-	s.note("cut %d", s.node.all.cut)
-	s.quiet("well, 30 s", func() { mixed(120, Acked) })
-	s.compare()
+	s.summarize("well, 10 s", func() { mixed(40, Acked) })
+	s.summarize("one full", func() { s.runOp(1, func(ServerID) Outcome { return Full }) })
+	s.summarize("well, 10 s", func() { mixed(40, Acked) })
+	s.summarize("all full, 10 s", func() { mixed(40, Full) })
+	s.record("cut %d", s.node.allServers.cutoffLevel)
+	s.summarize("well, 30 s", func() { mixed(120, Acked) })
+	s.compareTrace()
 }
 
-// Hundreds of quiet nodes do not push a cold server over with an op each: their parts add up to one whole.
-func TestColdAndMany(t *testing.T) {
-	s := start(t, pushed, safe)
-	list, counts := servers(1), [4]int{}
+// Hundreds of nodes with little traffic do not overload a cold server with an op each: their shares add up to no more
+// than what the server can do.
+func TestColdServerWithManyNodes(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list, counts := readyServers(1), [4]int{}
 	for seed := range int64(200) {
-		s.node = New(seed, s.node.place, s.node.kinds, s.node.rule, s.node.cold, RegistryRule{})
+		s.node = New(seed, s.node.topology, s.node.categories, s.node.limits, s.node.coldStart, RegistryRule{})
 		list[0].StartedAt = s.now
-		s.list(ListCached, list)
+		s.receiveList(ListCached, list)
 		for i := range 8 {
-			s.last++
-			s.op(s.last, 0)
-			if s.inHand() {
+			s.lastOp++
+			s.arrive(s.lastOp, 0)
+			if s.lastOpPending() {
 				counts[i/2]++
-				s.end(s.last, 0, Acked)
+				s.endPush(s.lastOp, 0, Acked)
 			}
-			s.wait(250 * Millisecond)
+			s.advance(250 * Millisecond)
 		}
 	}
-	s.out.Reset()
-	s.note("of 400 ops each half second, to a server cold at a quarter of its capacity, went %d", counts)
-	s.compare()
+	s.trace.Reset()
+	s.record("of 400 ops each half second, to a server cold at a quarter of its capacity, went %d", counts)
+	s.compareTrace()
 }
 
-// At a quiet node a push that is overdue is a mark while it is out, and only once: control starts before
-// any of them ends.
-func TestOverdue(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.many()
-	s.list(ListCached, servers(10))
-	s.quiet("well", func() {
+// At a node with little traffic an overdue push is an overload mark while it is in flight, and only once: control starts
+// before any of the pushes ends.
+func TestOverduePushes(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.shareServers()
+	s.receiveList(ListCached, readyServers(10))
+	s.summarize("well", func() {
 		for range 50 {
-			s.ops(1, 0, Acked)
-			s.wait(90 * Millisecond)
+			s.runOps(1, 0, Acked)
+			s.advance(90 * Millisecond)
 		}
 	})
-	s.quiet("nothing comes back", func() {
+	s.summarize("nothing comes back", func() {
 		for range 14 {
-			s.last++
-			s.op(s.last, 1)
-			s.wait(100 * Millisecond)
+			s.lastOp++
+			s.arrive(s.lastOp, 1)
+			s.advance(100 * Millisecond)
 		}
 	})
-	s.note("%.1f marks/s", s.node.all.marks.read(s.now))
-	s.quiet("they time out", func() {
-		for op := s.last - 13; op <= s.last; op++ {
-			s.end(op, 0, TimedOut)
+	s.record("%.1f marks/s", s.node.allServers.markRate.current(s.now))
+	s.summarize("they time out", func() {
+		for op := s.lastOp - 13; op <= s.lastOp; op++ {
+			s.endPush(op, 0, TimedOut)
 		}
 	})
-	s.note("%.1f marks/s", s.node.all.marks.read(s.now))
-	s.compare()
-}
-
-// Danger: at a busy node a queue grows for as long as an answer takes before its marks are seen. An overdue push is a
-// mark there too while it is out: control starts before any of them ends.
-func TestOverdueBusy(t *testing.T) {
-	s := start(t, pushed, safe, plain)
-	s.list(ListCached, servers(2))
-	s.roomy()
-	s.quiet("well, 3 s", func() { s.ops(300, 0, Acked) })
-	s.quiet("nothing comes back, 1 s", func() {
+	s.record("%.1f marks/s", s.node.allServers.markRate.current(s.now))
+	s.compareTrace()
+}
+
+// At a node with much traffic a queue would grow for as long as an answer takes before its overload marks are seen. An
+// overdue push is a mark there too while it is in flight: control starts before any of the pushes ends.
+func TestOverduePushesAtHighTraffic(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
+	s.receiveList(ListCached, readyServers(2))
+	s.liftConcurrencyLimits()
+	s.summarize("well, 3 s", func() { s.runOps(300, 0, Acked) })
+	s.summarize("nothing comes back, 1 s", func() {
 		for range 100 {
-			s.last++
-			s.op(s.last, 1)
-			s.wait(10 * Millisecond)
+			s.lastOp++
+			s.arrive(s.lastOp, 1)
+			s.advance(10 * Millisecond)
 		}
 	})
-	s.compare()
+	s.compareTrace()
 }
 
-// Danger: servers and ops are ever new on long days; what the module keeps is bounded by what is there at once.
-func TestReplacements(t *testing.T) {
-	s := start(t, pushed, safe)
-	list := servers(4)
-	s.list(ListCached, list)
+// Servers and ops come and go all the time: a node keeps no more state than those present at once need.
+func TestMemoryIsBounded(t *testing.T) {
+	s := newScenario(t, unaskedRegistry, redeliverable)
+	list := readyServers(4)
+	s.receiveList(ListCached, list)
 	for i := range 3000 {
 		gone := list[i%4]
 		gone.State = Gone
 		list[i%4] = ListEntry{Server: ServerID(i + 5), StartedAt: s.now, Weight: 1}
-		s.last++
-		s.step(Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 3*Second})
+		s.lastOp++
+		s.step(Input{Kind: OpArrived, Op: s.lastOp, Deadline: s.now + 3*Second})
 		s.step(Input{Kind: ListReceived, Form: ListChanges, List: []ListEntry{gone, list[i%4]}})
-		if s.inHand() {
-			s.step(Input{Kind: PushEnded, Op: s.last, Outcome: Acked, Latency: Millisecond, OpSettled: true})
+		if s.lastOpPending() {
+			s.step(Input{Kind: PushEnded, Op: s.lastOp, Outcome: Acked, Latency: Millisecond, OpSettled: true})
 		}
 		s.now += 10 * Millisecond
 	}
-	if n := s.node; len(n.servers) > 6 || len(n.byID) > 6 || len(n.ops) > 4 || len(n.byOp) > 0 {
-		t.Errorf("kept: %d servers, %d by id, %d ops, %d by id", len(n.servers), len(n.byID), len(n.ops), len(n.byOp))
+	if node := s.node; len(node.servers) > 6 || len(node.serverSlots) > 6 || len(node.ops) > 4 || len(node.opSlots) > 0 {
+		t.Errorf("the node keeps %d servers, %d server slots, %d ops, %d op slots",
+			len(node.servers), len(node.serverSlots), len(node.ops), len(node.opSlots))
 	}
 }
 
-// Weights that others' judgement changes say nothing of the subscription: a node whose list service is away still asks, and
-// no server goes or comes by them.
-func TestWeighed(t *testing.T) {
-	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
-	s.list(ListCached, servers(3))
-	s.list(ListFailed, nil)
-	next := s.node.registry.next
-	little := servers(3)[1:2]
-	little[0].Weight = 1.0 / 32
-	s.list(ListReweighted, little)
-	if got := s.node.registry.next; got == 0 || got != next {
-		t.Errorf("the next call is at %d, not %d", got, next)
+// Weights changed by outlier detection tell nothing about the subscription: a node that has lost the registry still
+// calls it, and no server is added or removed.
+func TestReweightedList(t *testing.T) {
+	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
+	s.receiveList(ListCached, readyServers(3))
+	s.receiveList(ListFailed, nil)
+	next := s.node.subscription.nextCallAt
+	reweighted := readyServers(3)[1:2]
+	reweighted[0].Weight = 1.0 / 32
+	s.receiveList(ListReweighted, reweighted)
+	if got := s.node.subscription.nextCallAt; got == 0 || got != next {
+		t.Errorf("the next call to the registry is at %d, want %d", got, next)
 	}
-	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.byID[2]].Weight != 1.0/32 || s.node.servers[s.node.byID[1]].Weight != 1 {
-		t.Errorf("%d servers: %+v", n, s.node.servers)
+	if n := len(s.node.ring); n != 3 || s.node.servers[s.node.serverSlots[2]].Weight != 1.0/32 ||
+		s.node.servers[s.node.serverSlots[1]].Weight != 1 {
+		t.Errorf("%d servers in the ring; the node has %+v", n, s.node.servers)
 	}
 }
 
-// Danger: where no category has any benefit, a share of the highest is no number, and every op was nacked unsent.
-func TestNoBenefit(t *testing.T) {
-	n := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond}, []Category{{TargetLatency: Second, TTL: Second}}, PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
+// Where no category has any benefit, a share of the highest benefit would be no number, and every op would be nacked
+// without a push.
+func TestZeroBenefit(t *testing.T) {
+	node := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond},
+		[]Category{{TargetLatency: Second, TTL: Second}},
+		PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
 		ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: Second}, RegistryRule{})
-	n.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
+	node.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
 	pushed := false
-	for _, e := range n.Step(2, &Input{Kind: OpArrived, Op: 1, Deadline: Second}) {
-		pushed = pushed || e.Kind == Push
+	for _, effect := range node.Step(2, &Input{Kind: OpArrived, Op: 1, Deadline: Second}) {
+		pushed = pushed || effect.Kind == Push
 	}
 	if !pushed {
-		t.Error("an op of no benefit is not pushed to an idle server")
+		t.Error("an op without benefit is not pushed to an idle server")
 	}
 }
