--- a/cmd/canvasrouter/disconnect_test.go
+++ b/cmd/canvasrouter/disconnect_test.go
@@ -139,7 +139,7 @@
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	closedAt := map[string]time.Time{}
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for k := range clients {
 		running.Go(func() {
 			for i := range ops {
@@ -167,7 +167,7 @@
 	}
 	running.Wait()
 	time.Sleep(500 * time.Millisecond)
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	worstDelay, pushes, latePushes := time.Duration(0), 0, 0
--- a/cmd/canvasrouter/idle_clients_test.go
+++ b/cmd/canvasrouter/idle_clients_test.go
@@ -121,14 +121,14 @@
 	})}
 	go registry.Serve(listener)
 	defer registry.Close()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var took time.Duration
 	select {
 	case took = <-watchDelay:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the node does not reconnect to the registry")
 	}
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	t.Logf("the list is followed again %v after the registry's return", took)
 	if took > 4500*time.Millisecond+late {
 		t.Errorf("the list is followed again after %v", took)
--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -206,12 +206,12 @@
 	<-pushed
 	p.Process.Signal(syscall.SIGTERM)
 	terminated := time.Now()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	if got := <-status; got != http.StatusBadGateway { // its one push may have run
 		t.Errorf("status %d", got)
 	}
 	took := time.Since(terminated)
-	if late, _ := lag.End(); took > 3700*time.Millisecond+late { // the delays of this process itself are allowed for
+	if late, _ := lag.Stop(); took > 3700*time.Millisecond+late { // the delays of this process itself are allowed for
 		t.Errorf("answered after %v", took)
 	}
 	if err := p.Wait(); err != nil {
--- a/internal/clients/race_test.go
+++ b/internal/clients/race_test.go
@@ -111,7 +111,7 @@
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				r, c, op := sendBeyondRequest(t, beyond)
-				lag := together.NewLag()
+				lag := together.NewTimerLag()
 				start := time.Now()
 				leave(c.Conn.(*net.TCPConn))
 				select {
@@ -123,7 +123,7 @@
 					t.Fatal("disconnect was not noticed")
 				}
 				elapsed := time.Since(start)
-				if late, _ := lag.End(); elapsed > 300*time.Millisecond+late { // late is the scheduling delay of this process
+				if late, _ := lag.Stop(); elapsed > 300*time.Millisecond+late { // late is the scheduling delay of this process
 					t.Errorf("noticed after %v", elapsed)
 				}
 				if !r.sawDisconnect {
--- a/internal/registry/recovery_test.go
+++ b/internal/registry/recovery_test.go
@@ -183,7 +183,7 @@
 func TestReportsAfterOutageOnSockets(t *testing.T) {
 	const nodes, down = 50, 4 * time.Second
 	var clients sync.WaitGroup
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var mu sync.Mutex
 	worstDelay := map[string]time.Duration{}
 	for _, name := range []string{"silent", "503", "reset", "half a response", "silent watch"} {
@@ -234,7 +234,7 @@
 		defer close(release)
 	}
 	clients.Wait()
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	for name, took := range worstDelay {
 		limit := maxReportDelay
 		if name == "silent watch" { // it fell silent at the start: the 6 s count from there
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -308,7 +308,7 @@
 		close(ended)
 	}()
 	var backSince time.Time // after the last failed call: the registry is back from here on
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for range 8 {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -337,7 +337,7 @@
 		}
 	}
 	took := time.Since(backSince)
-	if late, _ := lag.End(); took > grace+late {
+	if late, _ := lag.Stop(); took > grace+late {
 		t.Errorf("the drain was reported after %v", took)
 	}
 	cancel()
