--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -83,7 +83,7 @@
 func names() map[policy.ServerID]string {
 	out := make(map[policy.ServerID]string)
 	for i := range mostServers {
-		out[ServerID(i)] = registry.ID(i)
+		out[ServerID(i)] = registry.InstanceID(i)
 	}
 	return out
 }
@@ -91,6 +91,6 @@
 // ServerID is the number that nodes make of a server's text id.
 func ServerID(place int) policy.ServerID {
 	h := fnv.New64a()
-	fmt.Fprint(h, registry.ID(place))
+	fmt.Fprint(h, registry.InstanceID(place))
 	return policy.ServerID(h.Sum64() >> 16)
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -63,16 +63,16 @@
 	servers  []*server.Server
 	nodes    []*balancer
 	twins    map[int]*balancer // second processes, by the node whose name they have
-	rig      *together.Rig
-	liars    []*together.Liar
+	rig      *together.Network
+	liars    []*together.FalseReporter
 	closed   atomic.Int64 // the largest part of a node's servers that hearsay closed, as nodes say, in thousandths
-	lag      *together.Lag
+	lag      *together.TimerLag
 	registry []*registry.Service
 	begin    policy.Micros
 	turn     atomic.Int64
-	step     atomic.Int64  // of clients' clocks
-	before   []relay.Count // what nodes had said when the load began
-	failed   chan error    // holds one
+	step     atomic.Int64    // of clients' clocks
+	before   []relay.Traffic // what nodes had said when the load began
+	failed   chan error      // holds one
 	mu       sync.Mutex
 	asked    map[ledger.TryID]question
 	memories scenario.Memories
@@ -108,8 +108,8 @@
 	result := r.account.Finish(r.begin + min(o.Length, r.now()-r.begin))
 	result.Partial = partial
 	result.Between = r.traffic()
-	late, _ := r.lag.End()
-	late = max(late, r.rig.Late())
+	late, _ := r.lag.Stop()
+	late = max(late, r.rig.MaxLateness())
 	result.RigLateMs = float64(late.Microseconds()) / 1000
 	// Danger: a machine that is too busy looks like a node at fault. What the rig itself was late with is no node's.
 	if most := duration(r.account.Tolerance()); late > most {
@@ -123,9 +123,9 @@
 }
 
 // said is what each place of the rig has sent so far.
-func (r *run) said() (all []relay.Count) {
+func (r *run) said() (all []relay.Traffic) {
 	for i := 0; r.rig.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
-		all = append(all, r.rig.Relay.Count(i))
+		all = append(all, r.rig.Relay.Traffic(i))
 	}
 	return all
 }
@@ -138,12 +138,12 @@
 	t, seconds, nodes := &ledger.Traffic{}, float64(r.now()-r.begin)/float64(policy.Second), float64(len(r.before))
 	for i, now := range r.said() {
 		was := r.before[i]
-		bytes := float64(now.SentBytes - was.SentBytes + now.StreamBytes - was.StreamBytes)
+		bytes := float64(now.SentBytes - was.SentBytes + now.SentStreamBytes - was.SentStreamBytes)
 		t.Bytes += bytes / nodes / seconds
 		t.MostBytes = max(t.MostBytes, bytes/seconds)
 		t.Datagrams += float64(now.SentDatagrams-was.SentDatagrams) / nodes / seconds
 		t.Streams += float64(now.SentStreams-was.SentStreams) / nodes / seconds
-		t.StreamedBytes += float64(now.StreamBytes-was.StreamBytes) / nodes / seconds
+		t.StreamedBytes += float64(now.SentStreamBytes-was.SentStreamBytes) / nodes / seconds
 	}
 	t.Closed = float64(r.closed.Load()) / 1000
 	return t
@@ -167,7 +167,7 @@
 			if !n.hears {
 				continue
 			}
-			view, err := fleet.Ask(ctx, r.rig.Place(n.beside).Control)
+			view, err := fleet.Ask(ctx, r.rig.Addresses(n.beside).ControlSocket)
 			if err != nil {
 				continue // it is down, or stopped
 			}
@@ -221,12 +221,12 @@
 	if r.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
 		return nil, err
 	}
-	r.rig, err = together.New(o.Scenario, r.plan, r.dir, o.Seed, stream.New(o.Seed, "between"))
+	r.rig, err = together.NewNetwork(o.Scenario, r.plan, r.dir, o.Seed, stream.New(o.Seed, "between"))
 	if err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.lag = together.NewLag()
+	r.lag = together.NewTimerLag()
 	for _, step := range []func(context.Context) error{r.startServers, r.startRegistry, r.startNodes} {
 		if err := step(ctx); err != nil {
 			r.stop()
@@ -238,12 +238,12 @@
 
 func (r *run) startServers(context.Context) error {
 	for i, m := range r.plan.Machines {
-		s := server.New(i, m.Kind, m.Traits(r.Scenario), r.ports.addr(), server.World{Account: r.account, Now: r.now,
-			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
-			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
+		s := server.New(i, m.Kind, m.Traits(r.Scenario), r.ports.addr(), server.Environment{Ledger: r.account, Now: r.now,
+			FindOp:       func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
+			CallNextTier: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
 		r.servers = append(r.servers, s)
 		if i < r.plan.Standing {
-			if err := s.Up(false); err != nil {
+			if err := s.Start(false); err != nil {
 				return err
 			}
 		}
@@ -259,10 +259,10 @@
 				standing = append(standing, m.Entry(i))
 			}
 		}
-		words := registry.Words{Zones: r.Scenario.Zones, Told: r.told(t),
+		words := registry.Options{Zones: r.Scenario.Zones, OnSent: r.told(t),
 			Addr: func(i int) string { return r.servers[i].Addr() }}
 		for _, k := range tier.Kinds {
-			words.Kinds = append(words.Kinds, k.Name)
+			words.MachineTypes = append(words.MachineTypes, k.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
 		service := registry.NewService(catalog, duration(r.Scenario.Registry.Delay.Micros()), words)
@@ -280,7 +280,7 @@
 				listen = r.ports.addr()
 			}
 			r.nodes = append(r.nodes, &balancer{Balancer: b, run: r, place: i, door: &door{addr: listen}, beside: i,
-				hears: r.hears(b), discovery: addr, known: words.Line(1, standing, true)})
+				hears: r.hears(b), discovery: addr, known: words.EncodeList(1, standing, true)})
 		}
 	}
 	return nil
@@ -300,14 +300,14 @@
 		listed := make(map[int]bool)
 		for _, e := range entries {
 			listed[e.Server] = true
-			r.account.Told(node, e.Server, e.State, e.Started, r.now())
+			r.account.Told(node, e.Server, e.State, e.StartedAt, r.now())
 		}
 		if !whole {
 			return
 		}
 		for i, m := range r.plan.Machines {
 			if m.Tier == tier && !listed[i] {
-				r.account.Told(node, i, policy.Gone, r.servers[i].Started(), r.now())
+				r.account.Told(node, i, policy.Gone, r.servers[i].StartedAt(), r.now())
 			}
 		}
 	}
@@ -358,7 +358,7 @@
 	}
 	all.Wait() // each has its own end
 	for _, s := range r.servers {
-		s.Down(false)
+		s.Stop(false)
 	}
 	for _, s := range r.registry {
 		s.Close()
@@ -368,7 +368,7 @@
 	}
 	r.rig.Close()
 	if r.lag != nil {
-		r.lag.End()
+		r.lag.Stop()
 	}
 	r.ports.close()
 	os.RemoveAll(r.dir)
@@ -379,7 +379,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.begin = r.now() + r.Scenario.Load.Lead.Micros()
-	r.lag.Begin()
+	r.lag.Reset()
 	r.before = r.said()
 	r.account.Begin(r.begin)
 	var work, steps sync.WaitGroup
@@ -504,16 +504,16 @@
 		return 0, nil, false
 	}
 	op := &server.Op{Key: strconv.Itoa(int(q.op)), Category: q.category, Work: q.arrival.Work[m.Tier],
-		Lock: &r.memory}
+		DedupLock: &r.memory}
 	if m.Tier+1 < len(r.Scenario.Tiers) {
-		op.Calls = q.arrival.Calls[m.Tier]
+		op.DownstreamCalls = q.arrival.Calls[m.Tier]
 	}
-	op.Memory = r.memoryOf(q.category, m)
+	op.Dedup = r.memoryOf(q.category, m)
 	return try, op, true
 }
 
 // memoryOf is that of a category's group, or nil. The lock is held.
-func (r *run) memoryOf(category int, m scenario.Machine) *standin.Memory {
+func (r *run) memoryOf(category int, m scenario.Machine) *standin.DedupMemory {
 	return r.memories.Of(r.Scenario, category, m, r.account.Tolerance())
 }
 
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -264,8 +264,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	taken := server.New(3, &scenario.Kind{}, fleet.Traits{Cores: 1, Speed: 1}, l.Addr().String(), server.World{})
-	if err := taken.Up(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
+	taken := server.New(3, &scenario.Kind{}, fleet.Spec{Cores: 1, Speed: 1}, l.Addr().String(), server.Environment{})
+	if err := taken.Start(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -183,12 +183,12 @@
 	if !b.hears {
 		return nil
 	}
-	at := b.run.rig.Place(b.beside)
+	at := b.run.rig.Addresses(b.beside)
 	join := []string{}
 	for i := range min(3, len(b.run.nodes)) { // the same few for all
-		join = append(join, b.run.rig.Place(i).Advertise.String())
+		join = append(join, b.run.rig.Addresses(i).Advertise.String())
 	}
-	return map[string]any{"listen": at.Listen.String(), "advertise": at.Advertise.String(), "join": join, "control": at.Control}
+	return map[string]any{"listen": at.Listen.String(), "advertise": at.Advertise.String(), "join": join, "control": at.ControlSocket}
 }
 
 // stop stops the process where it stands, or lets it go on.
--- a/internal/lab/live/troubles.go
+++ b/internal/lab/live/troubles.go
@@ -46,30 +46,30 @@
 	}
 	switch step.Verb {
 	case scenario.Slow:
-		s.Slow(step.Factor)
+		s.SetSlowdown(step.Factor)
 	case scenario.Stall:
 		s.Stall(r.begin + step.Until)
 	case scenario.Crash, scenario.Silence:
-		s.Down(step.Verb == scenario.Silence)
+		s.Stop(step.Verb == scenario.Silence)
 		if n := r.behind(step.Server); n != nil {
 			check(n.kill())
 		}
 	case scenario.Start:
-		check(s.Up(true))
+		check(s.Start(true))
 		if n := r.behind(step.Server); n != nil {
 			beside.Go(func() { check(n.start(ctx)) })
 		}
 	case scenario.Behave:
-		s.Behave(step.Mode)
+		s.SetMode(step.Mode)
 	case scenario.List:
 		m := r.plan.Machines[step.Server]
-		r.registry[m.Tier].Change(func(c *registry.Catalog) {
-			e, known := c.Entry(step.Server)
+		r.registry[m.Tier].Update(func(c *registry.Catalog) {
+			e, known := c.Lookup(step.Server)
 			if !known {
 				e = m.Entry(step.Server)
 			}
-			e.State, e.Started = step.State, s.Started()
-			c.Set(e)
+			e.State, e.StartedAt = step.State, s.StartedAt()
+			c.SetEntry(e)
 		})
 	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
 		scenario.RegistryTrue:
@@ -90,7 +90,7 @@
 		beside.Go(func() { check(n.start(ctx)) })
 	case scenario.NodeMove:
 		n := r.nodes[step.Node]
-		next, err := r.rig.Further(n.beside)
+		next, err := r.rig.NextSlot(n.beside)
 		check(err)
 		n.beside = next
 		beside.Go(func() { check(n.start(ctx)) })
@@ -105,9 +105,9 @@
 	case scenario.LieDown, scenario.LieWell:
 		check(r.lie(step))
 	case scenario.BetweenOn, scenario.BetweenOff:
-		r.rig.Carry(step)
+		r.rig.ApplyStep(step)
 	case scenario.OneSided:
-		s.Ignore(step.Factor, r.odd)
+		s.SetIgnoredShare(step.Factor, r.odd)
 	case scenario.ClockStep:
 		r.step.Store(int64(step.Until))
 	}
@@ -116,7 +116,7 @@
 // twin is a second process of a node's name, number and configuration, at other addresses. No client comes to it.
 func (r *run) twin(node int) (*balancer, error) {
 	of := r.nodes[node]
-	next, err := r.rig.Further(of.beside)
+	next, err := r.rig.NextSlot(of.beside)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 		return nil // nobody would hear it
 	}
 	ill := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
-	place, err := r.rig.Further(step.Node)
+	place, err := r.rig.NextSlot(step.Node)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 			servers = append(servers, labnode.ServerID(i))
 		}
 	}
-	liar, err := r.rig.NewLiar(place, r.Scenario.Tiers[0].Nodes, ill, servers)
+	liar, err := r.rig.NewFalseReporter(place, r.Scenario.Tiers[0].Nodes, ill, servers)
 	if err == nil {
 		r.liars = append(r.liars, liar)
 	}
@@ -158,15 +158,15 @@
 func (r *run) disturb(service *registry.Service, step *scenario.Step) {
 	switch step.Verb {
 	case scenario.RegistryDown, scenario.RegistryUp:
-		service.Down(step.Verb == scenario.RegistryDown)
+		service.SetDown(step.Verb == scenario.RegistryDown)
 	case scenario.RegistrySlow:
-		service.Slow(duration(r.Scenario.Registry.Delay.Micros() + step.Until))
+		service.SetDelay(duration(r.Scenario.Registry.Delay.Micros() + step.Until))
 	case scenario.RegistryFreeze:
-		service.Change((*registry.Catalog).Freeze)
+		service.Update((*registry.Catalog).SaveSnapshot)
 	case scenario.RegistryThaw:
-		service.Change((*registry.Catalog).Thaw)
+		service.Update((*registry.Catalog).ServeSnapshot)
 	case scenario.RegistryTrue:
-		service.Change((*registry.Catalog).Correct)
+		service.Update((*registry.Catalog).ServeCurrent)
 	}
 }
 
@@ -200,7 +200,7 @@
 			calls = a.Calls[m.Tier]
 		}
 		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: a.Work[m.Tier],
-			Calls: calls, Memory: r.memoryOf(i, m), Lock: &r.memory}, true
+			DownstreamCalls: calls, Dedup: r.memoryOf(i, m), DedupLock: &r.memory}, true
 	}
 	return 0, nil, false
 }
--- a/internal/lab/live/versus.go
+++ b/internal/lab/live/versus.go
@@ -140,9 +140,9 @@
 		entries = append(entries, registry.Entry{Server: i, Weight: 1})
 		list += server + " "
 	}
-	words := registry.Words{Zones: s.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
+	words := registry.Options{Zones: s.Zones, MachineTypes: []string{"std"}, Addr: func(i int) string { return servers[i] }}
 	file := filepath.Join(dir, strconv.Quote(w.Name)+".json")
-	config := s.Config(scenario.Balancer{Of: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.Line(1, entries, true), nil)
+	config := s.Config(scenario.Balancer{Of: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.EncodeList(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -354,7 +354,7 @@
 	if catalog.Generation() == b.generation && !first {
 		return
 	}
-	entries, whole := catalog.Since(b.generation)
+	entries, whole := catalog.ChangesSince(b.generation)
 	b.generation = catalog.Generation()
 	list := &node.List{Form: policy.ListChanges}
 	if whole {
@@ -364,7 +364,7 @@
 	listed := make(map[int]bool)
 	for _, e := range entries {
 		listed[e.Server] = true
-		r.account.Told(b.place, e.Server, e.State, e.Started, r.now)
+		r.account.Told(b.place, e.Server, e.State, e.StartedAt, r.now)
 	}
 	if whole {
 		for i := range r.servers {
--- a/internal/lab/together/liar.go
+++ b/internal/lab/together/liar.go
@@ -17,7 +17,7 @@
 
 // Liar is a member that takes no ops and says the same of every server to everybody, again and again: as bad a neighbour as
 // the frames allow.
-type Liar struct {
+type FalseReporter struct {
 	way     *transport.Transport
 	members *members.Members
 	done    chan struct{}
@@ -27,16 +27,16 @@
 const lieEvery = 100 * time.Millisecond
 
 // NewLiar joins at a place as one more node, and lies of these servers until Close.
-func (g *Rig) NewLiar(place, nodes int, ill judged.Ill, servers []policy.ServerID) (*Liar, error) {
-	at := g.Place(place)
+func (g *Network) NewFalseReporter(place, nodes int, ill judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
+	at := g.Addresses(place)
 	life := transport.LifeID(rand.Uint64())
 	w, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: at.Listen, Advertise: at.Advertise, Life: life, Pace: 1 << 20}, zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
-	l := &Liar{way: w, done: make(chan struct{})}
+	l := &FalseReporter{way: w, done: make(chan struct{})}
 	own := members.Member{Name: "liar-" + ill.String(), Life: life, Number: nodes + int(ill), Addr: at.Advertise}
-	l.members, err = members.Start(members.Options{Own: own, Nodes: nodes + 8, Join: []netip.AddrPort{g.Place(0).Advertise}}, w, node.NewClock(), zerolog.Nop())
+	l.members, err = members.Start(members.Options{Own: own, Nodes: nodes + 8, Join: []netip.AddrPort{g.Addresses(0).Advertise}}, w, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		w.Close()
 		return nil, err
@@ -46,7 +46,7 @@
 	return l, nil
 }
 
-func (l *Liar) lie(source judged.SourceID, number uint16, ill judged.Ill, servers []policy.ServerID) {
+func (l *FalseReporter) lie(source judged.SourceID, number uint16, ill judged.Ill, servers []policy.ServerID) {
 	ticker := time.NewTicker(lieEvery)
 	defer ticker.Stop()
 	for n := uint32(1); ; n++ {
@@ -74,7 +74,7 @@
 }
 
 // Close ends it without a word.
-func (l *Liar) Close() {
+func (l *FalseReporter) Close() {
 	close(l.done)
 	l.over.Wait()
 	l.members.Close()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -289,7 +289,7 @@
 	ended := make(chan struct{})
 	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
 	var back time.Time // right after the last call that failed: the drain is told from here on
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for range 8 {
 		c, err := l.Accept()
 		if err != nil {
@@ -318,7 +318,7 @@
 		}
 	}
 	took := time.Since(back)
-	if late, _ := lag.End(); took > grace+late {
+	if late, _ := lag.Stop(); took > grace+late {
 		t.Errorf("the drain was heard after %v", took)
 	}
 	cancel()
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -178,7 +178,7 @@
 func TestToldOnceBackOnSockets(t *testing.T) {
 	const nodes, down = 50, 4 * time.Second
 	var all sync.WaitGroup
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var mu sync.Mutex
 	worst := map[string]time.Duration{}
 	for _, name := range []string{"silent", "503", "reset", "half an answer", "silent watch"} {
@@ -229,7 +229,7 @@
 		defer close(hung)
 	}
 	all.Wait()
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	for name, took := range worst {
 		most := toldBy
 		if name == "silent watch" { // from when it fell silent, at the beginning
