--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -27,68 +27,68 @@
 )
 
 const (
-	replicas     = 3
-	changeWait   = 30 * time.Second
-	burstChanges = 20 // 100 a minute, for 12 s
-	burstEvery   = 600 * time.Millisecond
-	cutHold      = 10 * time.Second
+	replicaCount  = 3
+	changeTimeout = 30 * time.Second
+	burstChanges  = 20 // 100 a minute, for 12 s
+	burstInterval = 600 * time.Millisecond
+	cutDuration   = 10 * time.Second
 )
 
 // storeCluster is nodes that follow a store of three replicas, by a relay.
 type storeCluster struct {
-	relay    *relay.Relay
-	nodes    int
-	program  string // "": nodes and replicas are of this process
-	dir      string
-	seed     uint64
-	stops    []func()
-	replicas [replicas]func() // ends one
-	nodesOf  []*process
-	client   *http.Client
+	relay        *relay.Relay
+	nodes        int
+	program      string // "": nodes and replicas are of this process
+	dir          string
+	seed         uint64
+	stopNodes    []func()
+	stopReplicas [replicaCount]func() // ends one
+	processes    []*process
+	client       *http.Client
 }
 
-func newStore(nodes int, program string, seed uint64) (c *storeCluster, err error) {
-	c = &storeCluster{nodes: nodes, program: program, seed: seed, client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	if c.relay, err = relay.New(nodes+replicas, seed); err != nil {
+func newStoreCluster(nodes int, program string, seed uint64) (cluster *storeCluster, err error) {
+	cluster = &storeCluster{nodes: nodes, program: program, seed: seed, client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	if cluster.relay, err = relay.New(nodes+replicaCount, seed); err != nil {
 		return nil, err
 	}
-	if c.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
-		c.relay.Close()
+	if cluster.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
+		cluster.relay.Close()
 		return nil, err
 	}
-	for k := range replicas {
-		if err := c.startReplica(k); err != nil {
-			return c, err
+	for replica := range replicaCount {
+		if err := cluster.startReplica(replica); err != nil {
+			return cluster, err
 		}
 	}
 	errs := make([]error, nodes)
-	c.nodesOf = make([]*process, nodes)
-	var all sync.WaitGroup
-	room := make(chan struct{}, 16)
+	cluster.processes = make([]*process, nodes)
+	var starts sync.WaitGroup
+	semaphore := make(chan struct{}, 16)
 	var mu sync.Mutex
 	for i := range nodes {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			stop, err := c.startNode(i)
+		starts.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			stop, err := cluster.startNode(i)
 			mu.Lock()
 			defer mu.Unlock()
 			if errs[i] = err; stop != nil {
-				c.stops = append(c.stops, stop)
+				cluster.stopNodes = append(cluster.stopNodes, stop)
 			}
 		})
 	}
-	all.Wait()
-	return c, errors.Join(errs...)
+	starts.Wait()
+	return cluster, errors.Join(errs...)
 }
 
 func (c *storeCluster) close() {
-	var all sync.WaitGroup
-	for _, stop := range c.stops {
-		all.Go(stop)
+	var stopping sync.WaitGroup
+	for _, stop := range c.stopNodes {
+		stopping.Go(stop)
 	}
-	all.Wait()
-	for _, stop := range c.replicas {
+	stopping.Wait()
+	for _, stop := range c.stopReplicas {
 		if stop != nil {
 			stop()
 		}
@@ -97,21 +97,21 @@
 	os.RemoveAll(c.dir)
 }
 
-func (c *storeCluster) advertised() (all []string) {
-	for k := range replicas {
-		all = append(all, relay.AdvertisedAddr(c.nodes+k, c.relay.Port()).String())
+func (c *storeCluster) replicaAddrs() (addrs []string) {
+	for replica := range replicaCount {
+		addrs = append(addrs, relay.AdvertisedAddr(c.nodes+replica, c.relay.Port()).String())
 	}
-	return all
+	return addrs
 }
 
-func (c *storeCluster) bound(place int) net.IP {
-	return relay.BindAddr(place, c.relay.Port()).Addr().AsSlice()
+func (c *storeCluster) bindIP(slot int) net.IP {
+	return relay.BindAddr(slot, c.relay.Port()).Addr().AsSlice()
 }
 
-func (c *storeCluster) startReplica(k int) error {
-	listen, dir := relay.BindAddr(c.nodes+k, c.relay.Port()).String(), filepath.Join(c.dir, fmt.Sprint("replica-", k))
+func (c *storeCluster) startReplica(number int) error {
+	listen, dir := relay.BindAddr(c.nodes+number, c.relay.Port()).String(), filepath.Join(c.dir, fmt.Sprint("replica-", number))
 	if c.program != "" {
-		raw, err := json.Marshal(map[string]any{"number": k, "listen": listen, "replicas": c.advertised(), "dir": dir, "bind": c.bound(c.nodes + k).String()})
+		raw, err := json.Marshal(map[string]any{"number": number, "listen": listen, "replicas": c.replicaAddrs(), "dir": dir, "bind": c.bindIP(c.nodes + number).String()})
 		if err != nil {
 			return err
 		}
@@ -123,268 +123,270 @@
 		if err := cmd.Start(); err != nil {
 			return err
 		}
-		c.replicas[k] = sync.OnceFunc(func() { cmd.Process.Kill(); cmd.Wait() })
-		return c.awaitReplica(k)
+		c.stopReplicas[number] = sync.OnceFunc(func() { cmd.Process.Kill(); cmd.Wait() })
+		return c.waitReplica(number)
 	}
-	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bound(c.nodes + k)}}
-	r, err := store.NewReplica(store.ReplicaOptions{Number: k, Peers: c.advertised(), Dir: dir, Check: apply.CheckChange, Dial: dialer.DialContext}, zerolog.Nop())
+	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bindIP(c.nodes + number)}}
+	replica, err := store.NewReplica(store.ReplicaOptions{Number: number, Peers: c.replicaAddrs(), Dir: dir, Check: apply.CheckChange, Dial: dialer.DialContext}, zerolog.Nop())
 	if err != nil {
 		return err
 	}
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	server := &http.Server{Handler: r, ReadHeaderTimeout: 2 * time.Second}
-	go server.Serve(l)
-	go r.Run(ctx)
-	c.replicas[k] = sync.OnceFunc(func() { stop(); server.Close() })
+	server := &http.Server{Handler: replica, ReadHeaderTimeout: 2 * time.Second}
+	go server.Serve(listener)
+	go replica.Run(ctx)
+	c.stopReplicas[number] = sync.OnceFunc(func() { stop(); server.Close() })
 	return nil
 }
 
-func (c *storeCluster) awaitReplica(k int) error {
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		if _, err := c.state(k); err == nil {
+func (c *storeCluster) waitReplica(number int) error {
+	for started := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+		if _, err := c.replicaState(number); err == nil {
 			return nil
-		} else if time.Since(begun) > startWait {
+		} else if time.Since(started) > startTimeout {
 			return err
 		}
 	}
 }
 
-func (c *storeCluster) service(place int) string { return fmt.Sprint("s", place/perService) }
+func (c *storeCluster) serviceName(node int) string { return fmt.Sprint("s", node/perService) }
 
 // startNode starts one, with an address of its own to call from.
-func (c *storeCluster) startNode(place int) (stop func(), err error) {
-	key := map[string]any{"replicas": c.advertised(), "service": c.service(place), "bind": c.bound(place).String()}
-	s, known := setting([]string{"127.0.0.1:1"})
-	listen := fmt.Sprintf("%s:%d", c.bound(place), c.relay.Port()-11000)
-	name := fmt.Sprintf("n%d", place)
-	raw := s.Config(scenario.Balancer{Number: 0, Of: 1, Zone: place % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(place), known, nil)
-	var all map[string]any
-	if err := json.Unmarshal(raw, &all); err != nil {
+func (c *storeCluster) startNode(node int) (stop func(), err error) {
+	storeKey := map[string]any{"replicas": c.replicaAddrs(), "service": c.serviceName(node), "bind": c.bindIP(node).String()}
+	deployment, knownServers := processDeployment([]string{"127.0.0.1:1"})
+	listen := fmt.Sprintf("%s:%d", c.bindIP(node), c.relay.Port()-11000)
+	name := fmt.Sprintf("n%d", node)
+	raw := deployment.Config(scenario.Balancer{Number: 0, Of: 1, Zone: node % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(node), knownServers, nil)
+	var settings map[string]any
+	if err := json.Unmarshal(raw, &settings); err != nil {
 		return nil, err
 	}
-	all["store"] = key
-	if raw, err = json.Marshal(all); err != nil {
+	settings["store"] = storeKey
+	if raw, err = json.Marshal(settings); err != nil {
 		return nil, err
 	}
 	if c.program != "" {
-		p := &process{addr: listen, file: filepath.Join(c.dir, name+".json")}
-		if err := os.WriteFile(p.file, raw, 0o600); err != nil {
+		proc := &process{addr: listen, file: filepath.Join(c.dir, name+".json")}
+		if err := os.WriteFile(proc.file, raw, 0o600); err != nil {
 			return nil, err
 		}
-		c.nodesOf[place] = p
-		return p.kill, p.start(c.program)
+		c.processes[node] = proc
+		return proc.kill, proc.start(c.program)
 	}
-	none := func(string) string { return "" }
-	conf, err := config.Parse(raw, none)
+	noEnv := func(string) string { return "" }
+	parsed, err := config.Parse(raw, noEnv)
 	if err != nil {
 		return nil, err
 	}
-	a := apply.New(apply.Options{Config: conf, Getenv: none, Lock: &sync.Mutex{}, Life: fmt.Sprint(place), Seed: c.seed + uint64(place), Log: zerolog.Nop(),
+	applier := apply.New(apply.Options{Config: parsed, Getenv: noEnv, Lock: &sync.Mutex{}, Life: fmt.Sprint(node), Seed: c.seed + uint64(node), Log: zerolog.Nop(),
 		Install: func(*config.Config) error { return nil }})
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { a.Run(ctx); close(over) }()
-	return func() { cancel(); <-over }, nil
+	done := make(chan struct{})
+	go func() { applier.Run(ctx); close(done) }()
+	return func() { cancel(); <-done }, nil
 }
 
-func (c *storeCluster) state(k int) (*store.State, error) {
-	response, err := c.client.Get("http://" + relay.BindAddr(c.nodes+k, c.relay.Port()).String() + "/state")
+func (c *storeCluster) replicaState(number int) (*store.State, error) {
+	response, err := c.client.Get("http://" + relay.BindAddr(c.nodes+number, c.relay.Port()).String() + "/state")
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	s := &store.State{}
-	return s, json.NewDecoder(response.Body).Decode(s)
+	state := &store.State{}
+	return state, json.NewDecoder(response.Body).Decode(state)
 }
 
 // reports are the youngest of each node, by the replicas' word.
-func (c *storeCluster) reports() map[string]store.NodeReport {
-	all := map[string]store.NodeReport{}
-	for k := range replicas {
-		s, err := c.state(k)
+func (c *storeCluster) latestReports() map[string]store.NodeReport {
+	latest := map[string]store.NodeReport{}
+	for replica := range replicaCount {
+		state, err := c.replicaState(replica)
 		if err != nil {
 			continue
 		}
-		for _, n := range s.Nodes {
-			if was, known := all[n.Node]; !known || n.AgeMs < was.AgeMs {
-				all[n.Node] = n
+		for _, report := range state.Nodes {
+			if previous, known := latest[report.Node]; !known || report.AgeMs < previous.AgeMs {
+				latest[report.Node] = report
 			}
 		}
 	}
-	return all
+	return latest
 }
 
 // change asks a replica for one.
-func (c *storeCluster) change(k int, key store.Key, id, patch string) (store.Version, error) {
+func (c *storeCluster) change(replica int, key store.Key, id, patch string) (store.Version, error) {
 	raw, err := json.Marshal(store.Change{Key: key, ID: id, Patch: json.RawMessage(patch)})
 	if err != nil {
 		return 0, err
 	}
-	response, err := c.client.Post("http://"+relay.BindAddr(c.nodes+k, c.relay.Port()).String()+"/change", "application/json", bytes.NewReader(raw))
+	response, err := c.client.Post("http://"+relay.BindAddr(c.nodes+replica, c.relay.Port()).String()+"/change", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0, err
 	}
 	defer response.Body.Close()
-	var a store.Answer
-	if err := json.NewDecoder(response.Body).Decode(&a); err != nil {
+	var answer store.Answer
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 		return 0, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s: %s %s", response.Status, a.Verdict, a.Why)
+		return 0, fmt.Errorf("%s: %s %s", response.Status, answer.Verdict, answer.Why)
 	}
-	return a.Version, nil
+	return answer.Version, nil
 }
 
 // force waits until all nodes of some places that a key is for report that they run a version.
-func (c *storeCluster) force(ctx context.Context, key store.Key, version store.Version, places []int) (time.Duration, error) {
-	begun := time.Now()
+func (c *storeCluster) waitInForce(ctx context.Context, key store.Key, version store.Version, nodes []int) (time.Duration, error) {
+	started := time.Now()
 	for {
-		all, lag := c.reports(), 0
-		for _, place := range places {
-			n, known := all[fmt.Sprintf("n%d", place)]
-			if !known || slices.Contains(n.Keys, key) && n.Runs[key] < version {
-				lag++
+		reports, behind := c.latestReports(), 0
+		for _, node := range nodes {
+			report, known := reports[fmt.Sprintf("n%d", node)]
+			if !known || slices.Contains(report.Keys, key) && report.Runs[key] < version {
+				behind++
 			}
 		}
-		took := time.Since(begun)
-		if lag == 0 {
-			return took, nil
+		elapsed := time.Since(started)
+		if behind == 0 {
+			return elapsed, nil
 		}
-		if took > changeWait || ctx.Err() != nil {
-			return took, fmt.Errorf("%s version %d: not in force at %d of %d nodes after %v", key, version, lag, len(places), took.Round(time.Millisecond))
+		if elapsed > changeTimeout || ctx.Err() != nil {
+			return elapsed, fmt.Errorf("%s version %d: not in force at %d of %d nodes after %v", key, version, behind, len(nodes), elapsed.Round(time.Millisecond))
 		}
-		wait(ctx, 50*time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
 	}
 }
 
 // Changes plays one size: a change for all, a release's changes for services, one replica lost, and a region cut that has no replica.
-func MeasureChanges(ctx context.Context, program string, nodes int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
-	p = Point{Nodes: nodes, Values: map[string]float64{}}
-	c, err := newStore(nodes, program, seed)
-	if c != nil {
-		defer c.close()
+func MeasureChanges(ctx context.Context, program string, nodes int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
+	point = Point{Nodes: nodes, Values: map[string]float64{}}
+	cluster, err := newStoreCluster(nodes, program, seed)
+	if cluster != nil {
+		defer cluster.close()
 	}
 	if err != nil {
-		return p, err
+		return point, err
 	}
-	lag := together.NewTimerLag()
-	all := span(0, nodes)
-	bytesNow := func() (sum float64) {
+	timerLag := together.NewTimerLag()
+	all := sequence(0, nodes)
+	meanBytes := func() (sum float64) {
 		for i := range nodes {
-			sum += float64(countOf(c.relay, i))
+			sum += float64(totalBytes(cluster.relay, i))
 		}
 		return sum / float64(nodes)
 	}
-	step := func(name string, took time.Duration, err error) error {
+	recordStep := func(name string, took time.Duration, err error) error {
 		if err == nil {
-			p.Values[name+"_s"] = round(took.Seconds())
-			tell("%d nodes, %s: %.2f s", nodes, name, took.Seconds())
+			point.Values[name+"_s"] = roundFigure(took.Seconds())
+			progress("%d nodes, %s: %.2f s", nodes, name, took.Seconds())
 		}
 		return err
 	}
-	took, err := c.force(ctx, "all", 0, all)
-	if err := step("opened", took, err); err != nil {
-		return p, err
+	took, err := cluster.waitInForce(ctx, "all", 0, all)
+	if err := recordStep("opened", took, err); err != nil {
+		return point, err
 	}
-	cpu := func() (sum float64) {
-		for _, n := range c.nodesOf {
+	meanCPU := func() (sum float64) {
+		for _, n := range cluster.processes {
 			if n != nil {
 				sum += processorTime(n.cmd.Process.Pid)
 			}
 		}
 		return sum / float64(nodes)
 	}
-	was, used := bytesNow(), cpu()
-	wait(ctx, calm)
-	p.Values["calm_bytes"] = round((bytesNow() - was) / calm.Seconds())
+	bytesBefore, cpuBefore := meanBytes(), meanCPU()
+	sleep(ctx, calmTime)
+	point.Values["calm_bytes"] = roundFigure((meanBytes() - bytesBefore) / calmTime.Seconds())
 	if program != "" {
-		p.Values["calm_core_percent"] = round(100 * (cpu() - used) / calm.Seconds())
+		point.Values["calm_core_percent"] = roundFigure(100 * (meanCPU() - cpuBefore) / calmTime.Seconds())
 	}
 	patch := func(n int) string { return fmt.Sprintf(`{"settings":{"limits":{"max_retry_after":%d}}}`, 500+n) }
-	one := func(name string, k int, places []int) error {
-		begun := time.Now()
-		version, err := c.change(k, "all", name, patch(len(p.Values)))
+	changeAll := func(name string, replica int, expected []int) error {
+		started := time.Now()
+		version, err := cluster.change(replica, "all", name, patch(len(point.Values)))
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		_, err = c.force(ctx, "all", version, places)
-		return step(name, time.Since(begun), err)
+		_, err = cluster.waitInForce(ctx, "all", version, expected)
+		return recordStep(name, time.Since(started), err)
 	}
-	was = bytesNow()
-	if err := one("all", 0, all); err != nil {
-		return p, err
+	bytesBefore = meanBytes()
+	if err := changeAll("all", 0, all); err != nil {
+		return point, err
 	}
-	p.Values["change_bytes"] = round(bytesNow() - was)
+	point.Values["change_bytes"] = roundFigure(meanBytes() - bytesBefore)
 	// A release: changes for one service after another, at 100 a minute.
-	was = bytesNow()
-	begun, cpuWas := time.Now(), cpu()
+	bytesBefore = meanBytes()
+	started, cpuBeforeBurst := time.Now(), meanCPU()
 	var mu sync.Mutex
-	var most time.Duration
-	var over sync.WaitGroup
+	var slowest time.Duration
+	var burst sync.WaitGroup
 	errs := make([]error, burstChanges)
 	for i := range burstChanges {
-		over.Go(func() {
-			place := (i * 37) % nodes
-			key := store.Key("service/" + c.service(place))
-			from := place / perService * perService
-			asked := time.Now()
-			version, err := c.change(i%replicas, key, fmt.Sprint("burst-", i), patch(1000+i))
+		burst.Go(func() {
+			node := (i * 37) % nodes
+			key := store.Key("service/" + cluster.serviceName(node))
+			firstNode := node / perService * perService
+			requested := time.Now()
+			version, err := cluster.change(i%replicaCount, key, fmt.Sprint("burst-", i), patch(1000+i))
 			if err == nil {
-				_, err = c.force(ctx, key, version, span(from, min(nodes, from+perService)))
+				_, err = cluster.waitInForce(ctx, key, version, sequence(firstNode, min(nodes, firstNode+perService)))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			errs[i], most = err, max(most, time.Since(asked))
+			errs[i], slowest = err, max(slowest, time.Since(requested))
 		})
-		wait(ctx, burstEvery)
+		sleep(ctx, burstInterval)
 	}
-	over.Wait()
-	if err := step("burst_most", most, errors.Join(errs...)); err != nil {
-		return p, err
+	burst.Wait()
+	if err := recordStep("burst_most", slowest, errors.Join(errs...)); err != nil {
+		return point, err
 	}
-	p.Values["burst_bytes"] = round((bytesNow() - was) / time.Since(begun).Seconds())
+	point.Values["burst_bytes"] = roundFigure((meanBytes() - bytesBefore) / time.Since(started).Seconds())
 	if program != "" {
-		p.Values["burst_core_percent"] = round(100 * (cpu() - cpuWas) / time.Since(begun).Seconds())
+		point.Values["burst_core_percent"] = roundFigure(100 * (meanCPU() - cpuBeforeBurst) / time.Since(started).Seconds())
 	}
 	// One replica lost without a word; its nodes go to the others.
-	c.replicas[0]()
-	if err := one("replica_lost", 1, all); err != nil {
-		return p, err
+	cluster.stopReplicas[0]()
+	if err := changeAll("replica_lost", 1, all); err != nil {
+		return point, err
 	}
-	if err := c.startReplica(0); err != nil {
-		return p, err
+	if err := cluster.startReplica(0); err != nil {
+		return point, err
 	}
 	// The smaller region has no replica, and is cut off.
-	small := max(1, int(cutShare*float64(nodes)))
-	cut := c.relay.AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < small) != (to < small)} })
-	if err := one("cut_large", 2, all[small:]); err != nil {
-		return p, err
-	}
-	wait(ctx, cutHold)
-	was, begun = bytesNow(), time.Now()
-	c.relay.RemoveFault(cut)
-	took, err = c.force(ctx, "all", c.versionOf("all"), all)
-	if err := step("healed", took, err); err != nil {
-		return p, err
-	}
-	p.Values["healed_bytes10"] = round((bytesNow() - was) / max(window.Seconds(), time.Since(begun).Seconds()))
-	if late, mean := lag.Stop(); mean > mostLate {
-		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", late.Round(time.Millisecond), mean.Round(time.Millisecond))
-	}
-	return p, ctx.Err()
+	smallRegion := max(1, int(smallRegionShare*float64(nodes)))
+	cut := cluster.relay.AddFault(func(firstNode, to int) relay.Impairment {
+		return relay.Impairment{Cut: (firstNode < smallRegion) != (to < smallRegion)}
+	})
+	if err := changeAll("cut_large", 2, all[smallRegion:]); err != nil {
+		return point, err
+	}
+	sleep(ctx, cutDuration)
+	bytesBefore, started = meanBytes(), time.Now()
+	cluster.relay.RemoveFault(cut)
+	took, err = cluster.waitInForce(ctx, "all", cluster.chosenVersion("all"), all)
+	if err := recordStep("healed", took, err); err != nil {
+		return point, err
+	}
+	point.Values["healed_bytes10"] = roundFigure((meanBytes() - bytesBefore) / max(worstWindow.Seconds(), time.Since(started).Seconds()))
+	if worstLag, meanLag := timerLag.Stop(); meanLag > maxMeanLag {
+		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", worstLag.Round(time.Millisecond), meanLag.Round(time.Millisecond))
+	}
+	return point, ctx.Err()
 }
 
 // versionOf is the version that stands, by any replica's word.
-func (c *storeCluster) versionOf(key store.Key) (version store.Version) {
-	for k := range replicas {
-		if s, err := c.state(k); err == nil {
-			for _, v := range s.Values {
-				if v.Key == key {
-					version = max(version, v.Version)
+func (c *storeCluster) chosenVersion(key store.Key) (version store.Version) {
+	for replica := range replicaCount {
+		if state, err := c.replicaState(replica); err == nil {
+			for _, value := range state.Values {
+				if value.Key == key {
+					version = max(version, value.Version)
 				}
 			}
 		}
@@ -392,7 +394,7 @@
 	return version
 }
 
-func countOf(r *relay.Relay, place int) int64 {
-	c := r.Traffic(place)
-	return c.TotalBytes()
+func totalBytes(fleetRelay *relay.Relay, slot int) int64 {
+	traffic := fleetRelay.Traffic(slot)
+	return traffic.TotalBytes()
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -41,63 +41,63 @@
 }
 
 // hollow is one node without clients' and servers' sockets.
-type hollow struct {
-	mu    sync.Mutex
-	node  *node.Node
-	fleet *fleet.Fleet
-	stop  context.CancelFunc
-	ended chan error
-	list  []policy.ServerID
+type inProcessNode struct {
+	mu      sync.Mutex
+	node    *node.Node
+	fleet   *fleet.Fleet
+	stop    context.CancelFunc
+	ended   chan error
+	servers []policy.ServerID
 }
 
 // HollowCluster is many nodes in this process: the real code of members, judgements and the module's actor, with its real
 // clocks and sizes, each at an address of its own.
 type InProcessCluster struct {
-	relay  *relay.Relay
-	nodes  []*hollow
-	called int           // services that a node calls
-	keep   time.Duration // members that are gone; 0: as usual
-	slow   int
-	seed   uint64
+	relay          *relay.Relay
+	nodes          []*inProcessNode
+	calledServices int           // services that a node calls
+	retention      time.Duration // members that are gone; 0: as usual
+	slowdown       int
+	seed           uint64
 }
 
 // NewHollow opens the relay for so many, with all clocks slowed by a factor.
-func NewInProcessCluster(nodes, called int, keep time.Duration, slow int, seed uint64) (*InProcessCluster, error) {
-	r, err := relay.New(nodes, seed)
+func NewInProcessCluster(nodes, calledServices int, retention time.Duration, slowdown int, seed uint64) (*InProcessCluster, error) {
+	fleetRelay, err := relay.New(nodes, seed)
 	if err != nil {
 		return nil, err
 	}
-	c := &InProcessCluster{relay: r, called: called, keep: keep, slow: max(1, slow), seed: seed}
+	cluster := &InProcessCluster{relay: fleetRelay, calledServices: calledServices, retention: retention, slowdown: max(1, slowdown), seed: seed}
 	for range nodes {
-		c.nodes = append(c.nodes, &hollow{})
+		cluster.nodes = append(cluster.nodes, &inProcessNode{})
 	}
-	return c, nil
+	return cluster, nil
 }
 
 func (c *InProcessCluster) Size() int                    { return len(c.nodes) }
 func (c *InProcessCluster) NetworkRelay() *relay.Relay   { return c.relay }
 func (c *InProcessCluster) Usage(int) (float64, float64) { return 0, 0 }
-func (c *InProcessCluster) SlowdownFactor() int          { return c.slow }
+func (c *InProcessCluster) SlowdownFactor() int          { return c.slowdown }
 
 // services is how many there are.
-func services(nodes int) int { return max(1, (nodes+perService-1)/perService) }
+func serviceCount(nodes int) int { return max(1, (nodes+perService-1)/perService) }
 
 // servers are those of the services that a node calls: the next ones after its own, round.
-func servers(place, nodes, called int) (all []policy.ServerID) {
-	of := services(nodes)
-	for k := 1; k <= min(called, of); k++ {
-		service := (place/perService + k) % of
+func calledServers(slot, nodes, calledServices int) (servers []policy.ServerID) {
+	total := serviceCount(nodes)
+	for offset := 1; offset <= min(calledServices, total); offset++ {
+		service := (slot/perService + offset) % total
 		for i := range perService {
 			if n := service*perService + i; n < nodes {
-				all = append(all, policy.ServerID(n+1))
+				servers = append(servers, policy.ServerID(n+1))
 			}
 		}
 	}
-	return all
+	return servers
 }
 
 // configuration is a hollow node's, in the platform's form.
-func (c *InProcessCluster) configuration(place int) (*config.Config, error) {
+func (c *InProcessCluster) configuration(slot int) (*config.Config, error) {
 	join := ""
 	for i := range min(3, len(c.nodes)) {
 		if i > 0 {
@@ -111,135 +111,135 @@
   "registry_mode":"ask","categories":[{"name":"call","benefit":1,"effect":"idempotent","target_latency":300,"ttl":1000}],
   "limits":{"max_pushes":3,"may_duplicate":true,"may_cancel":true,"dial_timeout":100,"retry_after":true,"max_retry_after":1000},
   "safety":{"answer_slack":20,"cold_from":0.3,"cold":4000,"overload_factor":3,"tip_after":1000,"must_ask_in":10000,"drain_grace":1500}}}`,
-		place, c.seed+uint64(place), relay.BindAddr(place, c.relay.Port()), relay.AdvertisedAddr(place, c.relay.Port()), join,
-		len(c.nodes), place, place%zones)), func(string) string { return "" })
+		slot, c.seed+uint64(slot), relay.BindAddr(slot, c.relay.Port()), relay.AdvertisedAddr(slot, c.relay.Port()), join,
+		len(c.nodes), slot, slot%zones)), func(string) string { return "" })
 }
 
 // none carries nothing and asks nobody: a hollow node has no servers and no registry.
-type none struct{}
+type noServers struct{}
 
-func (none) Follow(*node.List)         {}
-func (none) Push(*node.Push)           {}
-func (none) CloseIdle(policy.ServerID) {}
-func (none) Watch()                    {}
+func (noServers) Follow(*node.List)         {}
+func (noServers) Push(*node.Push)           {}
+func (noServers) CloseIdle(policy.ServerID) {}
+func (noServers) Watch()                    {}
 
 // Start starts a hollow node.
-func (c *InProcessCluster) Start(place int) error {
-	h := c.nodes[place]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	conf, err := c.configuration(place)
+func (c *InProcessCluster) Start(slot int) error {
+	member := c.nodes[slot]
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	parsed, err := c.configuration(slot)
 	if err != nil {
 		return err
 	}
-	clock := node.NewSlowedClock(c.slow)
-	n := node.New(node.Options{MostOpen: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
+	clock := node.NewSlowedClock(c.slowdown)
+	newNode := node.New(node.Options{MostOpen: 1000}, parsed.Rules.NewNode(parsed.Seed), clock, zerolog.Nop())
 	list := &node.List{Form: policy.ListWhole}
-	h.list = servers(place, len(c.nodes), c.called)
-	for _, s := range h.list {
-		list.Entries = append(list.Entries, policy.Entry{Server: s, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(s-1) % zones)})
+	member.servers = calledServers(slot, len(c.nodes), c.calledServices)
+	for _, server := range member.servers {
+		list.Entries = append(list.Entries, policy.Entry{Server: server, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(server-1) % zones)})
 		list.Addrs = append(list.Addrs, "127.0.0.1:1")
 	}
-	n.Start(none{}, none{}, list)
+	newNode.Start(noServers{}, noServers{}, list)
 	var ctx context.Context
-	ctx, h.stop = context.WithCancel(context.Background())
-	h.ended = make(chan error, 1)
-	go func() { h.ended <- n.Run(ctx) }()
-	f, err := fleet.StartKeeping(conf, n, clock, zerolog.Nop(), c.keep)
+	ctx, member.stop = context.WithCancel(context.Background())
+	member.ended = make(chan error, 1)
+	go func() { member.ended <- newNode.Run(ctx) }()
+	newFleet, err := fleet.StartKeeping(parsed, newNode, clock, zerolog.Nop(), c.retention)
 	if err != nil {
-		h.stop()
-		<-h.ended
+		member.stop()
+		<-member.ended
 		return err
 	}
-	h.node, h.fleet = n, f
+	member.node, member.fleet = newNode, newFleet
 	return nil
 }
 
 // Kill ends a hollow node without a word to anybody.
-func (c *InProcessCluster) Kill(place int) error {
-	h := c.nodes[place]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.fleet == nil {
+func (c *InProcessCluster) Kill(slot int) error {
+	member := c.nodes[slot]
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	if member.fleet == nil {
 		return nil
 	}
-	h.fleet.Kill()
-	h.stop()
-	err := <-h.ended
-	h.fleet, h.node = nil, nil
+	member.fleet.Kill()
+	member.stop()
+	err := <-member.ended
+	member.fleet, member.node = nil, nil
 	return err
 }
 
 // Close ends all.
 func (c *InProcessCluster) Close() error {
-	var all sync.WaitGroup
-	room := make(chan struct{}, 32)
+	var kills sync.WaitGroup
+	semaphore := make(chan struct{}, 32)
 	for i := range c.nodes {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+		kills.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			c.Kill(i)
 		})
 	}
-	all.Wait()
+	kills.Wait()
 	c.relay.Close()
 	return nil
 }
 
 // View is Cluster's. Hollow nodes have no socket to ask.
-func (c *InProcessCluster) View(_ context.Context, place int) (*fleet.View, error) {
-	if f := c.fleetOf(place); f != nil {
-		return f.View(), nil
+func (c *InProcessCluster) View(_ context.Context, slot int) (*fleet.View, error) {
+	if nodeFleet := c.fleetOf(slot); nodeFleet != nil {
+		return nodeFleet.View(), nil
 	}
-	return nil, fmt.Errorf("node %d is not there", place)
+	return nil, fmt.Errorf("node %d is not there", slot)
 }
 
-func (c *InProcessCluster) fleetOf(place int) *fleet.Fleet {
-	h := c.nodes[place]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fleet
+func (c *InProcessCluster) fleetOf(slot int) *fleet.Fleet {
+	member := c.nodes[slot]
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	return member.fleet
 }
 
 // Agree is Cluster's.
-func (c *InProcessCluster) WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
-	begun, slow := time.Now(), time.Duration(c.slow)
-	want := make(map[transport.LifeID]bool, len(places))
-	for _, place := range places {
-		if f := c.fleetOf(place); f != nil {
-			want[f.Life()] = true
+func (c *InProcessCluster) WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error) {
+	started, slowdown := time.Now(), time.Duration(c.slowdown)
+	want := make(map[transport.LifeID]bool, len(slots))
+	for _, slot := range slots {
+		if nodeFleet := c.fleetOf(slot); nodeFleet != nil {
+			want[nodeFleet.Life()] = true
 		}
 	}
 	for {
-		last, wrong := 0, 0
-		for _, place := range places {
-			if f := c.fleetOf(place); f == nil || !knows(f, want) {
-				last = place
+		lastWrong, wrong := 0, 0
+		for _, slot := range slots {
+			if nodeFleet := c.fleetOf(slot); nodeFleet == nil || !knowsExactly(nodeFleet, want) {
+				lastWrong = slot
 				wrong++
 			}
 		}
-		took := time.Since(begun) / slow
+		elapsed := time.Since(started) / slowdown
 		if wrong == 0 {
-			return took, nil
+			return elapsed, nil
 		}
-		if took > most {
-			return took, fmt.Errorf("no agreement after %v: %d of %d nodes, node %d among them", most, wrong, len(places), last)
+		if elapsed > timeout {
+			return elapsed, fmt.Errorf("no agreement after %v: %d of %d nodes, node %d among them", timeout, wrong, len(slots), lastWrong)
 		}
 		select {
 		case <-ctx.Done():
-			return took, ctx.Err()
-		case <-time.After(50 * time.Millisecond * slow):
+			return elapsed, ctx.Err()
+		case <-time.After(50 * time.Millisecond * slowdown):
 		}
 	}
 }
 
-func knows(f *fleet.Fleet, want map[transport.LifeID]bool) bool {
-	others := f.Others()
-	if len(others) != len(want)-1 {
+func knowsExactly(nodeFleet *fleet.Fleet, want map[transport.LifeID]bool) bool {
+	peers := nodeFleet.Others()
+	if len(peers) != len(want)-1 {
 		return false
 	}
-	for i := range others {
-		if !want[others[i].Life] {
+	for i := range peers {
+		if !want[peers[i].Life] {
 			return false
 		}
 	}
@@ -249,46 +249,46 @@
 // Calls draws the ends of pushes at callRate a second a node, until ctx is done. Pushes to a silent server time out after a
 // second. Both are of the cluster's clock.
 func (c *InProcessCluster) SimulateCalls(ctx context.Context, silent func(policy.ServerID) bool) {
-	const beat, wait = 50 * time.Millisecond, time.Second
-	slow := time.Duration(c.slow)
-	var all sync.WaitGroup
-	for i, h := range c.nodes {
-		all.Go(func() {
+	const tick, callTimeout = 50 * time.Millisecond, time.Second
+	slowdown := time.Duration(c.slowdown)
+	var callers sync.WaitGroup
+	for i, member := range c.nodes {
+		callers.Go(func() {
 			rng := rand.New(rand.NewPCG(c.seed, uint64(i)))
-			time.Sleep(slow * time.Duration(rng.Int64N(int64(beat))))
-			ticker := time.NewTicker(slow * beat)
+			time.Sleep(slowdown * time.Duration(rng.Int64N(int64(tick))))
+			ticker := time.NewTicker(slowdown * tick)
 			defer ticker.Stop()
 			type push struct {
 				server policy.ServerID
-				due    time.Time
+				owed   time.Time
 			}
-			var out []push
-			for due := 0.0; ; {
+			var pending []push
+			for owed := 0.0; ; {
 				select {
 				case <-ctx.Done():
 					return
 				case <-ticker.C:
 				}
-				f := c.fleetOf(i)
-				if f == nil || len(h.list) == 0 {
+				nodeFleet := c.fleetOf(i)
+				if nodeFleet == nil || len(member.servers) == 0 {
 					continue
 				}
 				now := time.Now()
-				for len(out) > 0 && now.After(out[0].due) {
-					f.Ended(out[0].server, 0, policy.TimedOut, policy.Micros(wait.Microseconds()))
-					out = out[1:]
+				for len(pending) > 0 && now.After(pending[0].owed) {
+					nodeFleet.Ended(pending[0].server, 0, policy.TimedOut, policy.Micros(callTimeout.Microseconds()))
+					pending = pending[1:]
 				}
-				for due += callRate * beat.Seconds(); due >= 1; due-- {
-					s := h.list[rng.IntN(len(h.list))]
-					f.Sent(s, 0)
-					if silent(s) {
-						out = append(out, push{s, now.Add(slow * wait)})
+				for owed += callRate * tick.Seconds(); owed >= 1; owed-- {
+					server := member.servers[rng.IntN(len(member.servers))]
+					nodeFleet.Sent(server, 0)
+					if silent(server) {
+						pending = append(pending, push{server, now.Add(slowdown * callTimeout)})
 						continue
 					}
-					f.Ended(s, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
+					nodeFleet.Ended(server, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
 				}
 			}
 		})
 	}
-	all.Wait()
+	callers.Wait()
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -30,13 +30,13 @@
 
 func (c *ProcessCluster) Size() int                  { return c.nodes }
 func (c *ProcessCluster) NetworkRelay() *relay.Relay { return c.Relay }
-func (c *ProcessCluster) Kill(place int) error       { return c.Signal(place, syscall.SIGKILL) }
-func (c *ProcessCluster) Start(place int) error      { return c.Processes.Start(place) }
+func (c *ProcessCluster) Kill(slot int) error        { return c.Signal(slot, syscall.SIGKILL) }
+func (c *ProcessCluster) Start(slot int) error       { return c.Processes.Start(slot) }
 func (c *ProcessCluster) SlowdownFactor() int        { return 1 }
 
 // Usage is Cluster's.
-func (c *ProcessCluster) Usage(place int) (seconds, mb float64) {
-	seconds, mb, _ = c.ProcessUsage(place)
+func (c *ProcessCluster) Usage(slot int) (seconds, mb float64) {
+	seconds, mb, _ = c.ProcessUsage(slot)
 	return seconds, mb
 }
 
@@ -44,308 +44,312 @@
 type ProgressFunc func(format string, args ...any)
 
 const (
-	settle    = 12 * time.Second // past the first seconds, in which nodes ask more
-	window    = 10 * time.Second // the worst of a fault is told over so long
-	mostAgree = 120 * time.Second
+	settleTime   = 12 * time.Second // past the first seconds, in which nodes ask more
+	worstWindow  = 10 * time.Second // the worst of a fault is told over so long
+	agreeTimeout = 120 * time.Second
 	// KeepScaled and cutScaled are an hour's cut against the ten minutes that members are kept, both by one factor of 120.
 	ScaledRetention = 5 * time.Second
-	cutScaled       = 30 * time.Second
+	scaledCut       = 30 * time.Second
 	// calmLeast is the least time over which calm is told: the operators count in a calm minute.
-	calmLeast = time.Minute
+	minCalmTime = time.Minute
 	// cutShare is the smaller of two regions.
-	cutShare = 0.4
+	smallRegionShare = 0.4
 )
 
 // traffic samples what all nodes have sent and been sent, each second of the cluster's clock, and how late this process's own
 // timers are.
-type traffic struct {
-	relay *relay.Relay
-	nodes int
-	slow  time.Duration
-	lag   *together.TimerLag
-	stop  chan struct{}
-	over  sync.WaitGroup
-	mu    sync.Mutex
-	bytes []float64 // a node, at each second
+type trafficSampler struct {
+	relay     *relay.Relay
+	nodes     int
+	slowdown  time.Duration
+	lag       *together.TimerLag
+	stop      chan struct{}
+	goroutine sync.WaitGroup
+	mu        sync.Mutex
+	meanBytes []float64 // a node, at each second
 }
 
-func watch(c Cluster) *traffic {
-	t := &traffic{relay: c.NetworkRelay(), nodes: c.Size(), slow: time.Duration(c.SlowdownFactor()), lag: together.NewTimerLag(), stop: make(chan struct{})}
-	t.over.Go(func() {
-		ticker := time.NewTicker(time.Second * t.slow)
+func startTraffic(cluster Cluster) *trafficSampler {
+	sampler := &trafficSampler{relay: cluster.NetworkRelay(), nodes: cluster.Size(), slowdown: time.Duration(cluster.SlowdownFactor()), lag: together.NewTimerLag(), stop: make(chan struct{})}
+	sampler.goroutine.Go(func() {
+		ticker := time.NewTicker(time.Second * sampler.slowdown)
 		defer ticker.Stop()
 		for {
-			t.sample()
+			sampler.sample()
 			select {
-			case <-t.stop:
+			case <-sampler.stop:
 				return
 			case <-ticker.C:
 			}
 		}
 	})
-	return t
+	return sampler
 }
 
-func (t *traffic) sample() {
+func (t *trafficSampler) sample() {
 	sum := 0.0
 	for i := range t.nodes {
-		c := t.relay.Traffic(i)
-		sum += float64(c.TotalBytes())
+		nodeTraffic := t.relay.Traffic(i)
+		sum += float64(nodeTraffic.TotalBytes())
 	}
 	t.mu.Lock()
-	t.bytes = append(t.bytes, sum/float64(t.nodes))
+	t.meanBytes = append(t.meanBytes, sum/float64(t.nodes))
 	t.mu.Unlock()
 }
 
 // end gives the mean and the worst window, both in bytes a second and node, and how late the rig was at the most and in the mean.
-func (t *traffic) end() (mean, worst float64, late, lateMean time.Duration) {
+func (t *trafficSampler) finish() (mean, worst float64, worstLag, meanLag time.Duration) {
 	close(t.stop)
-	t.over.Wait()
+	t.goroutine.Wait()
 	t.sample()
-	late, lateMean = t.lag.Stop()
-	late, lateMean = late/t.slow, lateMean/t.slow
-	last := len(t.bytes) - 1
-	mean = (t.bytes[last] - t.bytes[0]) / float64(max(1, last))
-	span := int(window / time.Second)
-	for i := 0; i+1 < len(t.bytes); i++ {
-		j := min(last, i+span)
-		worst = max(worst, (t.bytes[j]-t.bytes[i])/float64(span))
+	worstLag, meanLag = t.lag.Stop()
+	worstLag, meanLag = worstLag/t.slowdown, meanLag/t.slowdown
+	last := len(t.meanBytes) - 1
+	mean = (t.meanBytes[last] - t.meanBytes[0]) / float64(max(1, last))
+	seconds := int(worstWindow / time.Second)
+	for i := 0; i+1 < len(t.meanBytes); i++ {
+		j := min(last, i+seconds)
+		worst = max(worst, (t.meanBytes[j]-t.meanBytes[i])/float64(seconds))
 	}
-	return mean, worst, late, lateMean
+	return mean, worst, worstLag, meanLag
 }
 
-func span(from, to int) (all []int) {
+func sequence(from, to int) (numbers []int) {
 	for i := from; i < to; i++ {
-		all = append(all, i)
+		numbers = append(numbers, i)
 	}
-	return all
+	return numbers
 }
 
 // startAll starts some places, a few side by side.
-func startAll(c Cluster, places []int) error {
-	errs := make([]error, len(places))
-	var all sync.WaitGroup
-	room := make(chan struct{}, 2*runtime.NumCPU())
-	for i, place := range places {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			errs[i] = c.Start(place)
+func startAll(cluster Cluster, slots []int) error {
+	errs := make([]error, len(slots))
+	var starts sync.WaitGroup
+	semaphore := make(chan struct{}, 2*runtime.NumCPU())
+	for i, slot := range slots {
+		starts.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			errs[i] = cluster.Start(slot)
 		})
 	}
-	all.Wait()
+	starts.Wait()
 	return errors.Join(errs...)
 }
 
 // mostLate makes a play void: this process's own timers were later than that in the mean, so that figures of time are the machine's.
-const mostLate = 20 * time.Millisecond
+const maxMeanLag = 20 * time.Millisecond
 
 // startSpread starts some places one after another, evenly over a span of the cluster's clock. Danger: nodes that start together
 // exchange all they know together for as long as they live, and ten seconds hold all of it or nothing.
-func startSpread(ctx context.Context, c Cluster, places []int, span time.Duration) error {
-	errs := make([]error, len(places))
-	var all sync.WaitGroup
-	begun := time.Now()
-	for i, place := range places {
-		due := begun.Add(real(c, span) * time.Duration(i) / time.Duration(len(places)))
-		if wait(ctx, time.Until(due)); ctx.Err() != nil {
+func startSpread(ctx context.Context, cluster Cluster, slots []int, spread time.Duration) error {
+	errs := make([]error, len(slots))
+	var starts sync.WaitGroup
+	started := time.Now()
+	for i, slot := range slots {
+		due := started.Add(scaled(cluster, spread) * time.Duration(i) / time.Duration(len(slots)))
+		if sleep(ctx, time.Until(due)); ctx.Err() != nil {
 			break
 		}
-		all.Go(func() { errs[i] = c.Start(place) })
+		starts.Go(func() { errs[i] = cluster.Start(slot) })
 	}
-	all.Wait()
+	starts.Wait()
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
 // real is how long a span of the cluster's clock takes.
-func real(c Cluster, span time.Duration) time.Duration {
-	return span * time.Duration(c.SlowdownFactor())
+func scaled(cluster Cluster, duration time.Duration) time.Duration {
+	return duration * time.Duration(cluster.SlowdownFactor())
 }
 
 // rest waits for a span of the cluster's clock.
-func rest(ctx context.Context, c Cluster, span time.Duration) { wait(ctx, real(c, span)) }
+func sleepScaled(ctx context.Context, cluster Cluster, duration time.Duration) {
+	sleep(ctx, scaled(cluster, duration))
+}
 
 // whole is the least number of whole spans between two exchanges of all that is known, that lasts for a calm minute and for least.
-func whole(nodes int, least time.Duration) time.Duration {
-	every := members.ExchangeEvery(nodes)
-	return (max(least, calmLeast) + every - 1) / every * every
+func calmDuration(nodes int, minimum time.Duration) time.Duration {
+	interval := members.ExchangeEvery(nodes)
+	return (max(minimum, minCalmTime) + interval - 1) / interval * interval
 }
 
 // Members plays one size: nodes that come one after another, calm, a tenth killed, a zone lost, a region cut and back, and all killed
 // and started at once. All times are of the cluster's clock.
-func MeasureMembers(ctx context.Context, c Cluster, calm time.Duration, tell ProgressFunc) (p Point, err error) {
-	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
-	all := span(0, n)
-	calm = whole(n, calm)
-	var lateMean time.Duration
-	measure := func(name string, do func() error) {
+func MeasureMembers(ctx context.Context, cluster Cluster, calmTime time.Duration, progress ProgressFunc) (point Point, err error) {
+	nodes := cluster.Size()
+	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
+	all := sequence(0, nodes)
+	calmTime = calmDuration(nodes, calmTime)
+	var maxLag time.Duration
+	measure := func(name string, run func() error) {
 		if err != nil {
 			return
 		}
-		t := watch(c)
-		err = do()
-		mean, worst, late, lag := t.end()
-		if lateMean = max(lateMean, lag); name == "calm" {
-			p.Values["calm_bytes"] = round(mean)
+		sampler := startTraffic(cluster)
+		err = run()
+		mean, worst, worstLag, meanLag := sampler.finish()
+		if maxLag = max(maxLag, meanLag); name == "calm" {
+			point.Values["calm_bytes"] = roundFigure(mean)
 		} else {
-			p.Values[name+"_bytes10"] = round(worst)
+			point.Values[name+"_bytes10"] = roundFigure(worst)
 		}
-		tell("%d nodes, %s: %.0f bytes a second and node, worst ten seconds %.0f; rig late %v", n, name, mean, worst, late.Round(time.Millisecond))
+		progress("%d nodes, %s: %.0f bytes a second and node, worst ten seconds %.0f; rig late %v", nodes, name, mean, worst, worstLag.Round(time.Millisecond))
 	}
-	agree := func(name string, places []int) {
+	agree := func(name string, slots []int) {
 		if err != nil {
 			return
 		}
-		var took time.Duration
-		if took, err = c.WaitForAgreement(ctx, places, mostAgree); err == nil && name != "" {
-			p.Values[name+"_s"] = round(took.Seconds())
-			tell("%d nodes, %s: %d agree after %v", n, name, len(places), took.Round(10*time.Millisecond))
+		var elapsed time.Duration
+		if elapsed, err = cluster.WaitForAgreement(ctx, slots, agreeTimeout); err == nil && name != "" {
+			point.Values[name+"_s"] = roundFigure(elapsed.Seconds())
+			progress("%d nodes, %s: %d agree after %v", nodes, name, len(slots), elapsed.Round(10*time.Millisecond))
 		}
 	}
-	killAll := func(places []int) error {
-		for _, place := range places {
-			if err := c.Kill(place); err != nil {
+	killAll := func(slots []int) error {
+		for _, slot := range slots {
+			if err := cluster.Kill(slot); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	err = startSpread(ctx, c, all, members.ExchangeEvery(n))
+	err = startSpread(ctx, cluster, all, members.ExchangeEvery(nodes))
 	agree("", all)
-	if rest(ctx, c, settle); err != nil {
-		return p, err
+	if sleepScaled(ctx, cluster, settleTime); err != nil {
+		return point, err
 	}
-	before := make([]float64, n)
+	cpuBefore := make([]float64, nodes)
 	for i := range all {
-		before[i], _ = c.Usage(i)
+		cpuBefore[i], _ = cluster.Usage(i)
 	}
-	datagrams := func() (sum float64) {
+	meanDatagrams := func() (sum float64) {
 		for i := range all {
-			sum += float64(c.NetworkRelay().Traffic(i).SentDatagrams)
+			sum += float64(cluster.NetworkRelay().Traffic(i).SentDatagrams)
 		}
-		return sum / float64(n)
+		return sum / float64(nodes)
 	}
-	sent := datagrams()
-	measure("calm", func() error { rest(ctx, c, calm); return err })
-	p.Values["calm_datagrams"] = round((datagrams() - sent) / calm.Seconds())
-	cpu, mb := 0.0, 0.0
+	datagramsBefore := meanDatagrams()
+	measure("calm", func() error { sleepScaled(ctx, cluster, calmTime); return err })
+	point.Values["calm_datagrams"] = roundFigure((meanDatagrams() - datagramsBefore) / calmTime.Seconds())
+	cpu, maxMB := 0.0, 0.0
 	for i := range all {
-		now, of := c.Usage(i)
-		cpu += (now - before[i]) / calm.Seconds() / float64(n)
-		mb = max(mb, of)
+		used, memory := cluster.Usage(i)
+		cpu += (used - cpuBefore[i]) / calmTime.Seconds() / float64(nodes)
+		maxMB = max(maxMB, memory)
 	}
-	if mb > 0 {
-		p.Values["calm_core_percent"], p.Values["calm_mb"] = round(100*cpu), round(mb)
+	if maxMB > 0 {
+		point.Values["calm_core_percent"], point.Values["calm_mb"] = roundFigure(100*cpu), roundFigure(maxMB)
 	}
-	kill := func(name string, from int) {
+	killAndRestart := func(name string, first int) {
 		measure(name, func() error {
-			if err := killAll(all[from:]); err != nil {
+			if err := killAll(all[first:]); err != nil {
 				return err
 			}
-			agree(name, all[:from])
-			rest(ctx, c, window/2)
+			agree(name, all[:first])
+			sleepScaled(ctx, cluster, worstWindow/2)
 			return err
 		})
 		if err == nil {
-			err = startAll(c, all[from:])
+			err = startAll(cluster, all[first:])
 		}
 		agree("", all)
-		rest(ctx, c, settle)
+		sleepScaled(ctx, cluster, settleTime)
 	}
-	kill("killed", n-max(1, n/10))
-	kill("zone", n-max(1, n/zones))
-	small := max(1, int(cutShare*float64(n)))
+	killAndRestart("killed", nodes-max(1, nodes/10))
+	killAndRestart("zone", nodes-max(1, nodes/zones))
+	smallRegion := max(1, int(smallRegionShare*float64(nodes)))
 	var cut int
 	measure("cut", func() error {
-		cut = c.NetworkRelay().AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < small) != (to < small)} })
-		begun := time.Now()
-		agree("", all[:small])
+		cut = cluster.NetworkRelay().AddFault(func(first, to int) relay.Impairment {
+			return relay.Impairment{Cut: (first < smallRegion) != (to < smallRegion)}
+		})
+		started := time.Now()
+		agree("", all[:smallRegion])
 		if err == nil {
-			p.Values["cut_small_s"] = round(time.Since(begun).Seconds() / float64(c.SlowdownFactor()))
+			point.Values["cut_small_s"] = roundFigure(time.Since(started).Seconds() / float64(cluster.SlowdownFactor()))
 		}
-		agree("", all[small:])
+		agree("", all[smallRegion:])
 		if err == nil {
-			p.Values["cut_large_s"] = round(time.Since(begun).Seconds() / float64(c.SlowdownFactor()))
+			point.Values["cut_large_s"] = roundFigure(time.Since(started).Seconds() / float64(cluster.SlowdownFactor()))
 		}
-		wait(ctx, real(c, cutScaled)-time.Since(begun))
+		sleep(ctx, scaled(cluster, scaledCut)-time.Since(started))
 		return err
 	})
 	measure("healed", func() error {
-		c.NetworkRelay().RemoveFault(cut)
+		cluster.NetworkRelay().RemoveFault(cut)
 		agree("healed", all)
-		rest(ctx, c, window)
+		sleepScaled(ctx, cluster, worstWindow)
 		return err
 	})
 	if err == nil {
 		err = killAll(all)
 	}
 	measure("join", func() error {
-		if err := startAll(c, all); err != nil {
+		if err := startAll(cluster, all); err != nil {
 			return err
 		}
 		agree("join", all)
-		rest(ctx, c, window)
+		sleepScaled(ctx, cluster, worstWindow)
 		return err
 	})
-	if late := lateMean; late > mostLate {
-		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", late.Round(time.Millisecond))
+	if worstLag := maxLag; worstLag > maxMeanLag {
+		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", worstLag.Round(time.Millisecond))
 	}
-	return p, err
+	return point, err
 }
 
 // Judgements plays one size: calls with nothing wrong, then a tenth of all servers silent, for so long each, on the cluster's clock.
-func MeasureServerReports(ctx context.Context, c *InProcessCluster, calm time.Duration, tell ProgressFunc) (p Point, err error) {
-	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
-		return p, err
+func MeasureServerReports(ctx context.Context, cluster *InProcessCluster, calmTime time.Duration, progress ProgressFunc) (point Point, err error) {
+	nodes := cluster.Size()
+	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
+	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeEvery(nodes)); err != nil {
+		return point, err
 	}
-	if _, err = c.WaitForAgreement(ctx, span(0, n), mostAgree); err != nil {
-		return p, err
+	if _, err = cluster.WaitForAgreement(ctx, sequence(0, nodes), agreeTimeout); err != nil {
+		return point, err
 	}
-	rest(ctx, c, settle)
-	calls, stop := context.WithCancel(ctx)
-	var over sync.WaitGroup
+	sleepScaled(ctx, cluster, settleTime)
+	callsCtx, stop := context.WithCancel(ctx)
+	var callers sync.WaitGroup
 	var mu sync.Mutex
 	faulty := false
-	silent := func(s policy.ServerID) bool {
+	silent := func(server policy.ServerID) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return faulty && uint64(s)%10 == 3
+		return faulty && uint64(server)%10 == 3
 	}
-	over.Go(func() { c.SimulateCalls(calls, silent) })
-	defer func() { stop(); over.Wait() }()
-	rest(ctx, c, 2*time.Second)
-	judged := func() (bytes float64) {
-		for i := range n {
-			if f := c.fleetOf(i); f != nil {
-				k := f.Counts()
-				bytes += float64(k.SentKinds.Judgements + k.GotKinds.Judgements)
+	callers.Go(func() { cluster.SimulateCalls(callsCtx, silent) })
+	defer func() { stop(); callers.Wait() }()
+	sleepScaled(ctx, cluster, 2*time.Second)
+	meanReportBytes := func() (bytes float64) {
+		for i := range nodes {
+			if nodeFleet := cluster.fleetOf(i); nodeFleet != nil {
+				counts := nodeFleet.Counts()
+				bytes += float64(counts.SentKinds.Judgements + counts.GotKinds.Judgements)
 			}
 		}
-		return bytes / float64(n)
+		return bytes / float64(nodes)
 	}
 	phase := func(name string) (worst float64) {
-		t := watch(c)
-		begun, at, seen := time.Now(), judged(), 0.0
-		passed := func() float64 { return time.Since(begun).Seconds() / float64(c.SlowdownFactor()) }
-		for passed() < calm.Seconds() && ctx.Err() == nil {
-			rest(ctx, c, 100*time.Millisecond)
-			if share := c.lowered(silent); name == "fault" && seen == 0 && share >= 0.9 {
-				seen = passed()
+		sampler := startTraffic(cluster)
+		started, bytesBefore, seenAfter := time.Now(), meanReportBytes(), 0.0
+		elapsed := func() float64 { return time.Since(started).Seconds() / float64(cluster.SlowdownFactor()) }
+		for elapsed() < calmTime.Seconds() && ctx.Err() == nil {
+			sleepScaled(ctx, cluster, 100*time.Millisecond)
+			if share := cluster.shareReducing(silent); name == "fault" && seenAfter == 0 && share >= 0.9 {
+				seenAfter = elapsed()
 			}
 		}
-		bytes := (judged() - at) / passed()
-		_, _, late, lag := t.end()
-		p.Values[name+"_bytes"] = round(bytes)
+		bytes := (meanReportBytes() - bytesBefore) / elapsed()
+		_, _, worstLag, meanLag := sampler.finish()
+		point.Values[name+"_bytes"] = roundFigure(bytes)
 		if name == "fault" {
-			p.Values["seen_s"] = round(seen)
+			point.Values["seen_s"] = roundFigure(seenAfter)
 		}
-		if lag > mostLate {
-			p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", lag.Round(time.Millisecond))
+		if meanLag > maxMeanLag {
+			point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 		}
-		tell("%d nodes, judgements, %s: %.0f bytes a second and node; nine in ten know after %.1f s; rig late %v", n, name, bytes, seen, late.Round(time.Millisecond))
+		progress("%d nodes, judgements, %s: %.0f bytes a second and node; nine in ten know after %.1f s; rig late %v", nodes, name, bytes, seenAfter, worstLag.Round(time.Millisecond))
 		return bytes
 	}
 	phase("calm")
@@ -353,33 +357,33 @@
 	faulty = true
 	mu.Unlock()
 	phase("fault")
-	return p, ctx.Err()
+	return point, ctx.Err()
 }
 
 // lowered is the share of nodes with a silent server on their list that have lowered one.
-func (c *InProcessCluster) lowered(silent func(policy.ServerID) bool) float64 {
-	with, know := 0.0, 0.0
-	for i, h := range c.nodes {
-		f := c.fleetOf(i)
-		if f == nil {
+func (c *InProcessCluster) shareReducing(silent func(policy.ServerID) bool) float64 {
+	affected, reducing := 0.0, 0.0
+	for i, member := range c.nodes {
+		nodeFleet := c.fleetOf(i)
+		if nodeFleet == nil {
 			continue
 		}
-		for _, s := range h.list {
-			if silent(s) {
-				with++
-				if f.Lowered() > 0 {
-					know++
+		for _, server := range member.servers {
+			if silent(server) {
+				affected++
+				if nodeFleet.Lowered() > 0 {
+					reducing++
 				}
 				break
 			}
 		}
 	}
-	return know / max(1, with)
+	return reducing / max(1, affected)
 }
 
-func wait(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -31,12 +31,12 @@
 	next  int
 }
 
-var hosts atomic.Uint32
+var hostCounter atomic.Uint32
 
 // Host claims a loopback address, from which nobody connects, so that a process that starts anew finds its port free.
 func ClaimLoopbackHost() (*LoopbackHost, error) {
 	for range 64 {
-		id := uint32(os.Getpid())*11 + hosts.Add(1)
+		id := uint32(os.Getpid())*11 + hostCounter.Add(1)
 		ip := fmt.Sprintf("127.%d.%d.%d", 100+id>>16%100, id>>8&255, 1+id%254)
 		if l, err := net.Listen("tcp", ip+":20000"); err == nil {
 			return &LoopbackHost{claim: l, ip: ip, next: 20000}, nil
@@ -55,68 +55,68 @@
 func (h *LoopbackHost) Close() { h.claim.Close() }
 
 // Instant starts servers of this process that answer after a fixed time.
-func StartFixedDelayServers(n int, takes time.Duration) (addrs []string, stop func(), err error) {
-	return handlers(n, func(int, *http.Request) bool {
-		if takes > 0 {
-			time.Sleep(takes)
+func StartFixedDelayServers(n int, delay time.Duration) (addrs []string, stop func(), err error) {
+	return startServers(n, func(int, *http.Request) bool {
+		if delay > 0 {
+			time.Sleep(delay)
 		}
 		return true
 	})
 }
 
 // handlers starts servers that answer 200 where do says so, else 500.
-func handlers(n int, do func(server int, r *http.Request) bool) (addrs []string, stop func(), err error) {
-	var all []*http.Server
+func startServers(n int, handle func(index int, r *http.Request) bool) (addrs []string, stop func(), err error) {
+	var servers []*http.Server
 	stop = func() {
-		for _, s := range all {
-			s.Close()
+		for _, server := range servers {
+			server.Close()
 		}
 	}
 	for i := range n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			stop()
 			return nil, nil, err
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if !do(i, r) {
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if !handle(i, r) {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
 			w.Header().Set("Content-Length", "11")
 			io.WriteString(w, `{"ok":true}`)
 		})}
-		all, addrs = append(all, s), append(addrs, l.Addr().String())
-		go s.Serve(l)
+		servers, addrs = append(servers, server), append(addrs, listener.Addr().String())
+		go server.Serve(listener)
 	}
 	return addrs, stop, nil
 }
 
 // asker asks on kept connections.
-type asker struct {
+type pathClient struct {
 	addr string
 	mu   sync.Mutex
-	idle []*kept
+	idle []*idleConn
 	ids  *atomic.Int64
 }
 
-type kept struct {
+type idleConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // ask sends one call. A kept connection that the other side has closed just then, before it read the call, is no answer: the call
 // goes once more, on a new one, as the protocol has it.
-func (a *asker) ask() error {
+func (a *pathClient) call() error {
 	a.mu.Lock()
-	var c *kept
+	var idle *idleConn
 	if n := len(a.idle); n > 0 {
-		c, a.idle = a.idle[n-1], a.idle[:n-1]
+		idle, a.idle = a.idle[n-1], a.idle[:n-1]
 	}
 	a.mu.Unlock()
 	id := a.ids.Add(1)
-	if c != nil {
-		if err := a.exchange(c, id); !errors.Is(err, errNothing) {
+	if idle != nil {
+		if err := a.exchange(idle, id); !errors.Is(err, errClosedEarly) {
 			return err
 		}
 	}
@@ -124,24 +124,24 @@
 	if err != nil {
 		return err
 	}
-	return a.exchange(&kept{conn, bufio.NewReader(conn)}, id)
+	return a.exchange(&idleConn{conn, bufio.NewReader(conn)}, id)
 }
 
-var errNothing = errors.New("closed before a byte of the answer")
+var errClosedEarly = errors.New("closed before a byte of the answer")
 
-func (a *asker) exchange(c *kept, id int64) error {
-	c.SetDeadline(time.Now().Add(2 * time.Second))
-	_, err := fmt.Fprintf(c, "GET /call HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %x\r\nX-Remaining-Ms: 900\r\n\r\n", id)
+func (a *pathClient) exchange(conn *idleConn, id int64) error {
+	conn.SetDeadline(time.Now().Add(2 * time.Second))
+	_, err := fmt.Fprintf(conn, "GET /call HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %x\r\nX-Remaining-Ms: 900\r\n\r\n", id)
 	if err == nil {
-		_, err = c.in.Peek(1)
+		_, err = conn.reader.Peek(1)
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
-		c.Close()
-		return errNothing
+		conn.Close()
+		return errClosedEarly
 	}
 	var response *http.Response
 	if err == nil {
-		response, err = http.ReadResponse(c.in, nil)
+		response, err = http.ReadResponse(conn.reader, nil)
 	}
 	if err == nil {
 		if _, err = io.Copy(io.Discard, response.Body); err == nil && response.StatusCode != http.StatusOK {
@@ -149,75 +149,75 @@
 		}
 	}
 	if err != nil || response.Close {
-		c.Close()
+		conn.Close()
 		return err
 	}
 	a.mu.Lock()
-	a.idle = append(a.idle, c)
+	a.idle = append(a.idle, conn)
 	a.mu.Unlock()
 	return nil
 }
 
 // offer asks in an open loop, Poisson, for a span.
-func (a *asker) offer(ctx context.Context, rate float64, span time.Duration, rng *rand.Rand) (h *hdrhistogram.Histogram, failed int64) {
-	h = hdrhistogram.New(1, 10_000_000, 3)
+func (a *pathClient) offerLoad(ctx context.Context, rate float64, duration time.Duration, rng *rand.Rand) (latencies *hdrhistogram.Histogram, failed int64) {
+	latencies = hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	var bad atomic.Int64
-	begun := time.Now()
-	for at := time.Duration(0); at < span && ctx.Err() == nil; at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-		if ahead := at - time.Since(begun); ahead > 0 {
+	var calls sync.WaitGroup
+	var failures atomic.Int64
+	started := time.Now()
+	for at := time.Duration(0); at < duration && ctx.Err() == nil; at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
+		if ahead := at - time.Since(started); ahead > 0 {
 			time.Sleep(ahead)
 		}
-		meant := begun.Add(at)
-		all.Go(func() {
-			if err := a.ask(); err != nil {
-				bad.Add(1)
+		intended := started.Add(at)
+		calls.Go(func() {
+			if err := a.call(); err != nil {
+				failures.Add(1)
 				return
 			}
-			took := time.Since(meant).Microseconds()
+			latency := time.Since(intended).Microseconds()
 			mu.Lock()
 			defer mu.Unlock()
-			h.RecordValue(max(1, took))
+			latencies.RecordValue(max(1, latency))
 		})
 	}
-	all.Wait()
-	return h, bad.Load()
+	calls.Wait()
+	return latencies, failures.Load()
 }
 
-const work = 5 * time.Millisecond // of the server at the end
+const serverWork = 5 * time.Millisecond // of the server at the end
 
 // Path plays a call of so many hops: each hop is a node and the eight servers of a service behind it, which call the next node. The same call without
 // the nodes goes beside it, at the same rate, in the same run.
-func MeasureCallPath(ctx context.Context, program string, hops int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
+func MeasureCallPath(ctx context.Context, program string, hops int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	if program == "" {
-		return p, errors.New("the call's path is measured with processes: --node names the program")
+		return point, errors.New("the call's path is measured with processes: --node names the program")
 	}
-	p = Point{Nodes: hops, Values: map[string]float64{}}
+	point = Point{Nodes: hops, Values: map[string]float64{}}
 	dir, err := os.MkdirTemp("", "canvaslab-")
 	if err != nil {
-		return p, err
+		return point, err
 	}
 	defer os.RemoveAll(dir)
 	host, err := ClaimLoopbackHost()
 	if err != nil {
-		return p, err
+		return point, err
 	}
 	defer host.Close()
 	ids := &atomic.Int64{}
 	ids.Store(int64(seed) << 40)
 	// Each of the two chains has servers of its own: one calls the next node, the other the next server.
-	chain := func(through bool) (first string, nodes []*process, stop func(), err error) {
-		next := make([]*asker, hops)
-		do := func(server int, _ *http.Request) bool {
+	startChain := func(withNodes bool) (first string, nodes []*process, stop func(), err error) {
+		nextHop := make([]*pathClient, hops)
+		handle := func(server int, _ *http.Request) bool {
 			i := server / perService
 			if i == hops-1 {
-				time.Sleep(work)
+				time.Sleep(serverWork)
 				return true
 			}
-			return next[i].ask() == nil
+			return nextHop[i].call() == nil
 		}
-		addrs, stopServers, err := handlers(hops*perService, do)
+		addrs, stopServers, err := startServers(hops*perService, handle)
 		if err != nil {
 			return "", nil, nil, err
 		}
@@ -227,80 +227,84 @@
 			}
 			stopServers()
 		}
-		at := make([]string, hops)
+		hopAddrs := make([]string, hops)
 		for i := range hops {
-			if at[i] = addrs[i*perService]; !through {
+			if hopAddrs[i] = addrs[i*perService]; !withNodes {
 				continue
 			}
-			s, known := setting(addrs[i*perService : (i+1)*perService])
+			deployment, knownServers := processDeployment(addrs[i*perService : (i+1)*perService])
 			n := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-			if err := os.WriteFile(n.file, s.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, known, nil), 0o600); err != nil {
+			if err := os.WriteFile(n.file, deployment.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, knownServers, nil), 0o600); err != nil {
 				return "", nil, stop, err
 			}
 			if err := n.start(program); err != nil {
 				return "", nil, stop, err
 			}
-			nodes, at[i] = append(nodes, n), n.addr
+			nodes, hopAddrs[i] = append(nodes, n), n.addr
 		}
 		for i := range hops - 1 {
-			next[i] = &asker{addr: at[i+1], ids: ids}
+			nextHop[i] = &pathClient{addr: hopAddrs[i+1], ids: ids}
 		}
-		return at[0], nodes, stop, nil
+		return hopAddrs[0], nodes, stop, nil
 	}
-	direct, _, stopDirect, err := chain(false)
+	direct, _, stopDirect, err := startChain(false)
 	if err != nil {
-		return p, err
+		return point, err
 	}
 	defer stopDirect()
-	through, nodes, stopThrough, err := chain(true)
+	withNodes, nodes, stopThrough, err := startChain(true)
 	if stopThrough != nil {
 		defer func() { stopThrough() }()
 	}
 	if err != nil {
-		return p, err
+		return point, err
 	}
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := len(nodes) - 1; i >= 0; i-- { // the last first: those before call it
-		if _, _, err := nodes[i].ready(ctx, client, startWait); err != nil {
-			return p, err
+		if _, _, err := nodes[i].waitServing(ctx, client, startTimeout); err != nil {
+			return point, err
 		}
 	}
-	one, other := &asker{addr: direct, ids: ids}, &asker{addr: through, ids: ids}
-	warm := 3 * time.Second
-	run := func(span time.Duration) (a, b *hdrhistogram.Histogram, failed int64) {
+	directClient, routedClient := &pathClient{addr: direct, ids: ids}, &pathClient{addr: withNodes, ids: ids}
+	warmUp := 3 * time.Second
+	run := func(span time.Duration) (directLatencies, routedLatencies *hdrhistogram.Histogram, failed int64) {
 		var both sync.WaitGroup
-		var x, y int64
-		both.Go(func() { a, x = one.offer(ctx, callRate, span, rand.New(rand.NewPCG(seed, 1))) })
-		both.Go(func() { b, y = other.offer(ctx, callRate, span, rand.New(rand.NewPCG(seed, 2))) })
+		var directFailed, routedFailed int64
+		both.Go(func() {
+			directLatencies, directFailed = directClient.offerLoad(ctx, callRate, span, rand.New(rand.NewPCG(seed, 1)))
+		})
+		both.Go(func() {
+			routedLatencies, routedFailed = routedClient.offerLoad(ctx, callRate, span, rand.New(rand.NewPCG(seed, 2)))
+		})
 		both.Wait()
-		return a, b, x + y
+		return directLatencies, routedLatencies, directFailed + routedFailed
 	}
-	run(warm)
-	cpu := func() (sum float64) {
+	run(warmUp)
+	cpuSeconds := func() (sum float64) {
 		for _, n := range nodes {
 			sum += processorTime(n.cmd.Process.Pid)
 		}
 		return sum
 	}
-	before, lag := cpu(), together.NewTimerLag()
-	a, b, failed := run(2 * calm)
-	used := cpu() - before
-	late, mean := lag.Stop()
-	calls := float64(b.TotalCount() * int64(hops))
-	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
-		without, with := float64(a.ValueAtQuantile(q))/1000, float64(b.ValueAtQuantile(q))/1000
-		p.Values[name+"_direct_ms"], p.Values[name+"_ms"], p.Values[name+"_added_ms"] = round(without), round(with), round(with-without)
+	cpuBefore, timerLag := cpuSeconds(), together.NewTimerLag()
+	directLatencies, routedLatencies, failed := run(2 * calmTime)
+	used := cpuSeconds() - cpuBefore
+	worstLag, meanLag := timerLag.Stop()
+	calls := float64(routedLatencies.TotalCount() * int64(hops))
+	for name, quantile := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
+		without, with := float64(directLatencies.ValueAtQuantile(quantile))/1000, float64(routedLatencies.ValueAtQuantile(quantile))/1000
+		point.Values[name+"_direct_ms"], point.Values[name+"_ms"], point.Values[name+"_added_ms"] = roundFigure(without), roundFigure(with), roundFigure(with-without)
 	}
-	p.Values["p99_added_a_hop_ms"] = round(p.Values["p99_added_ms"] / float64(hops))
-	p.Values["core_ms_a_call"] = round(1000 * used / max(1, calls))
-	p.Values["failed"] = float64(failed)
-	if mean > mostLate {
-		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+	point.Values["p99_added_a_hop_ms"] = roundFigure(point.Values["p99_added_ms"] / float64(hops))
+	point.Values["core_ms_a_call"] = roundFigure(1000 * used / max(1, calls))
+	point.Values["failed"] = float64(failed)
+	if meanLag > maxMeanLag {
+		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	tell("%d hops at %d calls a second: p50 %.2f ms and %.2f direct, p99 %.2f and %.2f, p999 %.2f and %.2f; %.3f ms of a core a call and hop, %d failed; rig late %v",
-		hops, callRate, p.Values["p50_ms"], p.Values["p50_direct_ms"], p.Values["p99_ms"], p.Values["p99_direct_ms"], p.Values["p999_ms"],
-		p.Values["p999_direct_ms"], p.Values["core_ms_a_call"], failed, late.Round(time.Millisecond))
-	return p, ctx.Err()
+	progress("%d hops at %d calls a second: p50 %.2f ms and %.2f direct, p99 %.2f and %.2f, p999 %.2f and %.2f; %.3f ms of a core a call and hop, %d failed; rig late %v",
+		hops, callRate, point.Values["p50_ms"], point.Values["p50_direct_ms"], point.Values["p99_ms"], point.Values["p99_direct_ms"], point.Values["p999_ms"],
+		point.Values["p999_direct_ms"], point.Values["core_ms_a_call"], failed, worstLag.Round(time.Millisecond))
+	return point, ctx.Err()
 }
 
 // processorTime is what a process has used so far, in seconds.
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -51,12 +51,12 @@
 }
 
 // file is where a record stands in a directory.
-func file(dir, role, kind string) string { return filepath.Join(dir, role+"-"+kind+".json") }
+func recordPath(dir, role, kind string) string { return filepath.Join(dir, role+"-"+kind+".json") }
 
 // Load reads a record; one that is not there yet is empty. A fault is one line that names the file.
 func Load(dir, role, kind string) (*Record, error) {
 	r := &Record{Role: role, Kind: kind}
-	path := file(dir, role, kind)
+	path := recordPath(dir, role, kind)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return r, nil
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	slices.Sort(paths)
-	var all []*Record
+	var records []*Record
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
@@ -99,12 +99,12 @@
 		if err := r.parse(path, raw); err != nil {
 			return nil, err
 		}
-		if want := filepath.Base(file(dir, r.Role, r.Kind)); want != filepath.Base(path) {
+		if want := filepath.Base(recordPath(dir, r.Role, r.Kind)); want != filepath.Base(path) {
 			return nil, fmt.Errorf("%s: holds role %s of %s nodes", path, r.Role, r.Kind)
 		}
-		all = append(all, r)
+		records = append(records, r)
 	}
-	return all, nil
+	return records, nil
 }
 
 // Save writes the record, with what other runs have added to its file meanwhile.
@@ -120,16 +120,16 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return err
 	}
-	now, err := Load(dir, r.Role, r.Kind)
+	saved, err := Load(dir, r.Role, r.Kind)
 	if err != nil {
 		return err
 	}
-	for _, p := range now.Points {
+	for _, p := range saved.Points {
 		if !slices.ContainsFunc(r.Points, func(own Point) bool { return own.Nodes == p.Nodes && own.Run == p.Run }) {
 			r.Points = append(r.Points, p)
 		}
 	}
-	for _, p := range now.Predictions {
+	for _, p := range saved.Predictions {
 		if !slices.ContainsFunc(r.Predictions, func(own Prediction) bool { return own.Nodes == p.Nodes }) {
 			r.Predictions = append(r.Predictions, p)
 		}
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(file(dir, r.Role, r.Kind), append(raw, '\n'), 0o644)
+	return os.WriteFile(recordPath(dir, r.Role, r.Kind), append(raw, '\n'), 0o644)
 }
 
 // Add takes a play in. One of the same size and number takes the place of the earlier.
@@ -167,7 +167,7 @@
 	p := Prediction{Nodes: nodes, FromSizes: sizes, Values: map[string]float64{}}
 	for _, name := range r.ValueNames() {
 		if fit, ok := r.FitGrowth(name, func(n int) bool { return n < nodes }); ok {
-			p.Values[name] = round(fit.Value(float64(nodes)))
+			p.Values[name] = roundFigure(fit.Value(float64(nodes)))
 		}
 	}
 	r.Predictions = append(r.Predictions, p)
@@ -175,40 +175,40 @@
 }
 
 // Sizes are those played, in order.
-func (r *Record) Sizes(which func(nodes int) bool) (all []int) {
+func (r *Record) Sizes(include func(nodes int) bool) (sizes []int) {
 	for _, p := range r.Points {
-		if p.VoidReason == "" && which(p.Nodes) && !slices.Contains(all, p.Nodes) {
-			all = append(all, p.Nodes)
+		if p.VoidReason == "" && include(p.Nodes) && !slices.Contains(sizes, p.Nodes) {
+			sizes = append(sizes, p.Nodes)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(sizes)
+	return sizes
 }
 
 // Names are those of the values, in order.
-func (r *Record) ValueNames() (all []string) {
+func (r *Record) ValueNames() (names []string) {
 	for _, p := range r.Points {
 		for name := range p.Values {
-			if !slices.Contains(all, name) {
-				all = append(all, name)
+			if !slices.Contains(names, name) {
+				names = append(names, name)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
 // At is the mean of a value at a size over its plays, and the spread: the least and the most.
-func (r *Record) Stats(name string, nodes int) (mean, least, most float64, plays int) {
-	least, most = math.Inf(1), math.Inf(-1)
+func (r *Record) Stats(name string, nodes int) (mean, lowest, highest float64, runs int) {
+	lowest, highest = math.Inf(1), math.Inf(-1)
 	for _, p := range r.Points {
 		if v, has := p.Values[name]; has && p.Nodes == nodes && p.VoidReason == "" {
 			mean += v
-			least, most = min(least, v), max(most, v)
-			plays++
+			lowest, highest = min(lowest, v), max(highest, v)
+			runs++
 		}
 	}
-	return mean / float64(max(1, plays)), least, most, plays
+	return mean / float64(max(1, runs)), lowest, highest, runs
 }
 
 // Fit is how a value grows with the number of nodes.
@@ -218,7 +218,7 @@
 	MaxRelativeError float64 // largest distance from a size's mean, as a share of it
 }
 
-var forms = []struct {
+var growthForms = []struct {
 	name string
 	of   func(n float64) float64
 }{
@@ -230,7 +230,7 @@
 
 // At is the value at a size.
 func (f GrowthFit) Value(nodes float64) float64 {
-	for _, form := range forms {
+	for _, form := range growthForms {
 		if form.name == f.Form {
 			return f.Intercept + f.Slope*form.of(nodes)
 		}
@@ -239,13 +239,13 @@
 }
 
 // nearEnough is how far from every size's mean a simpler form may lie to be taken.
-const nearEnough = 0.1
+const maxFormError = 0.1
 
 // Fit finds the simplest form that passes near every size's mean, or else the nearest.
-func (r *Record) FitGrowth(name string, which func(nodes int) bool) (best GrowthFit, ok bool) {
+func (r *Record) FitGrowth(name string, include func(nodes int) bool) (best GrowthFit, ok bool) {
 	var xs, ys []float64
-	for _, n := range r.Sizes(which) {
-		if mean, _, _, plays := r.Stats(name, n); plays > 0 {
+	for _, n := range r.Sizes(include) {
+		if mean, _, _, runs := r.Stats(name, n); runs > 0 {
 			xs, ys = append(xs, float64(n)), append(ys, mean)
 		}
 	}
@@ -253,16 +253,16 @@
 		return best, false
 	}
 	best.MaxRelativeError = math.Inf(1)
-	for _, form := range forms {
+	for _, form := range growthForms {
 		fit := GrowthFit{Form: form.name}
-		fit.Intercept, fit.Slope = line(xs, ys, form.of)
+		fit.Intercept, fit.Slope = leastSquares(xs, ys, form.of)
 		for i, x := range xs {
 			fit.MaxRelativeError = max(fit.MaxRelativeError, math.Abs(fit.Value(x)-ys[i])/max(1e-9, math.Abs(ys[i])))
 		}
 		if fit.MaxRelativeError < best.MaxRelativeError {
 			best = fit
 		}
-		if fit.MaxRelativeError <= nearEnough {
+		if fit.MaxRelativeError <= maxFormError {
 			return fit, true
 		}
 	}
@@ -270,25 +270,25 @@
 }
 
 // line is the least squares of y over of(x), each distance as a share of y, so that small sizes count like large ones.
-func line(xs, ys []float64, of func(float64) float64) (a, b float64) {
-	var w, wx, wy, wxx, wxy float64
+func leastSquares(xs, ys []float64, transform func(float64) float64) (a, b float64) {
+	var sumW, sumWX, sumWY, sumWXX, sumWXY float64
 	for i, x := range xs {
 		weight := 1 / max(1e-18, ys[i]*ys[i])
-		fx := of(x)
-		w += weight
-		wx += weight * fx
-		wy += weight * ys[i]
-		wxx += weight * fx * fx
-		wxy += weight * fx * ys[i]
+		transformed := transform(x)
+		sumW += weight
+		sumWX += weight * transformed
+		sumWY += weight * ys[i]
+		sumWXX += weight * transformed * transformed
+		sumWXY += weight * transformed * ys[i]
 	}
-	if d := w*wxx - wx*wx; math.Abs(d) > 1e-12*w*wxx {
-		b = (w*wxy - wx*wy) / d
+	if determinant := sumW*sumWXX - sumWX*sumWX; math.Abs(determinant) > 1e-12*sumW*sumWXX {
+		b = (sumW*sumWXY - sumWX*sumWY) / determinant
 	}
-	return (wy - b*wx) / w, b
+	return (sumWY - b*sumWX) / sumW, b
 }
 
 // round keeps four digits: more would be noise.
-func round(x float64) float64 {
+func roundFigure(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
 	}
@@ -297,10 +297,10 @@
 }
 
 // ParseSizes reads sizes such as 25,50,100.
-func ValidateSizes(sizes []int, most int) error {
+func ValidateSizes(sizes []int, maximum int) error {
 	for _, n := range sizes {
-		if n < 1 || n > most {
-			return fmt.Errorf("--nodes %d is not from 1 to %d", n, most)
+		if n < 1 || n > maximum {
+			return fmt.Errorf("--nodes %d is not from 1 to %d", n, maximum)
 		}
 	}
 	if len(sizes) == 0 {
@@ -310,7 +310,7 @@
 }
 
 // text writes a figure for a person.
-func text(x float64) string {
+func formatFigure(x float64) string {
 	switch {
 	case x == 0:
 		return "0"
--- a/internal/lab/scale/slowed_test.go
+++ b/internal/lab/scale/slowed_test.go
@@ -14,60 +14,60 @@
 // and find one that was killed after as long. A wait left in real time would show as twice as much.
 func TestSlowedClocks(t *testing.T) {
 	const nodes = 12
-	type play struct{ datagrams, found float64 }
-	var plays [2]play
-	var both sync.WaitGroup
-	for i, slow := range []int{1, 2} {
-		both.Go(func() {
-			c, err := NewInProcessCluster(nodes, 5, 0, slow, 1)
+	type figures struct{ datagrams, found float64 }
+	var results [2]figures
+	var clusters sync.WaitGroup
+	for i, slowdown := range []int{1, 2} {
+		clusters.Go(func() {
+			cluster, err := NewInProcessCluster(nodes, 5, 0, slowdown, 1)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer c.Close()
-			if err := startAll(c, span(0, nodes)); err != nil {
+			defer cluster.Close()
+			if err := startAll(cluster, sequence(0, nodes)); err != nil {
 				t.Error(err)
 				return
 			}
-			agree := func(places []int) float64 {
-				took, err := c.WaitForAgreement(t.Context(), places, mostAgree)
+			requireAgreement := func(slots []int) float64 {
+				elapsed, err := cluster.WaitForAgreement(t.Context(), slots, agreeTimeout)
 				if err != nil {
 					t.Error(err)
 				}
-				return took.Seconds()
+				return elapsed.Seconds()
 			}
-			agree(span(0, nodes))
-			sent := func() (sum float64) {
-				for place := range nodes {
-					sum += float64(c.NetworkRelay().Traffic(place).SentDatagrams)
+			requireAgreement(sequence(0, nodes))
+			meanDatagrams := func() (sum float64) {
+				for slot := range nodes {
+					sum += float64(cluster.NetworkRelay().Traffic(slot).SentDatagrams)
 				}
 				return sum / nodes
 			}
-			rest(t.Context(), c, 2*time.Second) // what joining has to tell is told
-			before := sent()
-			rest(t.Context(), c, 4*time.Second)
-			plays[i].datagrams = (sent() - before) / 4
-			if err := c.Kill(nodes - 1); err != nil {
+			sleepScaled(t.Context(), cluster, 2*time.Second) // what joining has to tell is told
+			before := meanDatagrams()
+			sleepScaled(t.Context(), cluster, 4*time.Second)
+			results[i].datagrams = (meanDatagrams() - before) / 4
+			if err := cluster.Kill(nodes - 1); err != nil {
 				t.Error(err)
 			}
-			plays[i].found = agree(span(0, nodes-1))
+			results[i].found = requireAgreement(sequence(0, nodes-1))
 		})
 	}
-	both.Wait()
-	t.Logf("%+v", plays)
-	if a, b := plays[0].datagrams, plays[1].datagrams; a == 0 || math.Abs(b/a-1) > 0.2 {
-		t.Errorf("%.2f datagrams a second and node in real time, %.2f on clocks slowed by 2", a, b)
+	clusters.Wait()
+	t.Logf("%+v", results)
+	if realTime, slowed := results[0].datagrams, results[1].datagrams; realTime == 0 || math.Abs(slowed/realTime-1) > 0.2 {
+		t.Errorf("%.2f datagrams a second and node in real time, %.2f on clocks slowed by 2", realTime, slowed)
 	}
-	if a, b := plays[0].found, plays[1].found; b > 2*a+2 || a > 2*b+2 {
-		t.Errorf("one that was killed is found after %.1f s, and %.1f s on clocks slowed by 2", a, b)
+	if realTime, slowed := results[0].found, results[1].found; slowed > 2*realTime+2 || realTime > 2*slowed+2 {
+		t.Errorf("one that was killed is found after %.1f s, and %.1f s on clocks slowed by 2", realTime, slowed)
 	}
 	clock := node.NewSlowedClock(100)
-	begun := clock.Now()
-	if left := clock.Until(begun + policy.Second); left < 95*time.Second || left > 100*time.Second {
-		t.Errorf("a second is %v away", left)
+	started := clock.Now()
+	if remaining := clock.Until(started + policy.Second); remaining < 95*time.Second || remaining > 100*time.Second {
+		t.Errorf("a second is %v away", remaining)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if passed := clock.Now() - begun; passed < 500 || passed > 50*policy.Millisecond {
-		t.Errorf("%d us have passed in 50 ms", passed)
+	if elapsed := clock.Now() - started; elapsed < 500 || elapsed > 50*policy.Millisecond {
+		t.Errorf("%d us have passed in 50 ms", elapsed)
 	}
 }
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -12,42 +12,42 @@
 )
 
 // looks are how many nodes are looked at, spread over all.
-const looks = 20
+const sampledViews = 20
 
 // Views plays one size of the operators' view: a look at one node after another, how long it takes (for real nodes from the socket to
 // its last byte read) and how much it is.
-func MeasureViews(ctx context.Context, c Cluster, tell ProgressFunc) (p Point, err error) {
-	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
-		return p, err
+func MeasureViews(ctx context.Context, cluster Cluster, progress ProgressFunc) (point Point, err error) {
+	nodes := cluster.Size()
+	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
+	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeEvery(nodes)); err != nil {
+		return point, err
 	}
-	if _, err = c.WaitForAgreement(ctx, span(0, n), mostAgree); err != nil {
-		return p, err
+	if _, err = cluster.WaitForAgreement(ctx, sequence(0, nodes), agreeTimeout); err != nil {
+		return point, err
 	}
-	lag := together.NewTimerLag()
-	bytes, took, most := 0.0, 0.0, 0.0
-	for i := range looks {
-		begun := time.Now()
-		v, err := c.View(ctx, i*n/looks)
+	timerLag := together.NewTimerLag()
+	meanBytes, meanMs, maxMs := 0.0, 0.0, 0.0
+	for i := range sampledViews {
+		started := time.Now()
+		view, err := cluster.View(ctx, i*nodes/sampledViews)
 		if err != nil {
-			return p, errors.Join(err, ctx.Err())
+			return point, errors.Join(err, ctx.Err())
 		}
-		raw, err := json.Marshal(v)
+		raw, err := json.Marshal(view)
 		if err != nil {
-			return p, err
+			return point, err
 		}
-		ms := time.Since(begun).Seconds() * 1000
-		bytes, took, most = bytes+float64(len(raw))/looks, took+ms/looks, max(most, ms)
-		if len(v.Members) != n-1 {
-			return p, fmt.Errorf("node %d shows %d others of %d", i*n/looks, len(v.Members), n-1)
+		ms := time.Since(started).Seconds() * 1000
+		meanBytes, meanMs, maxMs = meanBytes+float64(len(raw))/sampledViews, meanMs+ms/sampledViews, max(maxMs, ms)
+		if len(view.Members) != nodes-1 {
+			return point, fmt.Errorf("node %d shows %d others of %d", i*nodes/sampledViews, len(view.Members), nodes-1)
 		}
 	}
-	late, mean := lag.Stop()
-	p.Values["view_bytes"], p.Values["view_ms"], p.Values["view_most_ms"] = round(bytes), round(took), round(most)
-	if mean > mostLate {
-		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+	worstLag, meanLag := timerLag.Stop()
+	point.Values["view_bytes"], point.Values["view_ms"], point.Values["view_most_ms"] = roundFigure(meanBytes), roundFigure(meanMs), roundFigure(maxMs)
+	if meanLag > maxMeanLag {
+		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	tell("%d nodes, a look at one: %.0f bytes, %.2f ms, %.2f at the most; rig late %v", n, bytes, took, most, late.Round(time.Millisecond))
-	return p, ctx.Err()
+	progress("%d nodes, a look at one: %.0f bytes, %.2f ms, %.2f at the most; rig late %v", nodes, meanBytes, meanMs, maxMs, worstLag.Round(time.Millisecond))
+	return point, ctx.Err()
 }
--- a/internal/lab/together/fault.go
+++ b/internal/lab/together/fault.go
@@ -12,77 +12,77 @@
 
 // Ways turns a fault between nodes into the way of each pair. Whom it hits is drawn here, once: nodes from 0. Whoever
 // comes later, as a second process of a name or at another address, goes by the place beside which it stands.
-func PairImpairments(b *scenario.Between, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
-	all := make([]int, nodes)
-	for i := range all {
-		all[i] = i
+func PairImpairments(fault *scenario.Between, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
+	numbers := make([]int, nodes)
+	for i := range numbers {
+		numbers[i] = i
 	}
-	if b.Kind == "groups" || b.Kind == "chain" {
-		group, last := parts(all, b.Parts, rng), 0
-		if b.Kind == "chain" {
-			last = 1
+	if fault.Kind == "groups" || fault.Kind == "chain" {
+		group, maxDistance := assignGroups(numbers, fault.Parts, rng), 0
+		if fault.Kind == "chain" {
+			maxDistance = 1
 		}
 		return func(from, to int) relay.Impairment {
-			apart := group[from%nodes] - group[to%nodes]
-			return relay.Impairment{Cut: max(apart, -apart) > last}
+			distance := group[from%nodes] - group[to%nodes]
+			return relay.Impairment{Cut: max(distance, -distance) > maxDistance}
 		}
 	}
-	hit := make([]bool, nodes)
-	for _, i := range scenario.Draw(all, b.Count, b.Share, rng) {
-		hit[i] = true
+	affected := make([]bool, nodes)
+	for _, i := range scenario.Draw(numbers, fault.Count, fault.Share, rng) {
+		affected[i] = true
 	}
-	way := shape(b)
+	impairment := impairmentOf(fault)
 	return func(from, to int) relay.Impairment {
 		from, to = from%nodes, to%nodes
-		acts := hit[from] || hit[to]
-		switch b.Kind {
+		applies := affected[from] || affected[to]
+		switch fault.Kind {
 		case "deaf", "silent":
-			acts = hit[to]
+			applies = affected[to]
 		case "dumb":
-			acts = hit[from]
+			applies = affected[from]
 		}
-		if !acts || from == to {
+		if !applies || from == to {
 			return relay.Impairment{}
 		}
-		return way
+		return impairment
 	}
 }
 
 // parts gives each node its group, the groups' sizes by weight.
-func parts(all, weights []int, rng *rand.Rand) (group []int) {
-	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+func assignGroups(nodes, weights []int, rng *rand.Rand) (group []int) {
+	rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	total := 0
-	for _, w := range weights {
-		total += w
+	for _, weight := range weights {
+		total += weight
 	}
-	group = make([]int, len(all))
-	sum, g := weights[0], 0
-	for i, node := range all {
-		for i*total >= sum*len(all) && g+1 < len(weights) {
-			g++
-			sum += weights[g]
+	group = make([]int, len(nodes))
+	upperWeight, current := weights[0], 0
+	for i, node := range nodes {
+		for i*total >= upperWeight*len(nodes) && current+1 < len(weights) {
+			current++
+			upperWeight += weights[current]
 		}
-		group[node] = g
+		group[node] = current
 	}
 	return group
 }
 
 // shape is what a fault does to a way that it acts on.
-func shape(b *scenario.Between) relay.Impairment {
-	switch b.Kind {
+func impairmentOf(fault *scenario.Between) relay.Impairment {
+	switch fault.Kind {
 	case "loss":
-		return relay.Impairment{Loss: b.Factor}
+		return relay.Impairment{Loss: fault.Factor}
 	case "slow":
-		later := time.Duration(b.Factor * float64(time.Second))
-		return relay.Impairment{Delay: later, Jitter: later}
+		delay := time.Duration(fault.Factor * float64(time.Second))
+		return relay.Impairment{Delay: delay, Jitter: delay}
 	case "double":
-		return relay.Impairment{Duplicate: b.Factor}
+		return relay.Impairment{Duplicate: fault.Factor}
 	case "reorder":
-		return relay.Impairment{Reorder: b.Factor}
+		return relay.Impairment{Reorder: fault.Factor}
 	case "spoil":
-		return relay.Impairment{Corrupt: b.Factor}
+		return relay.Impairment{Corrupt: fault.Factor}
 	case "short":
-		return relay.Impairment{Truncate: b.Factor}
+		return relay.Impairment{Truncate: fault.Factor}
 	case "silent":
 		return relay.Impairment{UnansweredStreams: true}
 	}
--- a/internal/lab/together/lag.go
+++ b/internal/lab/together/lag.go
@@ -8,47 +8,47 @@
 // Lag measures what the rig itself is late with, on a machine that is too busy: a timer of its own, beside the load's.
 // A run whose judge was late can't say whose fault a late answer is.
 type TimerLag struct {
-	mu   sync.Mutex
-	most time.Duration
-	at   time.Time // of the most
-	sum  time.Duration
-	n    int
-	stop chan struct{}
-	over sync.WaitGroup
+	mu        sync.Mutex
+	worst     time.Duration
+	worstAt   time.Time // of the most
+	total     time.Duration
+	samples   int
+	stop      chan struct{}
+	goroutine sync.WaitGroup
 }
 
-const lagEvery = 5 * time.Millisecond
+const sampleInterval = 5 * time.Millisecond
 
 // NewLag starts measuring.
 func NewTimerLag() *TimerLag {
 	l := &TimerLag{stop: make(chan struct{})}
-	l.over.Go(l.run)
+	l.goroutine.Go(l.run)
 	return l
 }
 
 func (l *TimerLag) run() {
-	timer := time.NewTimer(lagEvery)
+	timer := time.NewTimer(sampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(lagEvery)
-		timer.Reset(lagEvery)
+		due := time.Now().Add(sampleInterval)
+		timer.Reset(sampleInterval)
 		select {
 		case <-l.stop:
-			l.book(max(0, time.Since(due))) // what is late just now counts
+			l.record(max(0, time.Since(due))) // what is late just now counts
 			return
 		case <-timer.C:
-			l.book(time.Since(due))
+			l.record(time.Since(due))
 		}
 	}
 }
 
-func (l *TimerLag) book(late time.Duration) {
+func (l *TimerLag) record(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.n++
-	l.sum += late
-	if late > l.most {
-		l.most, l.at = late, time.Now()
+	l.samples++
+	l.total += late
+	if late > l.worst {
+		l.worst, l.worstAt = late, time.Now()
 	}
 }
 
@@ -56,16 +56,16 @@
 func (l *TimerLag) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most, l.sum, l.n = 0, 0, 0
+	l.worst, l.total, l.samples = 0, 0, 0
 }
 
 // End stops measuring, and gives the most and the mean that a timer was late.
-func (l *TimerLag) Stop() (most, mean time.Duration) {
+func (l *TimerLag) Stop() (worst, mean time.Duration) {
 	select {
 	case <-l.stop:
 	default:
 		close(l.stop)
 	}
-	l.over.Wait()
-	return l.most, l.sum / time.Duration(max(1, l.n))
+	l.goroutine.Wait()
+	return l.worst, l.total / time.Duration(max(1, l.samples))
 }
--- a/internal/lab/together/liar.go
+++ b/internal/lab/together/liar.go
@@ -18,56 +18,56 @@
 // Liar is a member that takes no ops and says the same of every server to everybody, again and again: as bad a neighbour as
 // the frames allow.
 type FalseReporter struct {
-	way     *transport.Transport
-	members *members.Members
-	done    chan struct{}
-	over    sync.WaitGroup
+	transport *transport.Transport
+	members   *members.Members
+	done      chan struct{}
+	goroutine sync.WaitGroup
 }
 
-const lieEvery = 100 * time.Millisecond
+const reportInterval = 100 * time.Millisecond
 
 // NewLiar joins at a place as one more node, and lies of these servers until Close.
-func (g *Network) NewFalseReporter(place, nodes int, ill judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
-	at := g.Addresses(place)
-	life := transport.LifeID(rand.Uint64())
-	w, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: at.Listen, Advertise: at.Advertise, Life: life, Pace: 1 << 20}, zerolog.Nop())
+func (g *Network) NewFalseReporter(slot, nodes int, condition judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
+	addresses := g.Addresses(slot)
+	incarnation := transport.LifeID(rand.Uint64())
+	sender, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: addresses.Listen, Advertise: addresses.Advertise, Life: incarnation, Pace: 1 << 20}, zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
-	l := &FalseReporter{way: w, done: make(chan struct{})}
-	own := members.Member{Name: "liar-" + ill.String(), Life: life, Number: nodes + int(ill), Addr: at.Advertise}
-	l.members, err = members.Start(members.Options{Own: own, Nodes: nodes + 8, Join: []netip.AddrPort{g.Addresses(0).Advertise}}, w, node.NewClock(), zerolog.Nop())
+	reporter := &FalseReporter{transport: sender, done: make(chan struct{})}
+	self := members.Member{Name: "liar-" + condition.String(), Life: incarnation, Number: nodes + int(condition), Addr: addresses.Advertise}
+	reporter.members, err = members.Start(members.Options{Own: self, Nodes: nodes + 8, Join: []netip.AddrPort{g.Addresses(0).Advertise}}, sender, node.NewClock(), zerolog.Nop())
 	if err != nil {
-		w.Close()
+		sender.Close()
 		return nil, err
 	}
-	w.Run()
-	l.over.Go(func() { l.lie(judged.SourceID(life), uint16(own.Number), ill, servers) })
-	return l, nil
+	sender.Run()
+	reporter.goroutine.Go(func() { reporter.sendReports(judged.SourceID(incarnation), uint16(self.Number), condition, servers) })
+	return reporter, nil
 }
 
-func (l *FalseReporter) lie(source judged.SourceID, number uint16, ill judged.Ill, servers []policy.ServerID) {
-	ticker := time.NewTicker(lieEvery)
+func (l *FalseReporter) sendReports(reporter judged.SourceID, nodeNumber uint16, condition judged.Ill, servers []policy.ServerID) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	for n := uint32(1); ; n++ {
+	for sequence := uint32(1); ; sequence++ {
 		select {
 		case <-l.done:
 			return
 		case <-ticker.C:
 		}
 		var reports []judged.Report
-		for _, s := range servers {
+		for _, server := range servers {
 			for zone := range uint8(2) {
-				reports = append(reports, judged.Report{Server: s, Source: source + judged.SourceID(zone), Number: n, Ill: ill, Zone: zone, Node: number,
+				reports = append(reports, judged.Report{Server: server, Source: reporter + judged.SourceID(zone), Number: sequence, Ill: condition, Zone: zone, Node: nodeNumber,
 					Span: 500 * policy.Millisecond})
 			}
 		}
 		for len(reports) > 0 {
-			part := reports[:min(len(reports), judged.Fit(transport.MostPayload))]
-			reports = reports[len(part):]
-			payload := judged.Append(nil, part)
-			for _, m := range l.members.There() {
-				l.way.Send(m.Addr, transport.Judgements, payload)
+			batch := reports[:min(len(reports), judged.Fit(transport.MostPayload))]
+			reports = reports[len(batch):]
+			payload := judged.Append(nil, batch)
+			for _, peer := range l.members.There() {
+				l.transport.Send(peer.Addr, transport.Judgements, payload)
 			}
 		}
 	}
@@ -76,8 +76,8 @@
 // Close ends it without a word.
 func (l *FalseReporter) Close() {
 	close(l.done)
-	l.over.Wait()
+	l.goroutine.Wait()
 	l.members.Close()
-	l.way.Close()
+	l.transport.Close()
 	time.Sleep(members.ProbeEnds) // Danger: what the library leaves running for so long looks like a leak of the run's
 }
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -58,10 +58,10 @@
 }
 
 // clientsBelow is how far under the run's port its nodes take clients.
-const clientsBelow = 11000
+const clientPortOffset = 11000
 
 // killWait is how long the end of a process that was killed may take.
-const killWait = 10 * time.Second
+const exitTimeout = 10 * time.Second
 
 // NewProcesses opens the relay for so many nodes, and as many places again for second processes of a name.
 func NewProcesses(program string, s *scenario.Scenario, nodes int, seed uint64) (*Processes, error) {
@@ -69,23 +69,23 @@
 	if s.Fleet == nil {
 		s.Fleet = &scenario.Fleet{Share: 1}
 	}
-	r, err := relay.New(2*nodes, seed)
+	fleetRelay, err := relay.New(2*nodes, seed)
 	if err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "canvaslab-")
 	if err != nil {
-		r.Close()
+		fleetRelay.Close()
 		return nil, err
 	}
-	return &Processes{Relay: r, program: program, dir: dir, scenario: s, nodes: nodes, running: make(map[int]*process)}, nil
+	return &Processes{Relay: fleetRelay, program: program, dir: dir, scenario: s, nodes: nodes, running: make(map[int]*process)}, nil
 }
 
 // Close ends all processes.
 func (p *Processes) Close() error {
 	var errs []error
-	for _, place := range p.Running() {
-		errs = append(errs, p.Signal(place, syscall.SIGKILL))
+	for _, slot := range p.Running() {
+		errs = append(errs, p.Signal(slot, syscall.SIGKILL))
 	}
 	p.Relay.Close()
 	os.RemoveAll(p.dir)
@@ -100,186 +100,186 @@
 }
 
 // Control is the socket of a place.
-func (p *Processes) ControlSocket(place int) string {
-	return filepath.Join(p.dir, fmt.Sprintf("%d.sock", place))
+func (p *Processes) ControlSocket(slot int) string {
+	return filepath.Join(p.dir, fmt.Sprintf("%d.sock", slot))
 }
 
 // File is the configuration of a place.
-func (p *Processes) ConfigFile(place int) string {
-	return filepath.Join(p.dir, fmt.Sprintf("%d.json", place))
+func (p *Processes) ConfigFile(slot int) string {
+	return filepath.Join(p.dir, fmt.Sprintf("%d.json", slot))
 }
 
 // Configure writes a place's configuration; places from the number of nodes on are second processes under the names of
 // those before. Change may change the key fleet.
-func (p *Processes) Configure(place int, change func(fleet map[string]any)) error {
+func (p *Processes) Configure(slot int, change func(fleet map[string]any)) error {
 	join := []string{}
 	for i := range min(3, p.nodes) {
 		join = append(join, relay.AdvertisedAddr(i, p.Relay.Port()).String())
 	}
-	f := map[string]any{"listen": relay.BindAddr(place, p.Relay.Port()).String(), "advertise": relay.AdvertisedAddr(place, p.Relay.Port()).String(),
-		"join": join, "control": p.ControlSocket(place)}
+	fleetKey := map[string]any{"listen": relay.BindAddr(slot, p.Relay.Port()).String(), "advertise": relay.AdvertisedAddr(slot, p.Relay.Port()).String(),
+		"join": join, "control": p.ControlSocket(slot)}
 	if change != nil {
-		change(f)
+		change(fleetKey)
 	}
-	var key any = f
-	if len(f) == 0 {
-		key = nil // it hears nobody
+	var fleetValue any = fleetKey
+	if len(fleetKey) == 0 {
+		fleetValue = nil // it hears nobody
 	}
-	node := place % p.nodes
-	b := p.scenario.Balancers()[node]
-	host := relay.BindAddr(place, 0).Addr().String()
-	front := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientsBelow) // the run's own, too
-	raw := p.scenario.Config(b, fmt.Sprintf("n%d", node), front, host+":1", uint64(place), nil, key)
+	node := slot % p.nodes
+	balancer := p.scenario.Balancers()[node]
+	host := relay.BindAddr(slot, 0).Addr().String()
+	listen := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientPortOffset) // the run's own, too
+	raw := p.scenario.Config(balancer, fmt.Sprintf("n%d", node), listen, host+":1", uint64(slot), nil, fleetValue)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
-	return os.WriteFile(p.ConfigFile(place), raw, 0o600)
+	return os.WriteFile(p.ConfigFile(slot), raw, 0o600)
 }
 
 // Start starts a place's process with the configuration that it has, or the plain one.
-func (p *Processes) Start(place int) error {
-	if _, err := os.Stat(p.ConfigFile(place)); err != nil {
-		if err := p.Configure(place, nil); err != nil {
+func (p *Processes) Start(slot int) error {
+	if _, err := os.Stat(p.ConfigFile(slot)); err != nil {
+		if err := p.Configure(slot, nil); err != nil {
 			return err
 		}
 	}
 	cmd := exec.Command(p.program)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.ConfigFile(place))
-	run := &process{cmd: cmd, ended: make(chan struct{}), log: &lockedBuffer{}}
-	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = run.log, run.log, time.Second
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.ConfigFile(slot))
+	proc := &process{cmd: cmd, ended: make(chan struct{}), log: &lockedBuffer{}}
+	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = proc.log, proc.log, time.Second
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.running[place] = run
+	p.running[slot] = proc
 	p.mu.Unlock()
 	go func() {
 		cmd.Wait()
 		p.mu.Lock()
-		if p.running[place] == run {
-			delete(p.running, place)
+		if p.running[slot] == proc {
+			delete(p.running, slot)
 		}
 		p.mu.Unlock()
-		close(run.ended)
+		close(proc.ended)
 	}()
 	return nil
 }
 
 // Signal sends a signal; one that ends the process waits for its end.
-func (p *Processes) Signal(place int, signal syscall.Signal) error {
+func (p *Processes) Signal(slot int, signal syscall.Signal) error {
 	p.mu.Lock()
-	run := p.running[place]
+	proc := p.running[slot]
 	p.mu.Unlock()
-	if run == nil {
+	if proc == nil {
 		return nil
 	}
-	run.cmd.Process.Signal(signal)
+	proc.cmd.Process.Signal(signal)
 	switch signal {
 	case syscall.SIGSTOP, syscall.SIGCONT:
 		p.mu.Lock()
-		run.stopped = signal == syscall.SIGSTOP
+		proc.stopped = signal == syscall.SIGSTOP
 		p.mu.Unlock()
 		return nil
 	case syscall.SIGHUP:
 		return nil
 	}
 	select {
-	case <-run.ended:
+	case <-proc.ended:
 		return nil
-	case <-time.After(killWait):
-		return fmt.Errorf("process of place %d has not ended %v after %v", place, killWait, signal)
+	case <-time.After(exitTimeout):
+		return fmt.Errorf("process of place %d has not ended %v after %v", slot, exitTimeout, signal)
 	}
 }
 
 // Log is what a place's process has logged.
-func (p *Processes) Log(place int) string {
+func (p *Processes) Log(slot int) string {
 	p.mu.Lock()
-	run := p.running[place]
+	proc := p.running[slot]
 	p.mu.Unlock()
-	if run == nil {
+	if proc == nil {
 		return ""
 	}
-	return run.log.text()
+	return proc.log.text()
 }
 
 // CPU gives the time that a place's process has used, in clock ticks of 10 ms turned to seconds, its resident memory in MB
 // and its open descriptors.
-func (p *Processes) ProcessUsage(place int) (seconds, mb float64, descriptors int) {
+func (p *Processes) ProcessUsage(slot int) (seconds, mb float64, descriptors int) {
 	p.mu.Lock()
-	run := p.running[place]
+	proc := p.running[slot]
 	p.mu.Unlock()
-	if run == nil {
+	if proc == nil {
 		return 0, 0, 0
 	}
-	proc := fmt.Sprintf("/proc/%d", run.cmd.Process.Pid)
-	raw, _ := os.ReadFile(proc + "/stat")
+	procDir := fmt.Sprintf("/proc/%d", proc.cmd.Process.Pid)
+	raw, _ := os.ReadFile(procDir + "/stat")
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	var user, system, pages float64
 	if len(fields) > 21 {
 		fmt.Sscan(fields[11]+" "+fields[12]+" "+fields[21], &user, &system, &pages)
 	}
-	open, _ := os.ReadDir(proc + "/fd")
-	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20), len(open)
+	descriptorEntries, _ := os.ReadDir(procDir + "/fd")
+	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20), len(descriptorEntries)
 }
 
 // View asks a place what it knows.
-func (p *Processes) View(ctx context.Context, place int) (*fleet.View, error) {
+func (p *Processes) View(ctx context.Context, slot int) (*fleet.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return fleet.Ask(ctx, p.ControlSocket(place))
+	return fleet.Ask(ctx, p.ControlSocket(slot))
 }
 
 // there are the lives that a view has as there, its own among them.
-func there(v *fleet.View) []string {
-	all := []string{v.Own.Name + "/" + v.Own.Life}
-	for _, m := range v.Members {
-		if m.State == "alive" {
-			all = append(all, m.Name+"/"+m.Life)
+func aliveMembers(view *fleet.View) []string {
+	alive := []string{view.Own.Name + "/" + view.Own.Life}
+	for _, member := range view.Members {
+		if member.State == "alive" {
+			alive = append(alive, member.Name+"/"+member.Life)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(alive)
+	return alive
 }
 
 // Agree waits until each of some places has exactly these places' processes as there, and gives how long that took.
-func (p *Processes) WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
-	begun := time.Now()
-	for last := ""; ; {
-		views := make([]*fleet.View, len(places))
-		errs := make([]error, len(places))
-		var all sync.WaitGroup
-		room := make(chan struct{}, 16)
-		for i, place := range places {
-			all.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
-				views[i], errs[i] = p.View(ctx, place)
+func (p *Processes) WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error) {
+	started := time.Now()
+	for lastMismatch := ""; ; {
+		views := make([]*fleet.View, len(slots))
+		errs := make([]error, len(slots))
+		var queries sync.WaitGroup
+		semaphore := make(chan struct{}, 16)
+		for i, slot := range slots {
+			queries.Go(func() {
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
+				views[i], errs[i] = p.View(ctx, slot)
 			})
 		}
-		all.Wait()
+		queries.Wait()
 		want := []string{}
-		for i, v := range views {
+		for i, view := range views {
 			if errs[i] != nil {
-				last = errs[i].Error()
+				lastMismatch = errs[i].Error()
 				break
 			}
-			want = append(want, v.Own.Name+"/"+v.Own.Life)
+			want = append(want, view.Own.Name+"/"+view.Own.Life)
 		}
 		slices.Sort(want)
-		agreed := len(want) == len(places)
+		agreed := len(want) == len(slots)
 		for i := 0; agreed && i < len(views); i++ {
-			if got := there(views[i]); !slices.Equal(got, want) {
-				agreed, last = false, fmt.Sprintf("place %d has %d there, not %d", places[i], len(got), len(want))
+			if got := aliveMembers(views[i]); !slices.Equal(got, want) {
+				agreed, lastMismatch = false, fmt.Sprintf("place %d has %d there, not %d", slots[i], len(got), len(want))
 			}
 		}
-		took := time.Since(begun)
+		elapsed := time.Since(started)
 		if agreed {
-			return took, nil
+			return elapsed, nil
 		}
-		if took > most {
-			return took, fmt.Errorf("no agreement after %v: %s", most, last)
+		if elapsed > timeout {
+			return elapsed, fmt.Errorf("no agreement after %v: %s", timeout, lastMismatch)
 		}
 		select {
 		case <-ctx.Done():
-			return took, ctx.Err()
+			return elapsed, ctx.Err()
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/internal/lab/together/together.go
+++ b/internal/lab/together/together.go
@@ -14,14 +14,14 @@
 
 // Rig is what stands between the nodes of one run.
 type Network struct {
-	Relay   *relay.Relay
-	nodes   int
-	dir     string
-	ways    []func(from, to int) relay.Impairment // of each fault of the experiment
-	mu      sync.Mutex
-	acts    map[int]int // numbers of the faults that act, by their place in the experiment
-	further map[int]int // places beyond its own that a node's processes have had
-	last    int
+	Relay       *relay.Relay
+	nodes       int
+	dir         string
+	impairments []func(from, to int) relay.Impairment // of each fault of the experiment
+	mu          sync.Mutex
+	active      map[int]int // numbers of the faults that act, by their place in the experiment
+	extraSlots  map[int]int // places beyond its own that a node's processes have had
+	slotCount   int
 }
 
 // New opens the rig of a run: a relay with a place for each node and for each process that the plan starts at another
@@ -32,40 +32,40 @@
 		return &Network{nodes: nodes, dir: dir}, nil // nobody says anything
 	}
 	// A place beyond the nodes' own stands beside a node for the faults: nodes are counted on from 0 again.
-	further, most := make(map[int]int), 0
+	extraSlots, maxExtra := make(map[int]int), 0
 	for _, step := range plan.Steps {
 		switch step.Verb {
 		case scenario.TwinStart, scenario.NodeMove, scenario.LieDown, scenario.LieWell:
-			further[step.Node]++
-			most = max(most, further[step.Node])
+			extraSlots[step.Node]++
+			maxExtra = max(maxExtra, extraSlots[step.Node])
 		}
 	}
-	places := nodes * (1 + most)
-	r, err := relay.New(places, seed)
+	slots := nodes * (1 + maxExtra)
+	fleetRelay, err := relay.New(slots, seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &Network{Relay: r, nodes: nodes, dir: dir, acts: make(map[int]int), further: make(map[int]int), last: places}
+	network := &Network{Relay: fleetRelay, nodes: nodes, dir: dir, active: make(map[int]int), extraSlots: make(map[int]int), slotCount: slots}
 	for i := range s.Between {
-		g.ways = append(g.ways, PairImpairments(&s.Between[i], nodes, rng))
+		network.impairments = append(network.impairments, PairImpairments(&s.Between[i], nodes, rng))
 	}
-	return g, nil
+	return network, nil
 }
 
 // Close ends the rig.
-func (g *Network) Close() {
-	if g != nil && g.Relay != nil {
-		g.Relay.Close()
+func (network *Network) Close() {
+	if network != nil && network.Relay != nil {
+		network.Relay.Close()
 	}
 }
 
 // Further is the next place for a process of a node that stands at another one already. None is given twice.
-func (g *Network) NextSlot(place int) (next int, err error) {
+func (g *Network) NextSlot(slot int) (next int, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	node := place % g.nodes
-	g.further[node]++
-	if next = node + g.nodes*g.further[node]; next >= g.last {
+	node := slot % g.nodes
+	g.extraSlots[node]++
+	if next = node + g.nodes*g.extraSlots[node]; next >= g.slotCount {
 		return 0, fmt.Errorf("node %d has no further address", node)
 	}
 	return next, nil
@@ -83,13 +83,13 @@
 func (g *Network) ApplyStep(step *scenario.Step) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	number, acts := g.acts[step.Fault]
+	number, isActive := g.active[step.Fault]
 	switch {
-	case step.Verb == scenario.BetweenOn && !acts:
-		g.acts[step.Fault] = g.Relay.AddFault(g.ways[step.Fault])
-	case step.Verb == scenario.BetweenOff && acts:
+	case step.Verb == scenario.BetweenOn && !isActive:
+		g.active[step.Fault] = g.Relay.AddFault(g.impairments[step.Fault])
+	case step.Verb == scenario.BetweenOff && isActive:
 		g.Relay.RemoveFault(number)
-		delete(g.acts, step.Fault)
+		delete(g.active, step.Fault)
 	}
 }
 
@@ -100,7 +100,7 @@
 }
 
 // Place gives the addresses of a place.
-func (g *Network) Addresses(n int) NodeAddresses {
-	return NodeAddresses{Listen: relay.BindAddr(n, g.Relay.Port()), Advertise: relay.AdvertisedAddr(n, g.Relay.Port()),
-		ControlSocket: filepath.Join(g.dir, fmt.Sprintf("fleet-%d.sock", n))}
+func (g *Network) Addresses(slot int) NodeAddresses {
+	return NodeAddresses{Listen: relay.BindAddr(slot, g.Relay.Port()), Advertise: relay.AdvertisedAddr(slot, g.Relay.Port()),
+		ControlSocket: filepath.Join(g.dir, fmt.Sprintf("fleet-%d.sock", slot))}
 }
--- a/internal/lab/together/together_test.go
+++ b/internal/lab/together/together_test.go
@@ -10,22 +10,22 @@
 )
 
 // Whom a fault hits, and in which direction, is as its kind says; a place beyond the nodes' own goes with its node.
-func TestWays(t *testing.T) {
+func TestPairImpairments(t *testing.T) {
 	const nodes = 30
-	count := func(b scenario.Between) (cut int) {
-		ways := PairImpairments(&b, nodes, rand.New(rand.NewPCG(1, 2)))
+	affectedPairs := func(b scenario.Between) (pairs int) {
+		impairments := PairImpairments(&b, nodes, rand.New(rand.NewPCG(1, 2)))
 		for from := range nodes {
 			for to := range nodes {
-				w := ways(from, to)
-				if w != (relay.Impairment{}) {
-					cut++
+				impairment := impairments(from, to)
+				if impairment != (relay.Impairment{}) {
+					pairs++
 				}
-				if w != ways(from+nodes, to) || w != ways(from, to+nodes) {
+				if impairment != impairments(from+nodes, to) || impairment != impairments(from, to+nodes) {
 					t.Fatalf("%s: a further place of %d or %d has another way", b.Kind, from, to)
 				}
 			}
 		}
-		return cut
+		return pairs
 	}
 	for _, c := range []struct {
 		fault scenario.Between
@@ -40,7 +40,7 @@
 		{scenario.Between{Kind: "loss", Factor: 0.2}, 30 * 29},
 		{scenario.Between{Kind: "slow", Factor: 0.2, Count: 1}, 2 * 29},
 	} {
-		if got := count(c.fault); got != c.want {
+		if got := affectedPairs(c.fault); got != c.want {
 			t.Errorf("%+v: acts on %d pairs, not %d", c.fault, got, c.want)
 		}
 	}
@@ -51,12 +51,12 @@
 }
 
 // What the rig is late with is seen.
-func TestLag(t *testing.T) {
+func TestTimerLag(t *testing.T) {
 	l := NewTimerLag()
-	l.book(40 * time.Millisecond)
+	l.record(40 * time.Millisecond)
 	l.Reset()
-	l.book(70 * time.Millisecond)
-	if most, _ := l.Stop(); most != 70*time.Millisecond {
-		t.Errorf("most %v", most)
+	l.record(70 * time.Millisecond)
+	if worst, _ := l.Stop(); worst != 70*time.Millisecond {
+		t.Errorf("most %v", worst)
 	}
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -36,7 +36,7 @@
 }
 
 // Chance is how many ops beyond a budget of n are put down to chance (the operators' figure).
-func ChanceAllowance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+func ChanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
 // Job is one push at a server.
 type Job struct {
@@ -44,87 +44,87 @@
 	StartKnown bool          // its node had been told of the server's last start
 	Context    any           // whoever hands it in
 
-	begun, running, over bool
-	ends                 policy.Micros
+	started, running, finished bool
+	endsAt                     policy.Micros
 }
 
 // Begun says that a core has taken the job: it may have had an effect.
-func (j *Job) Started() bool { return j.begun }
+func (j *Job) Started() bool { return j.started }
 
 // Server is the state of one server. The zero value is not one; use New.
 type Server struct {
 	Spec
-	running, waiting []*Job
-	held             int // jobs whose own work is over, and that hold their core until Release
-	started          policy.Micros
-	cold             bool // started during the run
-	slow             float64
-	stalled          policy.Micros // until then nothing moves
-	crowded, idle    policy.Micros // since when; Never: not
-	jammed           bool
-	tipped           bool
-	sent             []pressure
-	window, told     policy.Micros // work in sent
-	pressed          float64       // the fullest window so far, as a share of what the server bears
-	busy             policy.Micros // core time used
+	running, waiting         []*Job
+	awaitingRelease          int // jobs whose own work is over, and that hold their core until Release
+	startedAt                policy.Micros
+	coldStarted              bool // started during the run
+	slowdown                 float64
+	stalledUntil             policy.Micros // until then nothing moves
+	crowdedSince, idleSince  policy.Micros // since when; Never: not
+	jammed                   bool
+	collapsed                bool
+	coldPushes               []coldPush
+	windowWork, informedWork policy.Micros // work in sent
+	peakLoad                 float64       // the fullest window so far, as a share of what the server bears
+	coreTime                 policy.Micros // core time used
 }
 
 // pressure is one push as it bears on a cold server.
-type pressure struct {
-	at, work policy.Micros
-	told     bool
+type coldPush struct {
+	at, work   policy.Micros
+	startKnown bool
 }
 
 // New makes a server that has been up for long.
-func New(traits Spec) *Server {
-	return &Server{Spec: traits, slow: 1, crowded: Never, idle: Never}
+func New(spec Spec) *Server {
+	return &Server{Spec: spec, slowdown: 1, crowdedSince: Never, idleSince: Never}
 }
 
 // Start starts the server anew, cold and empty.
 func (s *Server) RestartCold(now policy.Micros) {
-	*s = Server{Spec: s.Spec, slow: s.slow, crowded: Never, idle: Never, started: now, cold: true, busy: s.busy}
+	*s = Server{Spec: s.Spec, slowdown: s.slowdown, crowdedSince: Never, idleSince: Never, startedAt: now, coldStarted: true, coreTime: s.coreTime}
 }
 
 // Crash gives the jobs that were in hand; none of them ends.
 func (s *Server) Crash() []*Job {
 	lost := append(append([]*Job(nil), s.running...), s.waiting...)
 	for _, j := range lost {
-		j.over, j.running = true, false
+		j.finished, j.running = true, false
 	}
-	s.running, s.waiting, s.held = nil, nil, 0
+	s.running, s.waiting, s.awaitingRelease = nil, nil, 0
 	return lost
 }
 
 // Slow sets how many times slower jobs run that begin from now on.
-func (s *Server) SetSlowdown(factor float64) { s.slow = factor }
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
 // Stall keeps everything still until a moment.
 func (s *Server) Stall(now, until policy.Micros) {
-	until = max(until, s.stalled)
+	until = max(until, s.stalledUntil)
 	for _, j := range s.running {
-		j.ends += until - max(now, s.stalled)
+		j.endsAt += until - max(now, s.stalledUntil)
 	}
-	s.stalled = until
+	s.stalledUntil = until
 }
 
 // Capacity is the share of its speed that the server has now.
 func (s *Server) Capacity(now policy.Micros) float64 {
-	if !s.cold || now >= s.started+s.ColdStart.WarmUpTime {
+	if !s.coldStarted || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return 1
 	}
-	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.started)/float64(s.ColdStart.WarmUpTime)
+	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.startedAt)/float64(s.ColdStart.WarmUpTime)
 }
 
 // Busy is the core time used so far. Waiting and Running are jobs in hand.
-func (s *Server) CoreTime() policy.Micros { return s.busy }
+func (s *Server) CoreTime() policy.Micros { return s.coreTime }
 func (s *Server) Waiting() int            { return len(s.waiting) }
-func (s *Server) Running() int            { return len(s.running) + s.held }
+func (s *Server) Running() int            { return len(s.running) + s.awaitingRelease }
 func (s *Server) Jammed() bool            { return s.jammed }
-func (s *Server) Collapsed() bool         { return s.tipped }
+func (s *Server) Collapsed() bool         { return s.collapsed }
 
 // Pressed is the fullest window since the server last started cold, as a share of its budget and what is put down to chance:
 // above 1 it fell over.
-func (s *Server) PeakLoad() float64 { return s.pressed }
+func (s *Server) PeakLoad() float64 { return s.peakLoad }
 
 // Arrival says what became of a push.
 type ArrivalResult uint8
@@ -137,96 +137,96 @@
 )
 
 // Arrive takes a push, or turns it away. One that is turned away bears on a cold server all the same.
-func (s *Server) Arrive(now policy.Micros, j *Job) ArrivalResult {
-	if s.tipped {
+func (s *Server) Arrive(now policy.Micros, job *Job) ArrivalResult {
+	if s.collapsed {
 		return Rejected
 	}
-	if tips := s.press(now, j); tips != Accepted {
-		s.tipped = true
-		return tips
+	if result := s.addColdLoad(now, job); result != Accepted {
+		s.collapsed = true
+		return result
 	}
-	if len(s.running)+s.held >= s.Cores && len(s.waiting) >= s.QueueLimit {
-		s.load(now)
+	if len(s.running)+s.awaitingRelease >= s.Cores && len(s.waiting) >= s.QueueLimit {
+		s.updateJam(now)
 		return Rejected
 	}
-	s.waiting = append(s.waiting, j)
-	s.begin(now)
+	s.waiting = append(s.waiting, job)
+	s.startWaiting(now)
 	return Accepted
 }
 
 // press adds a push to what a cold server bears, and says whether it falls over.
-func (s *Server) press(now policy.Micros, j *Job) ArrivalResult {
-	if !s.cold || s.ColdStart.OverloadFactor <= 0 || now >= s.started+s.ColdStart.WarmUpTime {
+func (s *Server) addColdLoad(now policy.Micros, job *Job) ArrivalResult {
+	if !s.coldStarted || s.ColdStart.OverloadFactor <= 0 || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return Accepted
 	}
-	s.sent = append(s.sent, pressure{now, j.Work, j.StartKnown})
-	s.window += j.Work
-	if j.StartKnown {
-		s.told += j.Work
+	s.coldPushes = append(s.coldPushes, coldPush{now, job.Work, job.StartKnown})
+	s.windowWork += job.Work
+	if job.StartKnown {
+		s.informedWork += job.Work
 	}
-	drop := 0
-	for _, p := range s.sent {
-		if p.at > now-s.ColdStart.OverloadWindow {
+	expired := 0
+	for _, push := range s.coldPushes {
+		if push.at > now-s.ColdStart.OverloadWindow {
 			break
 		}
-		s.window -= p.work
-		if p.told {
-			s.told -= p.work
+		s.windowWork -= push.work
+		if push.startKnown {
+			s.informedWork -= push.work
 		}
-		drop++
+		expired++
 	}
-	s.sent = s.sent[drop:]
+	s.coldPushes = s.coldPushes[expired:]
 	budget := s.ColdStart.OverloadFactor * s.Capacity(now) * float64(s.Cores) * s.Speed * float64(s.ColdStart.OverloadWindow) / float64(s.ColdStart.MeanWork)
-	share := float64(s.window) / float64(s.ColdStart.MeanWork) / (budget + ChanceAllowance(budget))
-	s.pressed = max(s.pressed, share)
-	if share <= 1 {
+	load := float64(s.windowWork) / float64(s.ColdStart.MeanWork) / (budget + ChanceAllowance(budget))
+	s.peakLoad = max(s.peakLoad, load)
+	if load <= 1 {
 		return Accepted
 	}
-	if s.told*3 >= s.window*2 {
+	if s.informedWork*3 >= s.windowWork*2 {
 		return CollapsedByInformed
 	}
 	return CollapsedByUninformed
 }
 
 // begin gives free cores to those that wait.
-func (s *Server) begin(now policy.Micros) {
-	for len(s.waiting) > 0 && len(s.running)+s.held < s.Cores {
-		j := s.waiting[0]
+func (s *Server) startWaiting(now policy.Micros) {
+	for len(s.waiting) > 0 && len(s.running)+s.awaitingRelease < s.Cores {
+		job := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		speed := s.Speed * s.Capacity(now) / s.slow
+		speed := s.Speed * s.Capacity(now) / s.slowdown
 		if s.jammed {
 			speed /= s.JamSlowdown
 		}
-		if most := s.CrowdingPerCore * float64(s.Cores); most > 0 {
-			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.held+1+len(s.waiting))-most)/most
+		if threshold := s.CrowdingPerCore * float64(s.Cores); threshold > 0 {
+			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.awaitingRelease+1+len(s.waiting))-threshold)/threshold
 		}
-		took := max(1, policy.Micros(float64(j.Work)/speed))
-		j.begun, j.running, j.ends = true, true, max(now, s.stalled)+took
-		s.busy += took
-		s.running = append(s.running, j)
+		duration := max(1, policy.Micros(float64(job.Work)/speed))
+		job.started, job.running, job.endsAt = true, true, max(now, s.stalledUntil)+duration
+		s.coreTime += duration
+		s.running = append(s.running, job)
 	}
-	s.load(now)
+	s.updateJam(now)
 }
 
 // load follows the jam: it comes when too many wait for too long, and goes when the server is mostly idle.
-func (s *Server) load(now policy.Micros) {
+func (s *Server) updateJam(now policy.Micros) {
 	if s.JamQueuePerCore <= 0 {
 		return
 	}
 	if float64(len(s.waiting)) <= s.JamQueuePerCore*float64(s.Cores) {
-		s.crowded = Never
-	} else if s.crowded == Never {
-		s.crowded = now
+		s.crowdedSince = Never
+	} else if s.crowdedSince == Never {
+		s.crowdedSince = now
 	}
-	if s.crowded != Never && now-s.crowded >= s.JamDelay {
+	if s.crowdedSince != Never && now-s.crowdedSince >= s.JamDelay {
 		s.jammed = true
 	}
-	if 2*(len(s.running)+s.held) > s.Cores || len(s.waiting) > 0 {
-		s.idle = Never
-	} else if s.idle == Never {
-		s.idle = now
+	if 2*(len(s.running)+s.awaitingRelease) > s.Cores || len(s.waiting) > 0 {
+		s.idleSince = Never
+	} else if s.idleSince == Never {
+		s.idleSince = now
 	}
-	if s.jammed && s.idle != Never && now-s.idle >= s.JamRecoveryTime {
+	if s.jammed && s.idleSince != Never && now-s.idleSince >= s.JamRecoveryTime {
 		s.jammed = false
 	}
 }
@@ -235,7 +235,7 @@
 func (s *Server) NextCompletion() policy.Micros {
 	next := Never
 	for _, j := range s.running {
-		next = min(next, j.ends)
+		next = min(next, j.endsAt)
 	}
 	return next
 }
@@ -244,41 +244,41 @@
 // Release: a server keeps the place of an op that waits for the next tier.
 func (s *Server) Advance(now policy.Micros) (done []*Job) {
 	for {
-		at := -1
-		for i, j := range s.running {
-			if j.ends <= now && (at < 0 || j.ends < s.running[at].ends) {
-				at = i
+		earliest := -1
+		for i, job := range s.running {
+			if job.endsAt <= now && (earliest < 0 || job.endsAt < s.running[earliest].endsAt) {
+				earliest = i
 			}
 		}
-		if at < 0 {
-			s.load(now)
+		if earliest < 0 {
+			s.updateJam(now)
 			return done
 		}
-		j := s.running[at]
-		s.running = append(s.running[:at], s.running[at+1:]...)
-		j.running = false
-		s.held++
-		done = append(done, j)
+		job := s.running[earliest]
+		s.running = append(s.running[:earliest], s.running[earliest+1:]...)
+		job.running = false
+		s.awaitingRelease++
+		done = append(done, job)
 	}
 }
 
 // Release gives a job's core back, once.
-func (s *Server) Release(now policy.Micros, j *Job) {
-	if j.over {
+func (s *Server) Release(now policy.Micros, job *Job) {
+	if job.finished {
 		return
 	}
-	j.over = true
-	s.held--
-	s.begin(now)
+	job.finished = true
+	s.awaitingRelease--
+	s.startWaiting(now)
 }
 
 // Leave drops a job that still waits; one that runs is not stopped. It says whether the job will never run.
-func (s *Server) Cancel(now policy.Micros, j *Job) bool {
-	for i, w := range s.waiting {
-		if w == j {
+func (s *Server) Cancel(now policy.Micros, job *Job) bool {
+	for i, waiting := range s.waiting {
+		if waiting == job {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
-			j.over = true
-			s.load(now)
+			job.finished = true
+			s.updateJam(now)
 			return true
 		}
 	}
@@ -287,24 +287,24 @@
 
 // Memory is what a group of servers remembers of deduplicated ops.
 type DedupMemory struct {
-	window policy.Micros
-	first  map[string]policy.Micros
+	window    policy.Micros
+	firstSeen map[string]policy.Micros
 }
 
 // NewMemory makes a group's memory, in which an op stays for window from its first arrival.
 func NewDedupMemory(window policy.Micros) *DedupMemory {
-	return &DedupMemory{window: window, first: make(map[string]policy.Micros)}
+	return &DedupMemory{window: window, firstSeen: make(map[string]policy.Micros)}
 }
 
 // Repeat says that the op is a repeat, to be answered and not run again. The first is remembered; one tick past its
 // window it would run again.
 func (m *DedupMemory) CheckAndRemember(now policy.Micros, key string) bool {
-	if first, known := m.first[key]; known && now-first <= m.window {
+	if seenAt, seen := m.firstSeen[key]; seen && now-seenAt <= m.window {
 		return true
 	}
-	m.first[key] = now
+	m.firstSeen[key] = now
 	return false
 }
 
 // Forget takes back what was remembered of an op that never ran.
-func (m *DedupMemory) Forget(key string) { delete(m.first, key) }
+func (m *DedupMemory) Forget(key string) { delete(m.firstSeen, key) }
--- a/internal/standin/registry/catalog.go
+++ b/internal/standin/registry/catalog.go
@@ -17,56 +17,56 @@
 
 // Catalog is the list and its generations.
 type Catalog struct {
-	whole   bool // every change is told as the whole list
-	truth   []Entry
-	shown   []Entry
-	changed []uint64 // generation of each entry's last change, beside shown
-	now     uint64
-	reset   uint64 // who holds an older generation gets the whole list
-	kept    []Entry
+	alwaysFull      bool // every change is told as the whole list
+	current         []Entry
+	served          []Entry
+	changedAt       []uint64 // generation of each entry's last change, beside shown
+	generation      uint64
+	resetGeneration uint64 // who holds an older generation gets the whole list
+	snapshot        []Entry
 }
 
 // NewCatalog makes a catalog with its first generation. With whole every change is told as the whole list.
-func NewCatalog(entries []Entry, whole bool) *Catalog {
-	c := &Catalog{whole: whole, truth: append([]Entry(nil), entries...), now: 1, reset: 1}
-	c.show(c.truth)
+func NewCatalog(entries []Entry, alwaysFull bool) *Catalog {
+	c := &Catalog{alwaysFull: alwaysFull, current: append([]Entry(nil), entries...), generation: 1, resetGeneration: 1}
+	c.setServed(c.current)
 	return c
 }
 
-func (c *Catalog) show(entries []Entry) {
-	c.shown = append([]Entry(nil), entries...)
-	c.changed = make([]uint64, len(c.shown))
-	for i := range c.changed {
-		c.changed[i] = c.now
+func (c *Catalog) setServed(entries []Entry) {
+	c.served = append([]Entry(nil), entries...)
+	c.changedAt = make([]uint64, len(c.served))
+	for i := range c.changedAt {
+		c.changedAt[i] = c.generation
 	}
 }
 
 // Generation is the present one.
-func (c *Catalog) Generation() uint64 { return c.now }
+func (c *Catalog) Generation() uint64 { return c.generation }
 
 // Set lists a server anew, or for the first time.
 func (c *Catalog) SetEntry(e Entry) {
-	c.now++
-	set := func(list []Entry) ([]Entry, int) {
-		for i := range list {
-			if list[i].Server == e.Server {
-				list[i] = e
-				return list, i
+	c.generation++
+	upsert := func(entries []Entry) ([]Entry, int) {
+		for i := range entries {
+			if entries[i].Server == e.Server {
+				entries[i] = e
+				return entries, i
 			}
 		}
-		return append(list, e), len(list)
+		return append(entries, e), len(entries)
 	}
-	c.truth, _ = set(c.truth)
-	var at int
-	if c.shown, at = set(c.shown); at == len(c.changed) {
-		c.changed = append(c.changed, 0)
+	c.current, _ = upsert(c.current)
+	var index int
+	if c.served, index = upsert(c.served); index == len(c.changedAt) {
+		c.changedAt = append(c.changedAt, 0)
 	}
-	c.changed[at] = c.now
+	c.changedAt[index] = c.generation
 }
 
 // Entry is what is true of a server.
 func (c *Catalog) Lookup(server int) (e Entry, known bool) {
-	for _, e := range c.truth {
+	for _, e := range c.current {
 		if e.Server == server {
 			return e, true
 		}
@@ -75,32 +75,32 @@
 }
 
 // Freeze keeps the list of now aside; Thaw shows it as if it were new; Correct shows the truth again.
-func (c *Catalog) SaveSnapshot() { c.kept = append([]Entry(nil), c.shown...) }
+func (c *Catalog) SaveSnapshot() { c.snapshot = append([]Entry(nil), c.served...) }
 
 func (c *Catalog) ServeSnapshot() {
-	c.now++
-	c.reset = c.now
-	c.show(c.kept)
+	c.generation++
+	c.resetGeneration = c.generation
+	c.setServed(c.snapshot)
 }
 
 func (c *Catalog) ServeCurrent() {
-	c.now++
-	c.reset = c.now
-	c.show(c.truth)
+	c.generation++
+	c.resetGeneration = c.generation
+	c.setServed(c.current)
 }
 
 // Since is what changed after a generation, or the whole list without what is gone.
-func (c *Catalog) ChangesSince(generation uint64) (entries []Entry, whole bool) {
-	if whole = c.whole || generation < c.reset || generation > c.now; whole {
-		for _, e := range c.shown {
+func (c *Catalog) ChangesSince(generation uint64) (entries []Entry, full bool) {
+	if full = c.alwaysFull || generation < c.resetGeneration || generation > c.generation; full {
+		for _, e := range c.served {
 			if e.State != policy.Gone {
 				entries = append(entries, e)
 			}
 		}
 		return entries, true
 	}
-	for i, e := range c.shown {
-		if c.changed[i] > generation {
+	for i, e := range c.served {
+		if c.changedAt[i] > generation {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/standin/registry/service_test.go
+++ b/internal/standin/registry/service_test.go
@@ -13,7 +13,7 @@
 	"canvasrouter/policy"
 )
 
-func entries(states ...policy.ServerState) (out []Entry) {
+func testEntries(states ...policy.ServerState) (out []Entry) {
 	for i, s := range states {
 		out = append(out, Entry{Server: i, Weight: 1, State: s})
 	}
@@ -21,33 +21,33 @@
 }
 
 func TestCatalog(t *testing.T) {
-	c := NewCatalog(entries(policy.Ready, policy.Ready), false)
-	held := c.Generation()
+	c := NewCatalog(testEntries(policy.Ready, policy.Ready), false)
+	generation := c.Generation()
 	c.SaveSnapshot()
 	c.SetEntry(Entry{Server: 0, State: policy.Gone})
 	c.SetEntry(Entry{Server: 2, State: policy.Ready, StartedAt: 5})
-	got, whole := c.ChangesSince(held)
-	if diff := cmp.Diff([]Entry{{Server: 0, State: policy.Gone}, {Server: 2, StartedAt: 5}}, got); diff != "" || whole {
-		t.Error(diff, whole)
+	got, full := c.ChangesSince(generation)
+	if diff := cmp.Diff([]Entry{{Server: 0, State: policy.Gone}, {Server: 2, StartedAt: 5}}, got); diff != "" || full {
+		t.Error(diff, full)
 	}
 	c.ServeSnapshot() // what it says now is old, and told whole to whoever holds something newer
-	if got, whole = c.ChangesSince(c.Generation() - 1); !whole || len(got) != 2 {
-		t.Errorf("thawed: %v %v", got, whole)
+	if got, full = c.ChangesSince(c.Generation() - 1); !full || len(got) != 2 {
+		t.Errorf("thawed: %v %v", got, full)
 	}
 	c.ServeCurrent()
-	if got, whole = c.ChangesSince(0); !whole || len(got) != 2 || got[1].Server != 2 {
-		t.Errorf("put right: %v %v", got, whole)
+	if got, full = c.ChangesSince(0); !full || len(got) != 2 || got[1].Server != 2 {
+		t.Errorf("put right: %v %v", got, full)
 	}
-	if got, whole = NewCatalog(entries(policy.Draining), true).ChangesSince(1); !whole || len(got) != 1 {
-		t.Errorf("whole list: %v %v", got, whole)
+	if got, full = NewCatalog(testEntries(policy.Draining), true).ChangesSince(1); !full || len(got) != 1 {
+		t.Errorf("whole list: %v %v", got, full)
 	}
 }
 
 // A watch brings what changed and ends without a word when the registry goes down; calls are refused until it is back.
 func TestWatch(t *testing.T) {
-	told := make(chan int, 16)
-	s := NewService(NewCatalog(entries(policy.Ready), false), time.Millisecond, Options{Zones: []string{"a"}, MachineTypes: []string{"m"},
-		Addr: func(int) string { return "127.0.0.1:1" }, OnSent: func(node int, e []Entry, _ bool) { told <- node*100 + len(e) }})
+	sent := make(chan int, 16)
+	s := NewService(NewCatalog(testEntries(policy.Ready), false), time.Millisecond, Options{Zones: []string{"a"}, MachineTypes: []string{"m"},
+		Addr: func(int) string { return "127.0.0.1:1" }, OnSent: func(node int, e []Entry, _ bool) { sent <- node*100 + len(e) }})
 	defer s.Close()
 	addr, err := s.Listen(7)
 	if err != nil {
@@ -70,7 +70,7 @@
 	if line, _ := lines.ReadString('\n'); !strings.Contains(line, `"lifecycle":"leaving"`) {
 		t.Errorf("then %q", line)
 	}
-	if a, b := <-told, <-told; a != 700 || b != 701 {
+	if a, b := <-sent, <-sent; a != 700 || b != 701 {
 		t.Errorf("told %d, %d", a, b)
 	}
 	s.SetDown(true)
@@ -80,9 +80,9 @@
 	refused, _ := get("")
 	refused.Body.Close()
 	s.SetDown(false)
-	list, all := get("")
+	list, body := get("")
 	defer list.Body.Close()
-	if raw, _ := io.ReadAll(all); refused.StatusCode != 503 || !strings.Contains(string(raw), `"reset":true`) {
+	if raw, _ := io.ReadAll(body); refused.StatusCode != 503 || !strings.Contains(string(raw), `"reset":true`) {
 		t.Errorf("%d, then %s", refused.StatusCode, raw)
 	}
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -20,20 +20,20 @@
 
 const (
 	// mostNodes is what two bytes of an address hold.
-	mostNodes = 1 << 16
+	maxNodes = 1 << 16
 	// mostPending is how many datagrams may be on their way; past that the next are lost, as in a full queue.
-	mostPending = 1 << 15
+	maxPendingDatagrams = 1 << 15
 	// mostStreams is how many streams pass at a time; further ones are closed at once.
-	mostStreams = 1 << 12
+	maxStreams = 1 << 12
 	// chunk is the most of a stream that passes at once.
-	chunk = 16 << 10
+	chunkSize = 16 << 10
 	// look is how often a stream that is held up looks whether it may go on.
-	look = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 	// mostHeld ends a stream on which nothing has passed for so long.
-	mostHeld = 30 * time.Second
+	streamTimeout = 30 * time.Second
 	// reorderBy is how much later a reordered datagram comes, at the most.
-	reorderBy = 20 * time.Millisecond
-	biggest   = 64 << 10 // datagram
+	reorderDelay = 20 * time.Millisecond
+	maxDatagram  = 64 << 10 // datagram
 )
 
 // Way is what happens from one node to another. The zero value passes everything on at once.
@@ -50,11 +50,11 @@
 }
 
 // and is both ways one after the other.
-func (w Impairment) and(o Impairment) Impairment {
+func (w Impairment) combine(other Impairment) Impairment {
 	either := func(a, b float64) float64 { return 1 - (1-a)*(1-b) }
-	return Impairment{Cut: w.Cut || o.Cut, UnansweredStreams: w.UnansweredStreams || o.UnansweredStreams, Loss: either(w.Loss, o.Loss), Duplicate: either(w.Duplicate, o.Duplicate),
-		Reorder: either(w.Reorder, o.Reorder), Corrupt: either(w.Corrupt, o.Corrupt), Truncate: either(w.Truncate, o.Truncate),
-		Delay: w.Delay + o.Delay, Jitter: w.Jitter + o.Jitter}
+	return Impairment{Cut: w.Cut || other.Cut, UnansweredStreams: w.UnansweredStreams || other.UnansweredStreams, Loss: either(w.Loss, other.Loss), Duplicate: either(w.Duplicate, other.Duplicate),
+		Reorder: either(w.Reorder, other.Reorder), Corrupt: either(w.Corrupt, other.Corrupt), Truncate: either(w.Truncate, other.Truncate),
+		Delay: w.Delay + other.Delay, Jitter: w.Jitter + other.Jitter}
 }
 
 // Count is what a node has sent and been sent, as it came to the relay and left it.
@@ -68,87 +68,89 @@
 	return c.SentBytes + c.SentStreamBytes + c.ReceivedBytes + c.ReceivedStreamBytes
 }
 
-type place struct {
-	udp                                                *net.UDPConn
-	tcp                                                net.Listener
-	sentDatagrams, sentBytes, sentStreams, streamBytes atomic.Int64
-	gotDatagrams, gotBytes, gotStreamBytes             atomic.Int64
+type endpoint struct {
+	udp                                                    *net.UDPConn
+	tcp                                                    net.Listener
+	sentDatagrams, sentBytes, sentStreams, sentStreamBytes atomic.Int64
+	receivedDatagrams, receivedBytes, receivedStreamBytes  atomic.Int64
 }
 
 // Relay is one run's.
 type Relay struct {
-	port    int
-	places  []*place
-	ways    []atomic.Pointer[Impairment] // from, to
-	streams atomic.Int64
-	pending atomic.Int64
-	late    atomic.Int64 // the most that a datagram was passed on later than meant, in ns
-	done    chan struct{}
-	open    sync.WaitGroup
-	mu      sync.Mutex
-	rng     *rand.Rand
-	faults  map[int]func(from, to int) Impairment
-	next    int
+	port             int
+	endpoints        []*endpoint
+	impairments      []atomic.Pointer[Impairment] // from, to
+	openStreams      atomic.Int64
+	pendingDatagrams atomic.Int64
+	maxLateness      atomic.Int64 // the most that a datagram was passed on later than meant, in ns
+	done             chan struct{}
+	goroutines       sync.WaitGroup
+	mu               sync.Mutex
+	rng              *rand.Rand
+	faults           map[int]func(from, to int) Impairment
+	lastFault        int
 }
 
-func address(net, n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(net), byte(n >> 8), byte(n)})
+func loopbackAddr(network, n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, byte(network), byte(n >> 8), byte(n)})
 }
 
 // Bound is where a node binds and dials from, on the run's port.
-func BindAddr(n, port int) netip.AddrPort { return netip.AddrPortFrom(address(1, n+1), uint16(port)) }
+func BindAddr(node, port int) netip.AddrPort {
+	return netip.AddrPortFrom(loopbackAddr(1, node+1), uint16(port))
+}
 
 // Advertised is where others reach it: here.
-func AdvertisedAddr(n, port int) netip.AddrPort {
-	return netip.AddrPortFrom(address(2, n+1), uint16(port))
+func AdvertisedAddr(node, port int) netip.AddrPort {
+	return netip.AddrPortFrom(loopbackAddr(2, node+1), uint16(port))
 }
 
-const firstPort, lastPort = 22000, 32000 // under those that the kernel gives out
+const minPort, maxPort = 22000, 32000 // under those that the kernel gives out
 
 var claimed atomic.Int64
 
 // New opens a relay for so many nodes, at a port that no other run has.
 func New(nodes int, seed uint64) (*Relay, error) {
-	if nodes < 1 || nodes >= mostNodes {
-		return nil, fmt.Errorf("relay: %d nodes are not from 1 to %d", nodes, mostNodes-1)
+	if nodes < 1 || nodes >= maxNodes {
+		return nil, fmt.Errorf("relay: %d nodes are not from 1 to %d", nodes, maxNodes-1)
 	}
 	var err error
 	for range 64 {
-		port := firstPort + int(rand.Uint64()%uint64(lastPort-firstPort)) // other programs' runs draw too
+		port := minPort + int(rand.Uint64()%uint64(maxPort-minPort)) // other programs' runs draw too
 		var r *Relay
-		if r, err = open(nodes, port, seed); err == nil {
+		if r, err = openAt(nodes, port, seed); err == nil {
 			return r, nil
 		}
 	}
 	return nil, err
 }
 
-func open(nodes, port int, seed uint64) (*Relay, error) {
-	r := &Relay{port: port, ways: make([]atomic.Pointer[Impairment], nodes*nodes), done: make(chan struct{}),
+func openAt(nodes, port int, seed uint64) (*Relay, error) {
+	r := &Relay{port: port, impairments: make([]atomic.Pointer[Impairment], nodes*nodes), done: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(seed, 0x7e1a9)), faults: make(map[int]func(int, int) Impairment)}
-	clear := &Impairment{}
-	for i := range r.ways {
-		r.ways[i].Store(clear)
+	unimpaired := &Impairment{}
+	for i := range r.impairments {
+		r.impairments[i].Store(unimpaired)
 	}
-	for n := range nodes {
-		at := AdvertisedAddr(n, port)
-		p := &place{}
+	for node := range nodes {
+		addr := AdvertisedAddr(node, port)
+		endpoint := &endpoint{}
 		var err error
-		if p.tcp, err = net.Listen("tcp4", at.String()); err == nil {
-			if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
-				p.tcp.Close()
+		if endpoint.tcp, err = net.Listen("tcp4", addr.String()); err == nil {
+			if endpoint.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr)); err != nil {
+				endpoint.tcp.Close()
 			}
 		}
 		if err != nil {
 			r.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		p.udp.SetReadBuffer(1 << 20)
-		r.places = append(r.places, p)
+		endpoint.udp.SetReadBuffer(1 << 20)
+		r.endpoints = append(r.endpoints, endpoint)
 	}
-	for n := range r.places {
-		r.open.Go(func() { r.datagrams(n) })
-		r.open.Go(func() { r.accept(n) })
+	for node := range r.endpoints {
+		r.goroutines.Go(func() { r.relayDatagrams(node) })
+		r.goroutines.Go(func() { r.acceptStreams(node) })
 	}
 	return r, nil
 }
@@ -157,23 +159,23 @@
 func (r *Relay) Port() int { return r.port }
 
 // Late is the most that a datagram was passed on later than it was meant to be: the relay's own fault.
-func (r *Relay) MaxLateness() time.Duration { return time.Duration(r.late.Load()) }
+func (r *Relay) MaxLateness() time.Duration { return time.Duration(r.maxLateness.Load()) }
 
 // Count gives what a node has sent and been sent so far.
-func (r *Relay) Traffic(n int) Traffic {
-	p := r.places[n]
-	return Traffic{p.sentDatagrams.Load(), p.sentBytes.Load(), p.sentStreams.Load(), p.streamBytes.Load(),
-		p.gotDatagrams.Load(), p.gotBytes.Load(), p.gotStreamBytes.Load()}
+func (r *Relay) Traffic(node int) Traffic {
+	endpoint := r.endpoints[node]
+	return Traffic{endpoint.sentDatagrams.Load(), endpoint.sentBytes.Load(), endpoint.sentStreams.Load(), endpoint.sentStreamBytes.Load(),
+		endpoint.receivedDatagrams.Load(), endpoint.receivedBytes.Load(), endpoint.receivedStreamBytes.Load()}
 }
 
 // Begin lets a fault act beside those that act already; the number ends it. A fault gives the way of each pair.
 func (r *Relay) AddFault(fault func(from, to int) Impairment) (number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next++
-	r.faults[r.next] = fault
-	r.set()
-	return r.next
+	r.lastFault++
+	r.faults[r.lastFault] = fault
+	r.updateImpairments()
+	return r.lastFault
 }
 
 // End ends a fault.
@@ -181,25 +183,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.faults, number)
-	r.set()
+	r.updateImpairments()
 }
 
-func (r *Relay) set() {
-	n := len(r.places)
+func (r *Relay) updateImpairments() {
+	n := len(r.endpoints)
 	for from := range n {
 		for to := range n {
-			var way Impairment
+			var combined Impairment
 			for _, fault := range r.faults { // their order changes nothing
-				way = way.and(fault(from, to))
+				combined = combined.combine(fault(from, to))
 			}
-			if *r.ways[from*n+to].Load() != way {
-				r.ways[from*n+to].Store(&way)
+			if *r.impairments[from*n+to].Load() != combined {
+				r.impairments[from*n+to].Store(&combined)
 			}
 		}
 	}
 }
 
-func (r *Relay) way(from, to int) *Impairment { return r.ways[from*len(r.places)+to].Load() }
+func (r *Relay) impairment(from, to int) *Impairment {
+	return r.impairments[from*len(r.endpoints)+to].Load()
+}
 
 // Close ends the relay: nothing passes any more and nothing is left running.
 func (r *Relay) Close() {
@@ -212,49 +216,49 @@
 	default:
 	}
 	close(r.done)
-	for _, p := range r.places {
+	for _, p := range r.endpoints {
 		p.tcp.Close()
 		p.udp.Close()
 	}
-	r.open.Wait()
+	r.goroutines.Wait()
 }
 
 // sender is the node that an address belongs to.
-func (r *Relay) sender(a netip.Addr) (n int, known bool) {
-	b := a.Unmap().As4()
-	n = int(b[2])<<8 | int(b[3])
-	n--
-	return n, b[0] == 127 && b[1] == 1 && n >= 0 && n < len(r.places)
+func (r *Relay) senderOf(addr netip.Addr) (node int, known bool) {
+	octets := addr.Unmap().As4()
+	node = int(octets[2])<<8 | int(octets[3])
+	node--
+	return node, octets[0] == 127 && octets[1] == 1 && node >= 0 && node < len(r.endpoints)
 }
 
 // chances draws whether each of these shares is met.
-func (r *Relay) chances(w *Impairment, size int) (lost, doubled, reordered, spoilt, short bool, at int, later time.Duration) {
-	if *w == (Impairment{}) {
+func (r *Relay) drawFaults(impairment *Impairment, size int) (lost, duplicated, reordered, corrupted, truncated bool, offset int, delay time.Duration) {
+	if *impairment == (Impairment{}) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	draw := func(share float64) bool { return share > 0 && r.rng.Float64() < share }
-	lost, doubled, reordered, spoilt, short = draw(w.Loss), draw(w.Duplicate), draw(w.Reorder), draw(w.Corrupt), draw(w.Truncate)
+	lost, duplicated, reordered, corrupted, truncated = draw(impairment.Loss), draw(impairment.Duplicate), draw(impairment.Reorder), draw(impairment.Corrupt), draw(impairment.Truncate)
 	if size > 0 {
-		at = r.rng.IntN(size)
+		offset = r.rng.IntN(size)
 	}
-	later = w.Delay
-	if w.Jitter > 0 {
-		later += time.Duration(r.rng.Int64N(int64(w.Jitter)))
+	delay = impairment.Delay
+	if impairment.Jitter > 0 {
+		delay += time.Duration(r.rng.Int64N(int64(impairment.Jitter)))
 	}
 	if reordered {
-		later += reorderBy/4 + time.Duration(r.rng.Int64N(int64(reorderBy)))
+		delay += reorderDelay/4 + time.Duration(r.rng.Int64N(int64(reorderDelay)))
 	}
 	return
 }
 
 // datagrams passes on what is sent to one node.
-func (r *Relay) datagrams(to int) {
-	p := r.places[to]
-	buffer := make([]byte, biggest)
+func (r *Relay) relayDatagrams(to int) {
+	receiver := r.endpoints[to]
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, source, err := p.udp.ReadFromUDPAddrPort(buffer)
+		size, source, err := receiver.udp.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			select {
 			case <-r.done:
@@ -266,80 +270,80 @@
 			}
 			continue // what a datagram to a node that is not there comes back as
 		}
-		from, known := r.sender(source.Addr())
+		from, known := r.senderOf(source.Addr())
 		if !known {
 			continue
 		}
-		r.places[from].sentDatagrams.Add(1)
-		r.places[from].sentBytes.Add(int64(n))
-		w := r.way(from, to)
-		lost, doubled, _, spoilt, short, at, later := r.chances(w, n)
-		if w.Cut || lost {
+		r.endpoints[from].sentDatagrams.Add(1)
+		r.endpoints[from].sentBytes.Add(int64(size))
+		impairment := r.impairment(from, to)
+		lost, duplicated, _, corrupted, truncated, offset, delay := r.drawFaults(impairment, size)
+		if impairment.Cut || lost {
 			continue
 		}
-		if !spoilt && !short && later == 0 {
-			r.pass(from, to, buffer[:n])
-			if doubled {
-				r.pass(from, to, buffer[:n])
+		if !corrupted && !truncated && delay == 0 {
+			r.forward(from, to, buffer[:size])
+			if duplicated {
+				r.forward(from, to, buffer[:size])
 			}
 			continue
 		}
-		bytes := append([]byte(nil), buffer[:n]...)
-		if spoilt && n > 0 {
-			bytes[at] ^= 1 << (at % 8)
+		datagram := append([]byte(nil), buffer[:size]...)
+		if corrupted && size > 0 {
+			datagram[offset] ^= 1 << (offset % 8)
 		}
-		if short {
-			bytes = bytes[:at]
+		if truncated {
+			datagram = datagram[:offset]
 		}
-		for range 1 + int(b2n(doubled)) {
-			r.passLater(from, to, bytes, later)
+		for range 1 + int(boolToInt(duplicated)) {
+			r.forwardLater(from, to, datagram, delay)
 		}
 	}
 }
 
-func b2n(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (r *Relay) pass(from, to int, bytes []byte) {
-	if _, err := r.places[from].udp.WriteToUDPAddrPort(bytes, BindAddr(to, r.port)); err == nil {
-		r.places[to].gotDatagrams.Add(1)
-		r.places[to].gotBytes.Add(int64(len(bytes)))
+func (r *Relay) forward(from, to int, datagram []byte) {
+	if _, err := r.endpoints[from].udp.WriteToUDPAddrPort(datagram, BindAddr(to, r.port)); err == nil {
+		r.endpoints[to].receivedDatagrams.Add(1)
+		r.endpoints[to].receivedBytes.Add(int64(len(datagram)))
 	}
 }
 
-func (r *Relay) passLater(from, to int, bytes []byte, later time.Duration) {
-	if r.pending.Add(1) > mostPending {
-		r.pending.Add(-1)
+func (r *Relay) forwardLater(from, to int, datagram []byte, delay time.Duration) {
+	if r.pendingDatagrams.Add(1) > maxPendingDatagrams {
+		r.pendingDatagrams.Add(-1)
 		return
 	}
-	due := time.Now().Add(later)
-	time.AfterFunc(later, func() {
-		defer r.pending.Add(-1)
-		for over := int64(time.Since(due)); ; {
-			most := r.late.Load()
-			if over <= most || r.late.CompareAndSwap(most, over) {
+	due := time.Now().Add(delay)
+	time.AfterFunc(delay, func() {
+		defer r.pendingDatagrams.Add(-1)
+		for lateness := int64(time.Since(due)); ; {
+			worst := r.maxLateness.Load()
+			if lateness <= worst || r.maxLateness.CompareAndSwap(worst, lateness) {
 				break
 			}
 		}
-		if !r.way(from, to).Cut { // what was on its way when it was cut is lost
-			r.pass(from, to, bytes)
+		if !r.impairment(from, to).Cut { // what was on its way when it was cut is lost
+			r.forward(from, to, datagram)
 		}
 	})
 }
 
 // accept takes streams to one node.
-func (r *Relay) accept(to int) {
+func (r *Relay) acceptStreams(to int) {
 	for {
-		c, err := r.places[to].tcp.Accept()
+		c, err := r.endpoints[to].tcp.Accept()
 		if err != nil {
 			select {
 			case <-r.done:
 				return
-			case <-time.After(look):
+			case <-time.After(pollInterval):
 			}
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -347,66 +351,66 @@
 			continue
 		}
 		source, _ := netip.ParseAddrPort(c.RemoteAddr().String())
-		from, known := r.sender(source.Addr())
-		if !known || r.streams.Add(1) > mostStreams {
+		from, known := r.senderOf(source.Addr())
+		if !known || r.openStreams.Add(1) > maxStreams {
 			if known {
-				r.streams.Add(-1)
+				r.openStreams.Add(-1)
 			}
 			c.Close()
 			continue
 		}
-		r.places[from].sentStreams.Add(1)
-		r.open.Go(func() {
-			defer r.streams.Add(-1)
-			r.stream(from, to, c)
+		r.endpoints[from].sentStreams.Add(1)
+		r.goroutines.Go(func() {
+			defer r.openStreams.Add(-1)
+			r.relayStream(from, to, c)
 		})
 	}
 }
 
 // stream carries one. Where the way is cut when it comes, it is held until the way is there again: what a SYN that is sent
 // again would do. Danger: a node that is not there must refuse, or its absence looks like a cut.
-func (r *Relay) stream(from, to int, near net.Conn) {
-	defer near.Close()
+func (r *Relay) relayStream(from, to int, client net.Conn) {
+	defer client.Close()
 	ended := make(chan struct{})
 	defer close(ended)
-	early, open := r.held(from, to, near)
-	if !open {
+	early, mayOpen := r.waitUntilOpen(from, to, client)
+	if !mayOpen {
 		return
 	}
 	dialer := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: AdvertisedAddr(from, r.port).Addr().AsSlice()}}
-	far, err := dialer.Dial("tcp4", BindAddr(to, r.port).String())
+	target, err := dialer.Dial("tcp4", BindAddr(to, r.port).String())
 	if err != nil {
-		if tcp, ok := near.(*net.TCPConn); ok {
+		if tcp, ok := client.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		return
 	}
-	defer far.Close()
+	defer target.Close()
 	go func() {
 		select {
 		case <-r.done:
 		case <-ended:
 		}
-		near.Close()
-		far.Close()
+		client.Close()
+		target.Close()
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { r.pump(from, to, &after{near, early}, far, ended) })
-	both.Go(func() { r.pump(to, from, far, near, ended) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyStream(from, to, &earlyDataConn{client, early}, target, ended) })
+	directions.Go(func() { r.copyStream(to, from, target, client, ended) })
+	directions.Wait()
 }
 
 // mostEarly is kept of what comes on a stream that is held.
-const mostEarly = 1 << 20
+const maxEarlyBytes = 1 << 20
 
 // held waits until a stream may open, gives what has come on it by then, and says whether it came to that.
 //
 // Danger: who sent it has given it up long before a cut ends; a SYN that is not answered ends with its sender. Held streams of seconds were
 // passed on at the end of a cut, all that a node knows on each, and looked like a storm of the nodes' own.
-func (r *Relay) held(from, to int, near net.Conn) (early []byte, open bool) {
-	buffer := make([]byte, chunk)
-	for begun := time.Now(); time.Since(begun) <= mostHeld; {
-		if there, back := r.way(from, to), r.way(to, from); !there.Cut && !there.UnansweredStreams && !back.Cut {
+func (r *Relay) waitUntilOpen(from, to int, client net.Conn) (early []byte, mayOpen bool) {
+	buffer := make([]byte, chunkSize)
+	for started := time.Now(); time.Since(started) <= streamTimeout; {
+		if forth, back := r.impairment(from, to), r.impairment(to, from); !forth.Cut && !forth.UnansweredStreams && !back.Cut {
 			return early, true
 		}
 		select {
@@ -414,12 +418,12 @@
 			return nil, false
 		default:
 		}
-		if len(early) >= mostEarly {
-			time.Sleep(look)
+		if len(early) >= maxEarlyBytes {
+			time.Sleep(pollInterval)
 			continue
 		}
-		near.SetReadDeadline(time.Now().Add(look))
-		n, err := near.Read(buffer)
+		client.SetReadDeadline(time.Now().Add(pollInterval))
+		n, err := client.Read(buffer)
 		early = append(early, buffer[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, false // it was given up
@@ -429,12 +433,12 @@
 }
 
 // after reads what came early first.
-type after struct {
+type earlyDataConn struct {
 	net.Conn
 	early []byte
 }
 
-func (a *after) Read(b []byte) (int, error) {
+func (a *earlyDataConn) Read(b []byte) (int, error) {
 	if len(a.early) == 0 {
 		return a.Conn.Read(b)
 	}
@@ -444,12 +448,12 @@
 }
 
 // passable waits until the way is open, and says whether it came to that.
-func (r *Relay) passable(from, to int, ended chan struct{}) bool {
-	for begun := time.Now(); ; {
-		if !r.way(from, to).Cut {
+func (r *Relay) waitUntilPassable(from, to int, ended chan struct{}) bool {
+	for started := time.Now(); ; {
+		if !r.impairment(from, to).Cut {
 			return true
 		}
-		if time.Since(begun) > mostHeld {
+		if time.Since(started) > streamTimeout {
 			return false
 		}
 		select {
@@ -457,34 +461,34 @@
 			return false
 		case <-ended:
 			return false
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (r *Relay) pump(from, to int, in, out net.Conn, ended chan struct{}) {
-	buffer := make([]byte, chunk)
+func (r *Relay) copyStream(from, to int, source, target net.Conn, ended chan struct{}) {
+	buffer := make([]byte, chunkSize)
 	for {
-		in.SetReadDeadline(time.Now().Add(mostHeld))
-		n, err := in.Read(buffer)
+		source.SetReadDeadline(time.Now().Add(streamTimeout))
+		n, err := source.Read(buffer)
 		if n > 0 {
-			if !r.passable(from, to, ended) {
+			if !r.waitUntilPassable(from, to, ended) {
 				break
 			}
-			r.places[from].streamBytes.Add(int64(n))
-			_, _, _, spoilt, short, at, later := r.chances(r.way(from, to), n)
-			if later > 0 {
-				time.Sleep(later)
+			r.endpoints[from].sentStreamBytes.Add(int64(n))
+			_, _, _, corrupted, truncated, offset, delay := r.drawFaults(r.impairment(from, to), n)
+			if delay > 0 {
+				time.Sleep(delay)
 			}
-			if spoilt {
-				buffer[at] ^= 1 << (at % 8)
+			if corrupted {
+				buffer[offset] ^= 1 << (offset % 8)
 			}
-			if short {
-				n = at
+			if truncated {
+				n = offset
 			}
-			out.SetWriteDeadline(time.Now().Add(mostHeld))
-			r.places[to].gotStreamBytes.Add(int64(n))
-			if _, wrong := out.Write(buffer[:n]); wrong != nil || short {
+			target.SetWriteDeadline(time.Now().Add(streamTimeout))
+			r.endpoints[to].receivedStreamBytes.Add(int64(n))
+			if _, writeErr := target.Write(buffer[:n]); writeErr != nil || truncated {
 				break
 			}
 		}
@@ -492,12 +496,12 @@
 			if !errors.Is(err, io.EOF) {
 				break
 			}
-			if tcp, ok := out.(*net.TCPConn); ok {
+			if tcp, ok := target.(*net.TCPConn); ok {
 				tcp.CloseWrite()
 			}
 			return // the other direction may go on
 		}
 	}
-	in.Close()
-	out.Close()
+	source.Close()
+	target.Close()
 }
--- a/internal/standin/server/conn.go
+++ b/internal/standin/server/conn.go
@@ -13,7 +13,7 @@
 )
 
 // nothing is for net/http's complaints of the breaks that are made on purpose.
-var nothing = log.New(io.Discard, "", 0)
+var discardLog = log.New(io.Discard, "", 0)
 
 type connKey struct{}
 
@@ -28,7 +28,7 @@
 }
 
 // price is what a request costs for being the first on its connection.
-func price(r *http.Request, kind *scenario.Kind) policy.Micros {
+func connectionCost(r *http.Request, kind *scenario.Kind) policy.Micros {
 	c, ok := r.Context().Value(connKey{}).(*connection)
 	if !ok || c.used.Swap(true) {
 		return 0
@@ -37,12 +37,12 @@
 }
 
 // raw writes bytes that net/http would not, and resets the connection.
-func raw(w http.ResponseWriter, bytes string) {
+func writeRawAndReset(w http.ResponseWriter, response string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	io.WriteString(c, bytes)
+	io.WriteString(c, response)
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -51,6 +51,6 @@
 
 // abort resets the connection without an answer.
 func abort(w http.ResponseWriter) {
-	raw(w, "")
+	writeRawAndReset(w, "")
 	panic(http.ErrAbortHandler)
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -43,29 +43,29 @@
 
 // Server is one server. Its address stays the same over its life.
 type Server struct {
-	place    int
-	kind     *scenario.Kind
-	world    Environment
-	mu       sync.Mutex
-	model    *fleet.Server
-	addr     string
-	http     *http.Server
-	listener net.Listener
-	timer    *time.Timer
-	mode     scenario.Mode
-	life     chan struct{} // closed when it dies
-	silent   chan struct{} // closed when it speaks again; nil: it speaks
-	started  policy.Micros
-	conns    map[net.Conn]bool // open ones, and whether each is one too many
-	cut      int               // bytes of the next answer that is reset
-	ignored  float64           // share of the pushes of whom ignores that get no answer
-	ignores  func(ledger.TryID) bool
-	rng      *rand.Rand
+	index           int
+	kind            *scenario.Kind
+	environment     Environment
+	mu              sync.Mutex
+	model           *fleet.Server
+	addr            string
+	http            *http.Server
+	listener        net.Listener
+	timer           *time.Timer
+	mode            scenario.Mode
+	stopped         chan struct{} // closed when it dies
+	silenceEnded    chan struct{} // closed when it speaks again; nil: it speaks
+	started         policy.Micros
+	connections     map[net.Conn]bool // open ones, and whether each is one too many
+	resetAfterBytes int               // bytes of the next answer that is reset
+	ignoredShare    float64           // share of the pushes of whom ignores that get no answer
+	ignoredTry      func(ledger.TryID) bool
+	rng             *rand.Rand
 }
 
 // New makes a server that is not up yet.
-func New(place int, kind *scenario.Kind, traits fleet.Spec, addr string, world Environment) *Server {
-	return &Server{place: place, kind: kind, world: world, model: fleet.New(traits), addr: addr}
+func New(index int, kind *scenario.Kind, traits fleet.Spec, addr string, environment Environment) *Server {
+	return &Server{index: index, kind: kind, environment: environment, model: fleet.New(traits), addr: addr}
 }
 
 // Addr is where the server listens.
@@ -83,76 +83,76 @@
 	s.Stop(false)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := listen(s.addr)
+	listener, err := listen(s.addr)
 	if err != nil {
-		return fmt.Errorf("server %d: %w", s.place, err)
+		return fmt.Errorf("server %d: %w", s.index, err)
 	}
 	if cold {
-		s.started = s.world.Now() / policy.Millisecond * policy.Millisecond
+		s.started = s.environment.Now() / policy.Millisecond * policy.Millisecond
 		s.model.RestartCold(s.started)
 	}
-	s.life, s.silent, s.conns, s.listener = make(chan struct{}), nil, make(map[net.Conn]bool), l
+	s.stopped, s.silenceEnded, s.connections, s.listener = make(chan struct{}), nil, make(map[net.Conn]bool), listener
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	idle := time.Duration(s.kind.IdleClose) * time.Microsecond
-	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.count,
-		ConnContext: withConn, ErrorLog: nothing}
-	go s.http.Serve(l)
+	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.trackConnection,
+		ConnContext: withConn, ErrorLog: discardLog}
+	go s.http.Serve(listener)
 	return nil
 }
 
 // listen opens an address that this process has closed before. Danger: a process that is being forked just then holds
 // a copy of the old listener until it has started.
-func listen(addr string) (l net.Listener, err error) {
+func listen(addr string) (listener net.Listener, err error) {
 	for range 100 {
-		if l, err = net.Listen("tcp", addr); !errors.Is(err, syscall.EADDRINUSE) {
+		if listener, err = net.Listen("tcp", addr); !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return l, err
+	return listener, err
 }
 
 // Down ends the server: its connections are reset, and new ones refused. Silently, it keeps them open and says nothing
 // more until it is up again.
 //
 // Danger: net/http's Close waits for the loop that accepts, and that may be waiting for the lock to count a connection.
-func (s *Server) Stop(silently bool) {
-	if server := s.die(silently); server != nil {
-		server.Close()
+func (s *Server) Stop(keepConnections bool) {
+	if ended := s.shutDown(keepConnections); ended != nil {
+		ended.Close()
 	}
 }
 
 // die is Down up to what must be closed without the lock.
-func (s *Server) die(silently bool) (ended *http.Server) {
+func (s *Server) shutDown(keepConnections bool) (server *http.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.http == nil {
 		return nil
 	}
-	if s.silent == nil {
-		for _, j := range s.model.Crash() {
-			s.book(j, j.Context.(*visit))
+	if s.silenceEnded == nil {
+		for _, job := range s.model.Crash() {
+			s.recordWork(job, job.Context.(*pushState))
 		}
 	}
-	if silently {
-		if s.silent == nil {
-			s.silent = make(chan struct{})
+	if keepConnections {
+		if s.silenceEnded == nil {
+			s.silenceEnded = make(chan struct{})
 		}
 		return nil
 	}
-	for c := range s.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
+	for conn := range s.connections {
+		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0) // a process that dies resets its connections
 		}
 	}
-	close(s.life)
+	close(s.stopped)
 	s.timer.Stop()
-	if s.silent != nil {
-		close(s.silent)
+	if s.silenceEnded != nil {
+		close(s.silenceEnded)
 	}
 	s.listener.Close() // Danger: closed by http alone once Serve has begun, which may be after this
-	ended, s.http = s.http, nil
-	return ended
+	server, s.http = s.http, nil
+	return server
 }
 
 // Slow, Stall and Behave set a fault.
@@ -165,75 +165,75 @@
 func (s *Server) Stall(until policy.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.Stall(s.world.Now(), until)
-	s.wake()
+	s.model.Stall(s.environment.Now(), until)
+	s.scheduleAdvance()
 }
 
 func (s *Server) SetMode(mode scenario.Mode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
 
 // Ignore lets a share of the pushes that come by some nodes go without an answer; they don't run. 0 ends it.
-func (s *Server) SetIgnoredShare(share float64, of func(ledger.TryID) bool) {
+func (s *Server) SetIgnoredShare(share float64, applies func(ledger.TryID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ignored, s.ignores = share, of
+	s.ignoredShare, s.ignoredTry = share, applies
 	if s.rng == nil {
-		s.rng = rand.New(rand.NewPCG(uint64(s.place), 1))
+		s.rng = rand.New(rand.NewPCG(uint64(s.index), 1))
 	}
 }
 
 // ignoring says whether a push gets no answer.
-func (s *Server) ignoring(try ledger.TryID) bool {
+func (s *Server) isIgnored(try ledger.TryID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ignored > 0 && s.ignores(try) && s.rng.Float64() < s.ignored
+	return s.ignoredShare > 0 && s.ignoredTry(try) && s.rng.Float64() < s.ignoredShare
 }
 
 // visit is one push at the server.
-type visit struct {
-	done chan struct{} // its own work is over
-	push ledger.PushID
-	op   *Op
+type pushState struct {
+	workDone chan struct{} // its own work is over
+	push     ledger.PushID
+	op       *Op
 }
 
-func (s *Server) count(c net.Conn, state http.ConnState) {
+func (s *Server) trackConnection(conn net.Conn, connState http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch state {
+	switch connState {
 	case http.StateNew:
-		s.conns[c] = s.kind.Conns > 0 && len(s.conns) >= s.kind.Conns
+		s.connections[conn] = s.kind.Conns > 0 && len(s.connections) >= s.kind.Conns
 	case http.StateClosed, http.StateHijacked:
-		delete(s.conns, c)
+		delete(s.connections, conn)
 	}
 }
 
 // wake sets the timer to the end of the next job's own work. The lock is held.
-func (s *Server) wake() {
+func (s *Server) scheduleAdvance() {
 	if next := s.model.NextCompletion(); next != fleet.Never && s.http != nil {
-		s.timer.Reset(time.Duration(max(0, next-s.world.Now())) * time.Microsecond)
+		s.timer.Reset(time.Duration(max(0, next-s.environment.Now())) * time.Microsecond)
 	}
 }
 
 func (s *Server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, j := range s.model.Advance(s.world.Now()) {
-		v := j.Context.(*visit)
-		s.book(j, v)
-		close(v.done)
+	for _, job := range s.model.Advance(s.environment.Now()) {
+		state := job.Context.(*pushState)
+		s.recordWork(job, state)
+		close(state.workDone)
 	}
-	s.wake()
+	s.scheduleAdvance()
 }
 
 // book writes down what a job was. One that never ran is no repeat's first.
-func (s *Server) book(j *fleet.Job, v *visit) {
+func (s *Server) recordWork(job *fleet.Job, state *pushState) {
 	switch {
-	case j.Started() && s.world.Ledger != nil:
-		s.world.Ledger.Effect(v.push)
-		s.world.Ledger.Worked(v.push, j.Work)
-	case !j.Started() && v.op.Dedup != nil:
-		v.op.DedupLock.Lock()
-		v.op.Dedup.Forget(v.op.Key)
-		v.op.DedupLock.Unlock()
+	case job.Started() && s.environment.Ledger != nil:
+		s.environment.Ledger.Effect(state.push)
+		s.environment.Ledger.Worked(state.push, job.Work)
+	case !job.Started() && state.op.Dedup != nil:
+		state.op.DedupLock.Lock()
+		state.op.Dedup.Forget(state.op.Key)
+		state.op.DedupLock.Unlock()
 	}
 }
 
@@ -241,133 +241,133 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
 	s.mu.Lock()
-	life, silent := s.life, s.silent
+	stopped, silenceEnded := s.stopped, s.silenceEnded
 	s.mu.Unlock()
-	if silent != nil {
+	if silenceEnded != nil {
 		select {
-		case <-silent:
-		case <-life:
+		case <-silenceEnded:
+		case <-stopped:
 		}
 		abort(w)
 	}
 	if r.URL.Path == "/-/healthy" || r.URL.Path == "/-/load" {
-		s.report(w)
+		s.serveLoadReport(w)
 		return
 	}
-	try, op, known := s.world.FindOp(r.Header.Get("X-Txn"), r)
+	try, op, known := s.environment.FindOp(r.Header.Get("X-Txn"), r)
 	if !known {
 		http.Error(w, "no such op", http.StatusBadRequest)
 		return
 	}
-	s.push(w, r, try, op, life)
+	s.servePush(w, r, try, op, stopped)
 }
 
-func (s *Server) push(w http.ResponseWriter, r *http.Request, try ledger.TryID, op *Op, life chan struct{}) {
-	now := s.world.Now()
-	v := &visit{done: make(chan struct{}), push: -1, op: op}
-	told := true
-	if a := s.world.Ledger; a != nil {
-		v.push = a.Push(try, s.place, now)
-		node, _ := a.NodeOf(try)
-		told = a.KnowsStart(node, s.place, s.StartedAt())
-	}
-	if s.ignoring(try) {
+func (s *Server) servePush(w http.ResponseWriter, r *http.Request, try ledger.TryID, op *Op, stopped chan struct{}) {
+	now := s.environment.Now()
+	state := &pushState{workDone: make(chan struct{}), push: -1, op: op}
+	startKnown := true
+	if account := s.environment.Ledger; account != nil {
+		state.push = account.Push(try, s.index, now)
+		node, _ := account.NodeOf(try)
+		startKnown = account.KnowsStart(node, s.index, s.StartedAt())
+	}
+	if s.isIgnored(try) {
 		select {
 		case <-r.Context().Done():
-		case <-life:
+		case <-stopped:
 		}
 		abort(w)
 	}
 	s.mu.Lock()
 	mode := s.mode
-	full := false
+	overLimit := false
 	if c, ok := r.Context().Value(connKey{}).(*connection); ok {
-		full = s.conns[c.Conn]
+		overLimit = s.connections[c.Conn]
 	}
 	s.mu.Unlock()
 	switch {
-	case full:
+	case overLimit:
 		w.Header().Set("Connection", "close")
-		turnAway(w)
+		writeRejection(w)
 		return
 	case mode == scenario.Errors:
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return
 	case mode == scenario.TurnsAway:
-		turnAway(w)
+		writeRejection(w)
 		return
 	}
 	if op.Dedup != nil {
 		op.DedupLock.Lock()
-		repeat := op.Dedup.CheckAndRemember(now, op.Key)
+		duplicate := op.Dedup.CheckAndRemember(now, op.Key)
 		op.DedupLock.Unlock()
-		if repeat {
-			s.answer(w, v)
+		if duplicate {
+			s.writeAnswer(w, state)
 			return
 		}
 	}
-	j := &fleet.Job{Work: op.Work + price(r, s.kind), StartKnown: told, Context: v}
+	job := &fleet.Job{Work: op.Work + connectionCost(r, s.kind), StartKnown: startKnown, Context: state}
 	s.mu.Lock()
-	got, pressed := s.model.Arrive(now, j), s.model.PeakLoad()
-	if got != fleet.Accepted {
-		s.book(j, v)
+	result, peakLoad := s.model.Arrive(now, job), s.model.PeakLoad()
+	if result != fleet.Accepted {
+		s.recordWork(job, state)
 	}
-	s.wake()
+	s.scheduleAdvance()
 	s.mu.Unlock()
-	if a := s.world.Ledger; a != nil {
-		a.Pressed(pressed)
-		if got == fleet.CollapsedByInformed || got == fleet.CollapsedByUninformed {
-			a.Tipped(s.place, got == fleet.CollapsedByInformed)
+	if account := s.environment.Ledger; account != nil {
+		account.Pressed(peakLoad)
+		if result == fleet.CollapsedByInformed || result == fleet.CollapsedByUninformed {
+			account.Tipped(s.index, result == fleet.CollapsedByInformed)
 		}
 	}
-	if got != fleet.Accepted {
-		turnAway(w)
+	if result != fleet.Accepted {
+		writeRejection(w)
 		return
 	}
 	select {
-	case <-v.done:
-	case <-life:
+	case <-state.workDone:
+	case <-stopped:
 		abort(w)
 	case <-r.Context().Done(): // the node has given up; what runs goes on, what waits is dropped
 		s.mu.Lock()
-		dropped := s.model.Cancel(s.world.Now(), j)
+		dropped := s.model.Cancel(s.environment.Now(), job)
 		if dropped {
-			s.book(j, v)
+			s.recordWork(job, state)
 		}
 		s.mu.Unlock()
 		if dropped {
 			return
 		}
 		select {
-		case <-v.done:
-		case <-life:
+		case <-state.workDone:
+		case <-stopped:
 			abort(w)
 		}
 	}
 	served := true
 	for i := 0; i < op.DownstreamCalls && served; i++ {
-		served = s.world.CallNextTier(try, op, now+remaining(r))
+		served = s.environment.CallNextTier(try, op, now+timeRemaining(r))
 	}
 	s.mu.Lock()
-	alive := s.life == life && s.silent == nil
+	alive := s.stopped == stopped && s.silenceEnded == nil
 	if alive {
-		s.model.Release(s.world.Now(), j)
-		s.wake()
+		s.model.Release(s.environment.Now(), job)
+		s.scheduleAdvance()
 	}
 	s.mu.Unlock()
 	switch {
 	case !alive:
-		<-life
+		<-stopped
 		abort(w)
 	case !served:
 		http.Error(w, "a tier behind failed", http.StatusInternalServerError)
 	default:
-		s.answer(w, v)
+		s.writeAnswer(w, state)
 	}
 }
 
 // remaining is how long the node says that it will wait.
-func remaining(r *http.Request) policy.Micros {
+func timeRemaining(r *http.Request) policy.Micros {
 	ms, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
 	return policy.Micros(ms) * policy.Millisecond
 }
@@ -379,21 +379,21 @@
 }
 
 // answer writes the answer, or what the fault makes of it.
-func (s *Server) answer(w http.ResponseWriter, v *visit) {
-	body, _ := json.Marshal(AnswerBody{s.place, v.push})
+func (s *Server) writeAnswer(w http.ResponseWriter, state *pushState) {
+	body, _ := json.Marshal(AnswerBody{s.index, state.push})
 	s.mu.Lock()
-	mode, cut := s.mode, s.cut
+	mode, resetAfter := s.mode, s.resetAfterBytes
 	if mode == scenario.Resets {
-		s.cut++
+		s.resetAfterBytes++
 	}
-	load := s.load()
+	load := s.loadReport()
 	s.mu.Unlock()
 	switch mode {
 	case scenario.Resets:
-		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		raw(w, whole[:cut%len(whole)])
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		writeRawAndReset(w, response[:resetAfter%len(response)])
 	case scenario.Spoils:
-		raw(w, "\x16\x03\x01 this is no HTTP\r\n\r\n")
+		writeRawAndReset(w, "\x16\x03\x01 this is no HTTP\r\n\r\n")
 	default:
 		if s.kind.LoadReport {
 			w.Header().Set("X-Pressure", "TEXT "+load)
@@ -405,22 +405,22 @@
 }
 
 // load is the load report. The lock is held.
-func (s *Server) load() string {
+func (s *Server) loadReport() string {
 	return fmt.Sprintf("inflight=%d, queue=%d, util=%.2f", s.model.Running()+s.model.Waiting(), s.model.Waiting(),
 		min(1, float64(s.model.Running())/float64(s.model.Cores)))
 }
 
-func (s *Server) report(w http.ResponseWriter) {
+func (s *Server) serveLoadReport(w http.ResponseWriter) {
 	s.mu.Lock()
-	load, well := s.load(), s.mode == scenario.Honest && !s.model.Collapsed()
+	load, healthy := s.loadReport(), s.mode == scenario.Honest && !s.model.Collapsed()
 	s.mu.Unlock()
-	if !well {
+	if !healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	io.WriteString(w, load)
 }
 
-func turnAway(w http.ResponseWriter) {
+func writeRejection(w http.ResponseWriter) {
 	w.Header().Set("X-Turned-Away", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -18,15 +18,15 @@
 )
 
 // up starts a server with one core, room for one op to wait and two connections, whose ops take 20 ms.
-func up(t *testing.T, memory *fleet.DedupMemory) *Server {
+func startServer(t *testing.T, memory *fleet.DedupMemory) *Server {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	kind := &scenario.Kind{Conns: 3, IdleClose: 5_000_000, LoadReport: true}
 	var lock sync.Mutex
 	// An address from which nobody connects: a port given back could be taken by anybody while the server is down.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
 	s := New(0, kind, fleet.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
-		Now: func() policy.Micros { return policy.Micros(time.Since(begun).Microseconds()) },
+		Now: func() policy.Micros { return policy.Micros(time.Since(started).Microseconds()) },
 		FindOp: func(id string, _ *http.Request) (ledger.TryID, *Op, bool) {
 			return 0, &Op{Key: id, Work: 20 * policy.Millisecond, Dedup: memory, DedupLock: &lock}, id != ""
 		}})
@@ -38,48 +38,48 @@
 }
 
 // ask sends one request on a connection of its own and gives all bytes that come back, for 100 ms.
-func ask(t *testing.T, s *Server, id string) string {
+func rawRequest(t *testing.T, s *Server, id string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Addr())
+	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		return err.Error()
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(100 * time.Millisecond))
-	fmt.Fprintf(c, "GET /slots HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nConnection: close\r\n\r\n", id)
-	var all bytes.Buffer
-	io.Copy(&all, c)
-	return all.String()
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(100 * time.Millisecond))
+	fmt.Fprintf(conn, "GET /slots HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nConnection: close\r\n\r\n", id)
+	var answer bytes.Buffer
+	io.Copy(&answer, conn)
+	return answer.String()
 }
 
-func TestFaultsOnTheWire(t *testing.T) {
-	s := up(t, nil)
-	whole := ask(t, s, "1")
-	if !bytes.HasPrefix([]byte(whole), []byte("HTTP/1.1 200 OK")) || !bytes.Contains([]byte(whole), []byte("X-Pressure: TEXT inflight=")) {
-		t.Fatalf("got %q", whole)
+func TestConnectionFaults(t *testing.T) {
+	s := startServer(t, nil)
+	response := rawRequest(t, s, "1")
+	if !bytes.HasPrefix([]byte(response), []byte("HTTP/1.1 200 OK")) || !bytes.Contains([]byte(response), []byte("X-Pressure: TEXT inflight=")) {
+		t.Fatalf("got %q", response)
 	}
-	if got := ask(t, s, ""); !bytes.HasPrefix([]byte(got), []byte("HTTP/1.1 400")) {
+	if got := rawRequest(t, s, ""); !bytes.HasPrefix([]byte(got), []byte("HTTP/1.1 400")) {
 		t.Errorf("no id: %q", got)
 	}
 	s.SetMode(scenario.Resets)
 	for n := range 5 { // each time one byte further
-		if got := ask(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
+		if got := rawRequest(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
 			t.Errorf("reset %d: %q", n, got)
 		}
 	}
 	s.SetMode(scenario.Spoils)
-	if got := ask(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
+	if got := rawRequest(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
 		t.Errorf("spoilt: %q", got)
 	}
 	for mode, want := range map[scenario.Mode]string{scenario.Errors: "HTTP/1.1 500", scenario.TurnsAway: "HTTP/1.1 503"} {
 		s.SetMode(mode)
-		if got := ask(t, s, "1"); !bytes.HasPrefix([]byte(got), []byte(want)) {
+		if got := rawRequest(t, s, "1"); !bytes.HasPrefix([]byte(got), []byte(want)) {
 			t.Errorf("mode %d: %q", mode, got)
 		}
 	}
 	s.SetMode(scenario.Honest)
 	s.Stop(true)
-	if got := ask(t, s, "1"); got != "" {
+	if got := rawRequest(t, s, "1"); got != "" {
 		t.Errorf("silent: %q", got)
 	}
 	if err := s.Start(true); err != nil || s.StartedAt() == 0 {
@@ -92,58 +92,58 @@
 }
 
 // Past the bound of its queue, and of its connections, a server turns away; a repeat is answered and not run.
-func TestBounds(t *testing.T) {
-	s := up(t, fleet.NewDedupMemory(policy.Second))
-	var out sync.WaitGroup
+func TestLimits(t *testing.T) {
+	s := startServer(t, fleet.NewDedupMemory(policy.Second))
+	var requests sync.WaitGroup
 	var mu sync.Mutex
-	got := map[string]int{}
+	statuses := map[string]int{}
 	for i := range 4 {
-		out.Go(func() {
-			answer := ask(t, s, fmt.Sprint("key", i))
+		requests.Go(func() {
+			answer := rawRequest(t, s, fmt.Sprint("key", i))
 			mu.Lock()
 			defer mu.Unlock()
-			got[answer[:min(len(answer), 12)]]++
+			statuses[answer[:min(len(answer), 12)]]++
 		})
 	}
-	out.Wait()
-	if got["HTTP/1.1 200"] != 2 || got["HTTP/1.1 503"] != 2 {
-		t.Errorf("of four at once: %v", got)
+	requests.Wait()
+	if statuses["HTTP/1.1 200"] != 2 || statuses["HTTP/1.1 503"] != 2 {
+		t.Errorf("of four at once: %v", statuses)
 	}
-	begun := time.Now()
-	ask(t, s, "again")
-	ask(t, s, "again")
-	if took := time.Since(begun); took < 20*time.Millisecond || s.model.CoreTime() != 3*20*policy.Millisecond {
-		t.Errorf("a repeat ran: %v, core time %d", took, s.model.CoreTime())
+	started := time.Now()
+	rawRequest(t, s, "again")
+	rawRequest(t, s, "again")
+	if elapsed := time.Since(started); elapsed < 20*time.Millisecond || s.model.CoreTime() != 3*20*policy.Millisecond {
+		t.Errorf("a repeat ran: %v, core time %d", elapsed, s.model.CoreTime())
 	}
 }
 
 // Danger: a server that was taken down just as it accepted a connection waited for its own accepting for ever, and the run
 // with it.
-func TestDownWhileAccepting(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestStopWhileAccepting(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	s := New(0, &scenario.Kind{IdleClose: scenario.Span(policy.Second)}, fleet.Spec{Cores: 1, Speed: 1}, addr,
 		Environment{Now: func() policy.Micros { return 0 }})
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
 	}
 	s.mu.Lock() // first Down waits for it, then what accepts
-	ended := make(chan struct{})
-	go func() { s.Stop(false); close(ended) }()
+	stopped := make(chan struct{})
+	go func() { s.Stop(false); close(stopped) }()
 	time.Sleep(20 * time.Millisecond)
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	time.Sleep(20 * time.Millisecond)
 	s.mu.Unlock()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-time.After(10 * time.Second):
 		t.Error("a server that was taken down is still closing")
 	}
