--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -1,6 +1,8 @@
-// Package fleet is the model of a stand-in server: cores, a bounded queue, the jam, a cold start and tipping over,
-// and the memory by which a group drops repeats. It does no I/O and has no clock: time is passed in. The same model
-// stands behind servers on sockets and in simulated time.
+// Package fleet models a stand-in server: its cores, its bounded queue, jams under long queues, the cold start and the
+// collapse of an overloaded cold server. It also models the memory by which a group of servers drops duplicate ops.
+//
+// The package does no I/O and has no clock: callers pass the time in. The same model serves the servers on sockets and
+// those in simulated time.
 package fleet
 
 import (
@@ -9,96 +11,100 @@
 	"canvasrouter/policy"
 )
 
-// Never is a time that does not come.
+// Never is later than every time that occurs.
 const Never = policy.Micros(math.MaxInt64)
 
-// Traits are what a server is.
+// Spec holds the fixed properties of a server.
 type Spec struct {
 	Cores            int
-	Speed            float64 // of a core; work of 1 ms takes 1 ms at speed 1
-	QueueLimit       int     // ops that may wait; further ones are turned away
-	JamQueuePerCore  float64 // ops waiting per core that jam it; 0: never
-	JamDelay         policy.Micros
-	JamSlowdown      float64
-	JamRecoveryTime  policy.Micros // mostly idle for so long ends the jam
-	CrowdingPerCore  float64       // jobs in hand per core over which each takes longer; 0: never
-	CrowdingSlowdown float64       // times longer, for each such number more
+	Speed            float64       // of a core; work of 1 ms takes 1 ms at speed 1
+	QueueLimit       int           // ops that may wait; further ones are rejected
+	JamQueuePerCore  float64       // more waiting ops per core than this jam the server; 0: it never jams
+	JamDelay         policy.Micros // how long the queue must be that long before the server is jammed
+	JamSlowdown      float64       // factor by which jobs take longer in a jammed server
+	JamRecoveryTime  policy.Micros // how long the server must be mostly idle before the jam ends
+	CrowdingPerCore  float64       // jobs running and waiting per core above which each job takes longer; 0: no such effect
+	CrowdingSlowdown float64       // extra time, as a share, for each further CrowdingPerCore jobs per core
 	ColdStart        ColdStart
 }
 
-// Cold is how a server starts, and what pushes it over while it is cold.
+// ColdStart describes how the capacity of a restarted server rises, and which load makes it collapse meanwhile.
 type ColdStart struct {
-	InitialShare   float64 // share of the capacity at the start; it rises evenly to all of it
-	WarmUpTime     policy.Micros
-	OverloadFactor float64 // sent more than this multiple of the present capacity
-	OverloadWindow policy.Micros
-	MeanWork       policy.Micros // work of a mean op: its budget is counted in such ops
+	InitialShare   float64       // share of the full capacity at the start; it rises linearly to 1
+	WarmUpTime     policy.Micros // time until the full capacity is reached
+	OverloadFactor float64       // multiple of the present capacity above which the server collapses; 0: it never does
+	OverloadWindow policy.Micros // time over which the arriving work is summed up
+	MeanWork       policy.Micros // work of an average op: the unit of the budget
 }
 
-// Chance is how many ops beyond a budget of n are put down to chance (the operators' figure).
+// ChanceAllowance returns how many ops beyond the budget are attributed to random variation. The operators of the
+// servers define the formula.
 func ChanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
-// Job is one push at a server.
+// Job is one push as a server processes it.
 type Job struct {
-	Work       policy.Micros // at a core of speed 1
-	StartKnown bool          // its node had been told of the server's last start
-	Context    any           // whoever hands it in
+	Work       policy.Micros // on a core of speed 1
+	StartKnown bool          // the sending node had been notified of the server's last start
+	Context    any           // belongs to the caller; the model does not use it
 
 	started, running, finished bool
 	endsAt                     policy.Micros
 }
 
-// Begun says that a core has taken the job: it may have had an effect.
+// Started reports whether a core has begun the job, so that the job may have had an effect.
 func (j *Job) Started() bool { return j.started }
 
-// Server is the state of one server. The zero value is not one; use New.
+// Server is the state of one server. The zero value is not usable: call New.
 type Server struct {
 	Spec
 	running, waiting         []*Job
-	awaitingRelease          int // jobs whose own work is over, and that hold their core until Release
+	awaitingRelease          int // jobs whose own work is done and that occupy a core until Release
 	startedAt                policy.Micros
-	coldStarted              bool // started during the run
+	coldStarted              bool // false: the server has been up since before the run
 	slowdown                 float64
-	stalledUntil             policy.Micros // until then nothing moves
-	crowdedSince, idleSince  policy.Micros // since when; Never: not
+	stalledUntil             policy.Micros // until then no job makes progress
+	crowdedSince, idleSince  policy.Micros // Never: the server is not in that state
 	jammed                   bool
 	collapsed                bool
 	coldPushes               []coldPush
-	windowWork, informedWork policy.Micros // work in sent
-	peakLoad                 float64       // the fullest window so far, as a share of what the server bears
-	coreTime                 policy.Micros // core time used
+	windowWork, informedWork policy.Micros // work of all coldPushes, and of those whose node knew of the start
+	peakLoad                 float64       // the fullest window so far, as a share of the load at which the server collapses
+	coreTime                 policy.Micros // used so far
 }
 
-// pressure is one push as it bears on a cold server.
+// coldPush is one push in the overload window of a cold server.
 type coldPush struct {
 	at, work   policy.Micros
 	startKnown bool
 }
 
-// New makes a server that has been up for long.
+// New returns a server that has long been warm.
 func New(spec Spec) *Server {
 	return &Server{Spec: spec, slowdown: 1, crowdedSince: Never, idleSince: Never}
 }
 
-// Start starts the server anew, cold and empty.
+// RestartCold restarts the server: cold and without jobs.
 func (s *Server) RestartCold(now policy.Micros) {
 	*s = Server{Spec: s.Spec, slowdown: s.slowdown, crowdedSince: Never, idleSince: Never, startedAt: now, coldStarted: true, coreTime: s.coreTime}
 }
 
-// Crash gives the jobs that were in hand; none of them ends.
+// Crash drops all jobs, which never complete, and returns them.
 func (s *Server) Crash() []*Job {
 	lost := append(append([]*Job(nil), s.running...), s.waiting...)
 	for _, j := range lost {
-		j.finished, j.running = true, false
+		j.finished = true
+		j.running = false
 	}
-	s.running, s.waiting, s.awaitingRelease = nil, nil, 0
+	s.running = nil
+	s.waiting = nil
+	s.awaitingRelease = 0
 	return lost
 }
 
-// Slow sets how many times slower jobs run that begin from now on.
+// SetSlowdown sets the factor by which jobs that start from now on take longer.
 func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
-// Stall keeps everything still until a moment.
+// Stall stops all progress until the given time.
 func (s *Server) Stall(now, until policy.Micros) {
 	until = max(until, s.stalledUntil)
 	for _, j := range s.running {
@@ -107,7 +113,7 @@
 	s.stalledUntil = until
 }
 
-// Capacity is the share of its speed that the server has now.
+// Capacity returns the share of its full speed that the server has at the given time.
 func (s *Server) Capacity(now policy.Micros) float64 {
 	if !s.coldStarted || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return 1
@@ -115,28 +121,41 @@
 	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.startedAt)/float64(s.ColdStart.WarmUpTime)
 }
 
-// Busy is the core time used so far. Waiting and Running are jobs in hand.
+// CoreTime returns the core time used so far.
 func (s *Server) CoreTime() policy.Micros { return s.coreTime }
-func (s *Server) Waiting() int            { return len(s.waiting) }
-func (s *Server) Running() int            { return len(s.running) + s.awaitingRelease }
-func (s *Server) Jammed() bool            { return s.jammed }
-func (s *Server) Collapsed() bool         { return s.collapsed }
 
-// Pressed is the fullest window since the server last started cold, as a share of its budget and what is put down to chance:
-// above 1 it fell over.
+// Waiting returns the number of jobs in the queue.
+func (s *Server) Waiting() int { return len(s.waiting) }
+
+// Running returns the number of jobs that occupy a core.
+func (s *Server) Running() int { return len(s.running) + s.awaitingRelease }
+
+// Jammed reports whether the server is slowed down by a jam.
+func (s *Server) Jammed() bool { return s.jammed }
+
+// Collapsed reports whether the server collapsed under load while it was cold. A collapsed server rejects every push
+// until it is restarted.
+func (s *Server) Collapsed() bool { return s.collapsed }
+
+// PeakLoad returns the work of the fullest overload window since the last cold start, as a share of the budget plus
+// ChanceAllowance. Above 1 the server has collapsed.
 func (s *Server) PeakLoad() float64 { return s.peakLoad }
 
-// Arrival says what became of a push.
+// ArrivalResult is the outcome of a push's arrival.
 type ArrivalResult uint8
 
 const (
-	Accepted              ArrivalResult = iota
-	Rejected                            // never runs
-	CollapsedByInformed                 // this one pushes the server over, most of it by nodes that knew: the rule is broken
-	CollapsedByUninformed               // it falls over, and most of it came from nodes that could not know
+	Accepted ArrivalResult = iota // the push runs or waits
+	Rejected                      // the push never runs
+	// CollapsedByInformed means that this push made the server collapse and that at least two thirds of the work in
+	// the window came from nodes that knew of the cold start: a breach of the cold-start rule.
+	CollapsedByInformed
+	// CollapsedByUninformed means that this push made the server collapse, but too much of the work came from nodes
+	// that could not know of the start.
+	CollapsedByUninformed
 )
 
-// Arrive takes a push, or turns it away. One that is turned away bears on a cold server all the same.
+// Arrive accepts or rejects a push. Even a rejected push counts as load on a cold server.
 func (s *Server) Arrive(now policy.Micros, job *Job) ArrivalResult {
 	if s.collapsed {
 		return Rejected
@@ -154,7 +173,7 @@
 	return Accepted
 }
 
-// press adds a push to what a cold server bears, and says whether it falls over.
+// addColdLoad adds a push to the overload window of a cold server. It returns Accepted unless the server collapses.
 func (s *Server) addColdLoad(now policy.Micros, job *Job) ArrivalResult {
 	if !s.coldStarted || s.ColdStart.OverloadFactor <= 0 || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return Accepted
@@ -188,7 +207,7 @@
 	return CollapsedByUninformed
 }
 
-// begin gives free cores to those that wait.
+// startWaiting starts waiting jobs on free cores.
 func (s *Server) startWaiting(now policy.Micros) {
 	for len(s.waiting) > 0 && len(s.running)+s.awaitingRelease < s.Cores {
 		job := s.waiting[0]
@@ -201,14 +220,17 @@
 			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.awaitingRelease+1+len(s.waiting))-threshold)/threshold
 		}
 		duration := max(1, policy.Micros(float64(job.Work)/speed))
-		job.started, job.running, job.endsAt = true, true, max(now, s.stalledUntil)+duration
+		job.started = true
+		job.running = true
+		job.endsAt = max(now, s.stalledUntil) + duration
 		s.coreTime += duration
 		s.running = append(s.running, job)
 	}
 	s.updateJam(now)
 }
 
-// load follows the jam: it comes when too many wait for too long, and goes when the server is mostly idle.
+// updateJam starts a jam when too many jobs have waited for JamDelay, and ends it when the server has been mostly idle
+// for JamRecoveryTime.
 func (s *Server) updateJam(now policy.Micros) {
 	if s.JamQueuePerCore <= 0 {
 		return
@@ -231,7 +253,7 @@
 	}
 }
 
-// Next is when the next job's own work is over.
+// NextCompletion returns when the work of the next running job is done; Never if none runs.
 func (s *Server) NextCompletion() policy.Micros {
 	next := Never
 	for _, j := range s.running {
@@ -240,8 +262,8 @@
 	return next
 }
 
-// Advance gives the jobs whose own work is over by now, in the order of their ends. Each holds its core until
-// Release: a server keeps the place of an op that waits for the next tier.
+// Advance returns the jobs whose own work is done by now, in the order of completion. Each occupies its core until
+// Release, because a server's core is blocked while its op waits for the next tier.
 func (s *Server) Advance(now policy.Micros) (done []*Job) {
 	for {
 		earliest := -1
@@ -262,7 +284,7 @@
 	}
 }
 
-// Release gives a job's core back, once.
+// Release frees the core of a job. Further calls for the same job do nothing.
 func (s *Server) Release(now policy.Micros, job *Job) {
 	if job.finished {
 		return
@@ -272,7 +294,8 @@
 	s.startWaiting(now)
 }
 
-// Leave drops a job that still waits; one that runs is not stopped. It says whether the job will never run.
+// Cancel removes a job from the queue and reports whether it did, so that the job never runs. A running job is not
+// stopped.
 func (s *Server) Cancel(now policy.Micros, job *Job) bool {
 	for i, waiting := range s.waiting {
 		if waiting == job {
@@ -285,19 +308,19 @@
 	return false
 }
 
-// Memory is what a group of servers remembers of deduplicated ops.
+// DedupMemory records which deduplicated ops a group of servers has seen.
 type DedupMemory struct {
 	window    policy.Micros
 	firstSeen map[string]policy.Micros
 }
 
-// NewMemory makes a group's memory, in which an op stays for window from its first arrival.
+// NewDedupMemory returns a memory that keeps each op for the given window after its first arrival.
 func NewDedupMemory(window policy.Micros) *DedupMemory {
 	return &DedupMemory{window: window, firstSeen: make(map[string]policy.Micros)}
 }
 
-// Repeat says that the op is a repeat, to be answered and not run again. The first is remembered; one tick past its
-// window it would run again.
+// CheckAndRemember reports whether an op is a duplicate, to be answered without running it again. A first arrival is
+// remembered. One tick after its window the op counts as new.
 func (m *DedupMemory) CheckAndRemember(now policy.Micros, key string) bool {
 	if seenAt, seen := m.firstSeen[key]; seen && now-seenAt <= m.window {
 		return true
@@ -306,5 +329,5 @@
 	return false
 }
 
-// Forget takes back what was remembered of an op that never ran.
+// Forget removes an op that never ran, so that a repeat of it is not dropped.
 func (m *DedupMemory) Forget(key string) { delete(m.firstSeen, key) }
--- a/internal/standin/registry/catalog.go
+++ b/internal/standin/registry/catalog.go
@@ -1,38 +1,39 @@
-// Package registry is a stand-in registry of servers: what it lists (Catalog, without I/O), and the service that tells
-// it on sockets.
+// Package registry is a stand-in registry of servers. Catalog holds the list and does no I/O; Service offers the list on
+// sockets.
 package registry
 
 import "canvasrouter/policy"
 
-// Entry is one server as the registry lists it.
+// Entry describes one server in the list.
 type Entry struct {
-	Server      int // the place in the plan's machines
+	Server      int // index in the plan's machines
 	Zone        int
 	MachineType int
 	Cell        int
 	Weight      float64
-	StartedAt   policy.Micros // 0: long ago
+	StartedAt   policy.Micros // 0: before the run
 	State       policy.ServerState
 }
 
-// Catalog is the list and its generations.
+// Catalog holds the list of servers and counts its generations.
 type Catalog struct {
-	alwaysFull      bool // every change is told as the whole list
-	current         []Entry
-	served          []Entry
-	changedAt       []uint64 // generation of each entry's last change, beside shown
+	alwaysFull      bool     // every change is answered with the full list
+	current         []Entry  // the true state
+	served          []Entry  // what clients get; differs from current after ServeSnapshot
+	changedAt       []uint64 // generation of the last change of each entry in served
 	generation      uint64
-	resetGeneration uint64 // who holds an older generation gets the whole list
+	resetGeneration uint64 // a client with an older generation gets the full list
 	snapshot        []Entry
 }
 
-// NewCatalog makes a catalog with its first generation. With whole every change is told as the whole list.
+// NewCatalog returns a catalog at generation 1. With alwaysFull every change is answered with the full list.
 func NewCatalog(entries []Entry, alwaysFull bool) *Catalog {
 	c := &Catalog{alwaysFull: alwaysFull, current: append([]Entry(nil), entries...), generation: 1, resetGeneration: 1}
 	c.setServed(c.current)
 	return c
 }
 
+// setServed replaces the list that clients get; every entry counts as changed now.
 func (c *Catalog) setServed(entries []Entry) {
 	c.served = append([]Entry(nil), entries...)
 	c.changedAt = make([]uint64, len(c.served))
@@ -41,10 +42,10 @@
 	}
 }
 
-// Generation is the present one.
+// Generation returns the number of the current generation.
 func (c *Catalog) Generation() uint64 { return c.generation }
 
-// Set lists a server anew, or for the first time.
+// SetEntry adds a server or replaces its entry.
 func (c *Catalog) SetEntry(e Entry) {
 	c.generation++
 	upsert := func(entries []Entry) ([]Entry, int) {
@@ -64,7 +65,7 @@
 	c.changedAt[index] = c.generation
 }
 
-// Entry is what is true of a server.
+// Lookup returns the true state of a server, whatever list is served.
 func (c *Catalog) Lookup(server int) (e Entry, known bool) {
 	for _, e := range c.current {
 		if e.Server == server {
@@ -74,22 +75,24 @@
 	return Entry{Server: server}, false
 }
 
-// Freeze keeps the list of now aside; Thaw shows it as if it were new; Correct shows the truth again.
+// SaveSnapshot keeps a copy of the list that is served now.
 func (c *Catalog) SaveSnapshot() { c.snapshot = append([]Entry(nil), c.served...) }
 
+// ServeSnapshot serves the saved, outdated list under a new generation.
 func (c *Catalog) ServeSnapshot() {
 	c.generation++
 	c.resetGeneration = c.generation
 	c.setServed(c.snapshot)
 }
 
+// ServeCurrent serves the true list again, under a new generation.
 func (c *Catalog) ServeCurrent() {
 	c.generation++
 	c.resetGeneration = c.generation
 	c.setServed(c.current)
 }
 
-// Since is what changed after a generation, or the whole list without what is gone.
+// ChangesSince returns the entries that changed after a generation, or the full list without the servers that are gone.
 func (c *Catalog) ChangesSince(generation uint64) (entries []Entry, full bool) {
 	if full = c.alwaysFull || generation < c.resetGeneration || generation > c.generation; full {
 		for _, e := range c.served {
--- a/internal/standin/registry/service.go
+++ b/internal/standin/registry/service.go
@@ -13,40 +13,41 @@
 	"canvasrouter/policy"
 )
 
-// beat is how often an empty line comes on a watch while nothing changes.
+// keepaliveInterval is the time between the empty lines on a watch while nothing changes.
 const keepaliveInterval = 2 * time.Second
 
-// Words are what the service needs to write an entry, and whom it tells of what it wrote.
+// Options tell a Service how to encode entries, and whom to notify of each list that it sends.
 type Options struct {
 	Zones        []string
 	MachineTypes []string
 	Addr         func(server int) string
-	OnSent       func(node int, entries []Entry, whole bool)
+	OnSent       func(node int, entries []Entry, full bool) // called after each list sent to a node
 }
 
-// Service is a registry on loopback sockets, with a listener for each node, so that it knows whom it tells what.
+// Service is a registry on loopback sockets. Each node has a listener of its own, so that the service knows which node
+// it sends a list to.
 type Service struct {
 	options  Options
 	mu       sync.Mutex
 	catalog  *Catalog
-	changed  chan struct{} // closed and made anew at each change
-	wentDown chan struct{} // closed when the registry goes down
+	changed  chan struct{} // closed and replaced at each change
+	wentDown chan struct{} // closed and replaced when the registry goes down
 	down     bool
-	delay    time.Duration // of each change and call
+	delay    time.Duration // before each answer to a call and each change on a watch
 	servers  []*http.Server
 	calls    atomic.Int64
 	bytes    atomic.Int64
 }
 
-// Counts are the calls that have come so far, and the bytes of lists and empty lines written.
+// Counts returns the number of calls so far and the bytes of lists and empty lines written.
 func (s *Service) Counts() (calls, bytes int64) { return s.calls.Load(), s.bytes.Load() }
 
-// NewService makes a service that tells a catalog, each change later by delay.
+// NewService returns a service that offers a catalog. Calls and changes are answered after the given delay.
 func NewService(catalog *Catalog, delay time.Duration, options Options) *Service {
 	return &Service{options: options, catalog: catalog, delay: delay, changed: make(chan struct{}), wentDown: make(chan struct{})}
 }
 
-// Listen opens a node's own address.
+// Listen opens a listener for one node and returns its address.
 func (s *Service) Listen(node int) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +63,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Change changes the catalog and wakes those who watch.
+// Update changes the catalog and wakes the watches.
 func (s *Service) Update(change func(*Catalog)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Down breaks watches and refuses calls, or ends that.
+// SetDown takes the registry down, which breaks watches and refuses calls, or brings it back.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,14 +83,14 @@
 	s.down = down
 }
 
-// Slow sets by how much calls and changes come later.
+// SetDelay sets the delay of answers and changes.
 func (s *Service) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
 }
 
-// Close ends the service.
+// Close closes all listeners and connections.
 func (s *Service) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,43 +99,46 @@
 	}
 }
 
+// listDocument is the JSON form of a list or of a set of changes.
 type listDocument struct {
 	Generation uint64         `json:"generation"`
 	Reset      bool           `json:"reset"`
 	Instances  []listInstance `json:"instances"`
 }
 
+// listInstance is the JSON form of one server.
 type listInstance struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   float64 `json:"startedAtMs"`
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs float64 `json:"startedAtMs"`
 }
 
 var lifecycles = map[policy.ServerState]string{policy.Ready: "active", policy.Draining: "leaving", policy.Gone: "left"}
 
-// ID is a server's text id.
+// InstanceID returns the ID under which a server is listed.
 func InstanceID(server int) string { return "s-" + strconv.Itoa(server) }
 
-// Line writes a list in the platform's form.
+// EncodeList encodes a list in the JSON format of the platform's registry.
 func (o *Options) EncodeList(generation uint64, entries []Entry, full bool) []byte {
 	document := listDocument{Generation: generation, Reset: full, Instances: []listInstance{}}
 	for _, e := range entries {
 		document.Instances = append(document.Instances, listInstance{ID: InstanceID(e.Server), Addr: o.Addr(e.Server), Zone: o.Zones[e.Zone],
-			Kind: o.MachineTypes[e.MachineType], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
-			Started: float64(e.StartedAt) / 1000})
+			MachineType: o.MachineTypes[e.MachineType], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
+			StartedAtMs: float64(e.StartedAt) / 1000})
 	}
 	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // numbers and words can all be written
+		panic(err) // numbers and strings always encode
 	}
 	return raw
 }
 
+// serveTargets answers a call for the list, or a watch, of one node.
 func (s *Service) serveTargets(node int, w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -176,7 +180,7 @@
 			case <-r.Context().Done():
 				return
 			case <-wentDown:
-				panic(http.ErrAbortHandler) // a watch ends without a word
+				panic(http.ErrAbortHandler) // a watch breaks off without an orderly end
 			case <-changed:
 				waiting = false
 			case <-keepalive.C:
@@ -192,7 +196,7 @@
 	}
 }
 
-// wait says whether a span passed with nothing coming between.
+// waitUninterrupted waits and reports whether the whole delay passed before the registry went down or ctx ended.
 func waitUninterrupted(ctx context.Context, wentDown <-chan struct{}, delay time.Duration) bool {
 	select {
 	case <-time.After(delay):
--- a/internal/standin/registry/service_test.go
+++ b/internal/standin/registry/service_test.go
@@ -30,20 +30,20 @@
 	if diff := cmp.Diff([]Entry{{Server: 0, State: policy.Gone}, {Server: 2, StartedAt: 5}}, got); diff != "" || full {
 		t.Error(diff, full)
 	}
-	c.ServeSnapshot() // what it says now is old, and told whole to whoever holds something newer
+	c.ServeSnapshot() // the outdated list goes out in full, also to clients that hold a newer one
 	if got, full = c.ChangesSince(c.Generation() - 1); !full || len(got) != 2 {
-		t.Errorf("thawed: %v %v", got, full)
+		t.Errorf("serving the snapshot: %v %v", got, full)
 	}
 	c.ServeCurrent()
 	if got, full = c.ChangesSince(0); !full || len(got) != 2 || got[1].Server != 2 {
-		t.Errorf("put right: %v %v", got, full)
+		t.Errorf("serving the current list: %v %v", got, full)
 	}
 	if got, full = NewCatalog(testEntries(policy.Draining), true).ChangesSince(1); !full || len(got) != 1 {
-		t.Errorf("whole list: %v %v", got, full)
+		t.Errorf("always full: %v %v", got, full)
 	}
 }
 
-// A watch brings what changed and ends without a word when the registry goes down; calls are refused until it is back.
+// A watch delivers changes and breaks off when the registry goes down. Calls are refused until the registry is back.
 func TestWatch(t *testing.T) {
 	sent := make(chan int, 16)
 	s := NewService(NewCatalog(testEntries(policy.Ready), false), time.Millisecond, Options{Zones: []string{"a"}, MachineTypes: []string{"m"},
@@ -64,18 +64,18 @@
 	watch, lines := get("?watch=1&from=1")
 	defer watch.Body.Close()
 	if line, _ := lines.ReadString('\n'); line != `{"generation":1,"reset":false,"instances":[]}`+"\n" {
-		t.Errorf("first %q", line)
+		t.Errorf("first line %q", line)
 	}
 	s.Update(func(c *Catalog) { c.SetEntry(Entry{Server: 0, State: policy.Draining}) })
 	if line, _ := lines.ReadString('\n'); !strings.Contains(line, `"lifecycle":"leaving"`) {
-		t.Errorf("then %q", line)
+		t.Errorf("line after the change %q", line)
 	}
 	if a, b := <-sent, <-sent; a != 700 || b != 701 {
-		t.Errorf("told %d, %d", a, b)
+		t.Errorf("notified of %d, %d", a, b)
 	}
 	s.SetDown(true)
 	if _, err := lines.ReadString('\n'); err == nil {
-		t.Error("the watch goes on")
+		t.Error("the watch goes on while the registry is down")
 	}
 	refused, _ := get("")
 	refused.Body.Close()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,8 +1,9 @@
-// Package relay is what nodes say to each other on its way: it stands between them on loopback, and can cut, delay,
-// lose, double, reorder or spoil what passes, by direction and pair. Nodes don't know that it is there.
+// Package relay is a proxy between the nodes of a fleet on loopback. It can cut, delay, drop, duplicate, reorder and
+// corrupt their traffic, separately for each pair of nodes and each direction. The nodes are not aware of it.
 //
-// Node n binds 127.1.n and dials from that address; it advertises 127.2.n, where the relay listens for it. So the relay
-// knows a sender by its source address, and sends on from the sender's own 127.2.n. The port is the run's.
+// A node binds to an address in 127.1.0.0/16 and dials from it. It advertises the corresponding address in 127.2.0.0/16,
+// on which the relay listens. The relay therefore knows the sender by its source address, and forwards from the sender's
+// own address in 127.2.0.0/16. All addresses of a run share one port.
 package relay
 
 import (
@@ -19,55 +20,66 @@
 )
 
 const (
-	// mostNodes is what two bytes of an address hold.
+	// maxNodes follows from the two bytes of an address that hold the node number.
 	maxNodes = 1 << 16
-	// mostPending is how many datagrams may be on their way; past that the next are lost, as in a full queue.
+	// maxPendingDatagrams limits the delayed datagrams; further ones are dropped, as by a full queue.
 	maxPendingDatagrams = 1 << 15
-	// mostStreams is how many streams pass at a time; further ones are closed at once.
+	// maxStreams limits the open streams; further ones are closed at once.
 	maxStreams = 1 << 12
-	// chunk is the most of a stream that passes at once.
+	// chunkSize is the number of bytes of a stream that are forwarded at once.
 	chunkSize = 16 << 10
-	// look is how often a stream that is held up looks whether it may go on.
+	// pollInterval is how often a stream that is held up checks whether it may continue.
 	pollInterval = 5 * time.Millisecond
-	// mostHeld ends a stream on which nothing has passed for so long.
+	// streamTimeout closes a stream that has been idle or held up for so long.
 	streamTimeout = 30 * time.Second
-	// reorderBy is how much later a reordered datagram comes, at the most.
+	// reorderDelay sets the extra delay of a reordered datagram: from a quarter of it to five quarters.
 	reorderDelay = 20 * time.Millisecond
-	maxDatagram  = 64 << 10 // datagram
+	// maxDatagram is the size of the receive buffer in bytes.
+	maxDatagram = 64 << 10
 )
 
-// Way is what happens from one node to another. The zero value passes everything on at once.
+// Impairment describes what the relay does to traffic from one node to another. The zero value forwards everything at
+// once.
 type Impairment struct {
-	Cut               bool    // nothing passes; streams are held open
-	UnansweredStreams bool    // datagrams pass; streams are accepted and never answered
-	Loss              float64 // share of datagrams
-	Duplicate         float64 // share of datagrams that come twice
-	Reorder           float64 // share of datagrams that come later than the next ones
-	Corrupt           float64 // share of datagrams, and of a stream's chunks, with a byte changed
-	Truncate          float64 // share of datagrams cut short, and of chunks after which the stream ends
-	Delay             time.Duration
-	Jitter            time.Duration // more, evenly spread
+	Cut               bool          // nothing is forwarded; streams stay open
+	UnansweredStreams bool          // datagrams are forwarded; streams are accepted but never answered
+	Loss              float64       // share of datagrams that are dropped
+	Duplicate         float64       // share of datagrams that are forwarded twice
+	Reorder           float64       // share of datagrams that are delayed past later ones
+	Corrupt           float64       // share of datagrams, and of chunks of streams, in which one bit is flipped
+	Truncate          float64       // share of datagrams that are truncated, and of chunks that are truncated and end the stream
+	Delay             time.Duration // of every datagram and chunk
+	Jitter            time.Duration // upper limit of a further, evenly distributed delay
 }
 
-// and is both ways one after the other.
-func (w Impairment) combine(other Impairment) Impairment {
+// combine returns the effect of two impairments one after the other.
+func (i Impairment) combine(other Impairment) Impairment {
 	either := func(a, b float64) float64 { return 1 - (1-a)*(1-b) }
-	return Impairment{Cut: w.Cut || other.Cut, UnansweredStreams: w.UnansweredStreams || other.UnansweredStreams, Loss: either(w.Loss, other.Loss), Duplicate: either(w.Duplicate, other.Duplicate),
-		Reorder: either(w.Reorder, other.Reorder), Corrupt: either(w.Corrupt, other.Corrupt), Truncate: either(w.Truncate, other.Truncate),
-		Delay: w.Delay + other.Delay, Jitter: w.Jitter + other.Jitter}
+	return Impairment{
+		Cut:               i.Cut || other.Cut,
+		UnansweredStreams: i.UnansweredStreams || other.UnansweredStreams,
+		Loss:              either(i.Loss, other.Loss),
+		Duplicate:         either(i.Duplicate, other.Duplicate),
+		Reorder:           either(i.Reorder, other.Reorder),
+		Corrupt:           either(i.Corrupt, other.Corrupt),
+		Truncate:          either(i.Truncate, other.Truncate),
+		Delay:             i.Delay + other.Delay,
+		Jitter:            i.Jitter + other.Jitter,
+	}
 }
 
-// Count is what a node has sent and been sent, as it came to the relay and left it.
+// Traffic counts what a node has sent, as it arrived at the relay, and what the relay has forwarded to it.
 type Traffic struct {
 	SentDatagrams, SentBytes, SentStreams, SentStreamBytes int64
 	ReceivedDatagrams, ReceivedBytes, ReceivedStreamBytes  int64
 }
 
-// Bytes is all that a node has sent and been sent.
+// TotalBytes returns the bytes sent and received, in datagrams and streams.
 func (c Traffic) TotalBytes() int64 {
 	return c.SentBytes + c.SentStreamBytes + c.ReceivedBytes + c.ReceivedStreamBytes
 }
 
+// endpoint is the relay's side of one node: the sockets on its advertised address and its counters.
 type endpoint struct {
 	udp                                                    *net.UDPConn
 	tcp                                                    net.Listener
@@ -75,14 +87,14 @@
 	receivedDatagrams, receivedBytes, receivedStreamBytes  atomic.Int64
 }
 
-// Relay is one run's.
+// Relay forwards the traffic between the nodes of one run.
 type Relay struct {
 	port             int
 	endpoints        []*endpoint
-	impairments      []atomic.Pointer[Impairment] // from, to
+	impairments      []atomic.Pointer[Impairment] // index: sender * number of endpoints + receiver
 	openStreams      atomic.Int64
 	pendingDatagrams atomic.Int64
-	maxLateness      atomic.Int64 // the most that a datagram was passed on later than meant, in ns
+	maxLateness      atomic.Int64 // ns; see MaxLateness
 	done             chan struct{}
 	goroutines       sync.WaitGroup
 	mu               sync.Mutex
@@ -91,32 +103,33 @@
 	lastFault        int
 }
 
+// loopbackAddr returns the address 127.network.x.y, where x and y hold n.
 func loopbackAddr(network, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(network), byte(n >> 8), byte(n)})
 }
 
-// Bound is where a node binds and dials from, on the run's port.
+// BindAddr returns the address that a node binds to and dials from, with the run's port.
 func BindAddr(node, port int) netip.AddrPort {
 	return netip.AddrPortFrom(loopbackAddr(1, node+1), uint16(port))
 }
 
-// Advertised is where others reach it: here.
+// AdvertisedAddr returns the address at which other nodes reach a node. The relay listens on it.
 func AdvertisedAddr(node, port int) netip.AddrPort {
 	return netip.AddrPortFrom(loopbackAddr(2, node+1), uint16(port))
 }
 
-const minPort, maxPort = 22000, 32000 // under those that the kernel gives out
+const minPort, maxPort = 22000, 32000 // below the ephemeral ports of the kernel
 
 var claimed atomic.Int64
 
-// New opens a relay for so many nodes, at a port that no other run has.
+// New opens a relay for the given number of nodes, on a port that no other run uses.
 func New(nodes int, seed uint64) (*Relay, error) {
 	if nodes < 1 || nodes >= maxNodes {
 		return nil, fmt.Errorf("relay: %d nodes are not from 1 to %d", nodes, maxNodes-1)
 	}
 	var err error
 	for range 64 {
-		port := minPort + int(rand.Uint64()%uint64(maxPort-minPort)) // other programs' runs draw too
+		port := minPort + int(rand.Uint64()%uint64(maxPort-minPort)) // random, as other processes choose ports too
 		var r *Relay
 		if r, err = openAt(nodes, port, seed); err == nil {
 			return r, nil
@@ -125,6 +138,7 @@
 	return nil, err
 }
 
+// openAt opens a relay on a given port.
 func openAt(nodes, port int, seed uint64) (*Relay, error) {
 	r := &Relay{port: port, impairments: make([]atomic.Pointer[Impairment], nodes*nodes), done: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(seed, 0x7e1a9)), faults: make(map[int]func(int, int) Impairment)}
@@ -155,20 +169,21 @@
 	return r, nil
 }
 
-// Port is the run's.
+// Port returns the port of the run.
 func (r *Relay) Port() int { return r.port }
 
-// Late is the most that a datagram was passed on later than it was meant to be: the relay's own fault.
+// MaxLateness returns the longest time by which the relay itself forwarded a datagram later than intended.
 func (r *Relay) MaxLateness() time.Duration { return time.Duration(r.maxLateness.Load()) }
 
-// Count gives what a node has sent and been sent so far.
+// Traffic returns the traffic of a node so far.
 func (r *Relay) Traffic(node int) Traffic {
 	endpoint := r.endpoints[node]
 	return Traffic{endpoint.sentDatagrams.Load(), endpoint.sentBytes.Load(), endpoint.sentStreams.Load(), endpoint.sentStreamBytes.Load(),
 		endpoint.receivedDatagrams.Load(), endpoint.receivedBytes.Load(), endpoint.receivedStreamBytes.Load()}
 }
 
-// Begin lets a fault act beside those that act already; the number ends it. A fault gives the way of each pair.
+// AddFault activates a fault in addition to those already active and returns the number for RemoveFault. The fault
+// returns the impairment of each pair of nodes.
 func (r *Relay) AddFault(fault func(from, to int) Impairment) (number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,7 +193,7 @@
 	return r.lastFault
 }
 
-// End ends a fault.
+// RemoveFault ends a fault.
 func (r *Relay) RemoveFault(number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,12 +201,13 @@
 	r.updateImpairments()
 }
 
+// updateImpairments recomputes the impairment of each pair from the active faults. The caller holds the lock.
 func (r *Relay) updateImpairments() {
 	n := len(r.endpoints)
 	for from := range n {
 		for to := range n {
 			var combined Impairment
-			for _, fault := range r.faults { // their order changes nothing
+			for _, fault := range r.faults { // the order does not matter
 				combined = combined.combine(fault(from, to))
 			}
 			if *r.impairments[from*n+to].Load() != combined {
@@ -201,11 +217,12 @@
 	}
 }
 
+// impairment returns the present impairment from one node to another.
 func (r *Relay) impairment(from, to int) *Impairment {
 	return r.impairments[from*len(r.endpoints)+to].Load()
 }
 
-// Close ends the relay: nothing passes any more and nothing is left running.
+// Close closes the relay and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	if r == nil {
 		return
@@ -223,7 +240,7 @@
 	r.goroutines.Wait()
 }
 
-// sender is the node that an address belongs to.
+// senderOf returns the node that a source address belongs to.
 func (r *Relay) senderOf(addr netip.Addr) (node int, known bool) {
 	octets := addr.Unmap().As4()
 	node = int(octets[2])<<8 | int(octets[3])
@@ -231,7 +248,7 @@
 	return node, octets[0] == 127 && octets[1] == 1 && node >= 0 && node < len(r.endpoints)
 }
 
-// chances draws whether each of these shares is met.
+// drawFaults decides at random what happens to one datagram or chunk of the given size.
 func (r *Relay) drawFaults(impairment *Impairment, size int) (lost, duplicated, reordered, corrupted, truncated bool, offset int, delay time.Duration) {
 	if *impairment == (Impairment{}) {
 		return
@@ -239,7 +256,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	draw := func(share float64) bool { return share > 0 && r.rng.Float64() < share }
-	lost, duplicated, reordered, corrupted, truncated = draw(impairment.Loss), draw(impairment.Duplicate), draw(impairment.Reorder), draw(impairment.Corrupt), draw(impairment.Truncate)
+	lost = draw(impairment.Loss)
+	duplicated = draw(impairment.Duplicate)
+	reordered = draw(impairment.Reorder)
+	corrupted = draw(impairment.Corrupt)
+	truncated = draw(impairment.Truncate)
 	if size > 0 {
 		offset = r.rng.IntN(size)
 	}
@@ -253,7 +274,7 @@
 	return
 }
 
-// datagrams passes on what is sent to one node.
+// relayDatagrams forwards the datagrams sent to one node.
 func (r *Relay) relayDatagrams(to int) {
 	receiver := r.endpoints[to]
 	buffer := make([]byte, maxDatagram)
@@ -268,7 +289,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // what a datagram to a node that is not there comes back as
+			continue // an ICMP error: an earlier datagram went to a node that is not running
 		}
 		from, known := r.senderOf(source.Addr())
 		if !known {
@@ -301,6 +322,7 @@
 	}
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int64 {
 	if b {
 		return 1
@@ -308,6 +330,7 @@
 	return 0
 }
 
+// forward sends a datagram to its receiver and counts it.
 func (r *Relay) forward(from, to int, datagram []byte) {
 	if _, err := r.endpoints[from].udp.WriteToUDPAddrPort(datagram, BindAddr(to, r.port)); err == nil {
 		r.endpoints[to].receivedDatagrams.Add(1)
@@ -315,6 +338,7 @@
 	}
 }
 
+// forwardLater forwards a datagram after a delay and records by how much the timer was late.
 func (r *Relay) forwardLater(from, to int, datagram []byte, delay time.Duration) {
 	if r.pendingDatagrams.Add(1) > maxPendingDatagrams {
 		r.pendingDatagrams.Add(-1)
@@ -329,13 +353,13 @@
 				break
 			}
 		}
-		if !r.impairment(from, to).Cut { // what was on its way when it was cut is lost
+		if !r.impairment(from, to).Cut { // a cut also drops datagrams under way
 			r.forward(from, to, datagram)
 		}
 	})
 }
 
-// accept takes streams to one node.
+// acceptStreams accepts the streams to one node.
 func (r *Relay) acceptStreams(to int) {
 	for {
 		c, err := r.endpoints[to].tcp.Accept()
@@ -367,8 +391,9 @@
 	}
 }
 
-// stream carries one. Where the way is cut when it comes, it is held until the way is there again: what a SYN that is sent
-// again would do. Danger: a node that is not there must refuse, or its absence looks like a cut.
+// relayStream relays one stream. A stream that arrives during a cut is held until the cut ends, as a retransmitted SYN
+// would get through then. If the target node is not running, the stream is reset: otherwise its absence would look like a
+// cut.
 func (r *Relay) relayStream(from, to int, client net.Conn) {
 	defer client.Close()
 	ended := make(chan struct{})
@@ -400,13 +425,14 @@
 	directions.Wait()
 }
 
-// mostEarly is kept of what comes on a stream that is held.
+// maxEarlyBytes limits the bytes buffered from a stream that is held.
 const maxEarlyBytes = 1 << 20
 
-// held waits until a stream may open, gives what has come on it by then, and says whether it came to that.
+// waitUntilOpen waits until a stream may open. It returns the bytes received until then, and whether the stream may open.
 //
-// Danger: who sent it has given it up long before a cut ends; a SYN that is not answered ends with its sender. Held streams of seconds were
-// passed on at the end of a cut, all that a node knows on each, and looked like a storm of the nodes' own.
+// A stream that its sender has closed meanwhile is dropped, as an unanswered SYN ends with its sender. Otherwise all
+// streams of the last seconds, each with a node's whole state, would go through at the end of a cut and look like a burst
+// of traffic by the nodes themselves.
 func (r *Relay) waitUntilOpen(from, to int, client net.Conn) (early []byte, mayOpen bool) {
 	buffer := make([]byte, chunkSize)
 	for started := time.Now(); time.Since(started) <= streamTimeout; {
@@ -426,13 +452,13 @@
 		n, err := client.Read(buffer)
 		early = append(early, buffer[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil, false // it was given up
+			return nil, false // the sender has closed the stream
 		}
 	}
 	return nil, false
 }
 
-// after reads what came early first.
+// earlyDataConn is a connection whose first bytes have already been read.
 type earlyDataConn struct {
 	net.Conn
 	early []byte
@@ -447,7 +473,7 @@
 	return n, nil
 }
 
-// passable waits until the way is open, and says whether it came to that.
+// waitUntilPassable waits until there is no cut between two nodes and reports whether the stream may go on.
 func (r *Relay) waitUntilPassable(from, to int, ended chan struct{}) bool {
 	for started := time.Now(); ; {
 		if !r.impairment(from, to).Cut {
@@ -466,6 +492,7 @@
 	}
 }
 
+// copyStream copies one direction of a stream and applies its impairment.
 func (r *Relay) copyStream(from, to int, source, target net.Conn, ended chan struct{}) {
 	buffer := make([]byte, chunkSize)
 	for {
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -11,12 +11,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node is a process as the relay sees it.
+// testNode stands for a node's process: a socket bound to the node's address.
 type testNode struct {
 	*net.UDPConn
 	number, port int
 }
 
+// openNodes opens the sockets of the first nodes of a relay.
 func openNodes(t *testing.T, r *Relay, count int) (opened []*testNode) {
 	t.Helper()
 	for i := range count {
@@ -30,11 +31,12 @@
 	return opened
 }
 
+// send sends a datagram to another node through the relay.
 func (n *testNode) send(to int, text string) {
 	n.WriteToUDPAddrPort([]byte(text), AdvertisedAddr(to, n.port))
 }
 
-// hears gives what comes within a while, and from whom the last came.
+// receive returns the datagrams that arrive within the timeout and the source address of the last one.
 func (n *testNode) receive(timeout time.Duration) (texts []string, from string) {
 	buffer := make([]byte, 2048)
 	n.SetReadDeadline(time.Now().Add(timeout))
@@ -43,7 +45,8 @@
 		if err != nil {
 			return texts, from
 		}
-		texts, from = append(texts, string(buffer[:size])), source.Addr().String()
+		texts = append(texts, string(buffer[:size]))
+		from = source.Addr().String()
 	}
 }
 
@@ -57,9 +60,11 @@
 	return r
 }
 
+// receiveTime is how long a test waits for traffic.
 const receiveTime = 80 * time.Millisecond
 
-// What passes comes from the sender's own address; each fault does what it says, by direction and pair, and ends.
+// Datagrams arrive from the sender's advertised address. Each impairment affects one direction of one pair only, and ends
+// when its fault is removed.
 func TestDatagrams(t *testing.T) {
 	r := newRelay(t, 3)
 	nodes := openNodes(t, r, 3)
@@ -73,42 +78,48 @@
 	}
 	for name, c := range map[string]struct {
 		impairment Impairment
-		want       int // of ten
+		want       int // datagrams received for ten sent
 		intact     bool
 	}{
-		"nothing": {Impairment{}, 10, true}, "cut": {Impairment{Cut: true}, 0, true}, "loss": {Impairment{Loss: 1}, 0, true},
-		"double": {Impairment{Duplicate: 1}, 20, true}, "spoilt": {Impairment{Corrupt: 1}, 10, false}, "short": {Impairment{Truncate: 1}, 10, false},
-		"late": {Impairment{Delay: receiveTime / 4}, 10, true}, "reordered": {Impairment{Reorder: 1}, 10, true}, "silent": {Impairment{UnansweredStreams: true}, 10, true},
+		"none":               {Impairment{}, 10, true},
+		"cut":                {Impairment{Cut: true}, 0, true},
+		"loss":               {Impairment{Loss: 1}, 0, true},
+		"duplicate":          {Impairment{Duplicate: 1}, 20, true},
+		"corrupt":            {Impairment{Corrupt: 1}, 10, false},
+		"truncate":           {Impairment{Truncate: 1}, 10, false},
+		"delay":              {Impairment{Delay: receiveTime / 4}, 10, true},
+		"reorder":            {Impairment{Reorder: 1}, 10, true},
+		"unanswered streams": {Impairment{UnansweredStreams: true}, 10, true},
 	} {
 		fault := r.AddFault(onlyFirstToSecond(c.impairment))
 		for range 10 {
-			nodes[0].send(1, "a word")
-			nodes[0].send(2, "a word")
+			nodes[0].send(1, "hello!")
+			nodes[0].send(2, "hello!")
 			nodes[1].send(0, "back")
 		}
 		got, from := nodes[1].receive(receiveTime)
 		if len(got) != c.want || len(got) > 0 && from != "127.2.0.1" {
-			t.Errorf("%s: %d came from %s, not %d", name, len(got), from, c.want)
+			t.Errorf("%s: %d datagrams from %s, want %d", name, len(got), from, c.want)
 		}
 		for _, text := range got {
-			if (text == "a word") != c.intact {
-				t.Errorf("%s: %q came", name, text)
+			if (text == "hello!") != c.intact {
+				t.Errorf("%s: received %q", name, text)
 			}
 		}
 		other, _ := nodes[2].receive(receiveTime / 4)
 		back, _ := nodes[0].receive(receiveTime / 4)
 		if len(other) != 10 || len(back) != 10 {
-			t.Errorf("%s: other ways carried %d and %d of 10", name, len(other), len(back))
+			t.Errorf("%s: another pair and the reverse direction carried %d and %d of 10", name, len(other), len(back))
 		}
 		r.RemoveFault(fault)
 	}
 	if c := r.Traffic(0); c.SentDatagrams != 180 || c.SentBytes != 180*6 {
-		t.Errorf("counted %+v", c)
+		t.Errorf("traffic of the first node: %+v", c)
 	}
 }
 
-// A stream passes both ways; one over a cut is held open in silence and goes on after it, but for one that was given up; one
-// to a node that is not there is refused.
+// Streams carry both directions. During a cut they stay open without traffic and continue afterwards, except for a stream
+// that its sender has closed meanwhile. A stream to a node that is not running is refused.
 func TestStreams(t *testing.T) {
 	r := newRelay(t, 3)
 	listener, err := net.Listen("tcp4", BindAddr(1, r.Port()).String())
@@ -126,8 +137,8 @@
 		}
 	}()
 	dial := func(to int) net.Conn {
-		heldStream := net.Dialer{LocalAddr: &net.TCPAddr{IP: BindAddr(0, 0).Addr().AsSlice()}}
-		c, err := heldStream.Dial("tcp4", AdvertisedAddr(to, r.Port()).String())
+		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: BindAddr(0, 0).Addr().AsSlice()}}
+		c, err := dialer.Dial("tcp4", AdvertisedAddr(to, r.Port()).String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,13 +158,14 @@
 	cut := r.AddFault(func(from, to int) Impairment { return Impairment{Cut: true} })
 	heldStream := dial(1)
 	if echoes(c, receiveTime) || echoes(heldStream, receiveTime) {
-		t.Error("a stream passes a cut")
+		t.Error("a stream carries data during a cut")
 	}
 	r.RemoveFault(cut)
 	if !echoes(c, time.Second) || !echoes(heldStream, time.Second) {
-		t.Error("a stream does not go on after a cut")
+		t.Error("a stream does not continue after a cut")
 	}
-	listenerClosed, accepted := make(chan struct{}), make(chan struct{}, 1)
+	listenerClosed := make(chan struct{})
+	accepted := make(chan struct{}, 1)
 	go func() {
 		defer close(listenerClosed)
 		third, err := net.Listen("tcp4", BindAddr(2, r.Port()).String())
@@ -170,18 +182,18 @@
 	}()
 	cut = r.AddFault(func(from, to int) Impairment { return Impairment{Cut: true} })
 	abandoned := dial(2)
-	abandoned.Write([]byte("all that a node knows"))
+	abandoned.Write([]byte("a node's full state"))
 	time.Sleep(receiveTime)
 	abandoned.Close()
 	time.Sleep(receiveTime)
 	r.RemoveFault(cut)
 	<-listenerClosed
 	if len(accepted) > 0 {
-		t.Error("a stream that was given up in a cut comes after it")
+		t.Error("a stream that was closed during the cut arrives after it")
 	}
-	refused := dial(0) // nobody listens there
+	refused := dial(0) // no listener there
 	refused.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := refused.Read(make([]byte, 1)); err == nil || err.(net.Error).Timeout() {
-		t.Errorf("a node that is not there: %v", err)
+		t.Errorf("stream to a node that is not running: %v", err)
 	}
 }
--- a/internal/standin/server/conn.go
+++ b/internal/standin/server/conn.go
@@ -12,22 +12,24 @@
 	"canvasrouter/policy"
 )
 
-// nothing is for net/http's complaints of the breaks that are made on purpose.
+// discardLog swallows the errors that net/http logs about connections broken on purpose.
 var discardLog = log.New(io.Discard, "", 0)
 
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// connection is what the first request on one pays for.
+// connection records whether a connection has carried a request: the first one pays for its setup.
 type connection struct {
 	net.Conn
 	used atomic.Bool
 }
 
+// withConn adds a new connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, &connection{Conn: c})
 }
 
-// price is what a request costs for being the first on its connection.
+// connectionCost returns the extra work of the first request on a connection, and 0 for further ones.
 func connectionCost(r *http.Request, kind *scenario.Kind) policy.Micros {
 	c, ok := r.Context().Value(connKey{}).(*connection)
 	if !ok || c.used.Swap(true) {
@@ -36,7 +38,7 @@
 	return kind.ConnPrice.Micros()
 }
 
-// raw writes bytes that net/http would not, and resets the connection.
+// writeRawAndReset writes bytes past net/http, so that they need not be valid HTTP, and resets the connection.
 func writeRawAndReset(w http.ResponseWriter, response string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -1,5 +1,5 @@
-// Package server is a stand-in server on a loopback socket: the fleet's model behind net/http, with the faults that
-// need a connection, resets at each byte and answers that are no HTTP among them.
+// Package server is a stand-in server on a loopback socket: the server model behind net/http. It adds the faults that
+// need a connection, such as resets after each byte of the answer and answers that are not HTTP.
 package server
 
 import (
@@ -21,27 +21,27 @@
 	"canvasrouter/policy"
 )
 
-// Op is what a server must know of an op to run it.
+// Op holds what a server needs to know of an op to run it.
 type Op struct {
 	Key             string
 	Category        int
 	Work            policy.Micros
-	DownstreamCalls int
-	Dedup           *fleet.DedupMemory // of its group, or nil; guarded by Lock
+	DownstreamCalls int                // calls to the next tier, one after another
+	Dedup           *fleet.DedupMemory // shared by a group of servers, or nil; guarded by DedupLock
 	DedupLock       sync.Locker
 }
 
-// World is what the server has around it.
+// Environment connects a server to its run.
 type Environment struct {
-	Ledger *ledger.Account // nil: nothing is booked
+	Ledger *ledger.Account // nil: pushes are not recorded
 	Now    func() policy.Micros
-	// Find says what an id on the wire stands for.
+	// FindOp returns the try and the op for an ID that a request carries.
 	FindOp func(id string, r *http.Request) (ledger.TryID, *Op, bool)
-	// Call calls the next tier, and says whether it was served.
+	// CallNextTier calls the next tier and reports whether the call was served.
 	CallNextTier func(try ledger.TryID, op *Op, until policy.Micros) bool
 }
 
-// Server is one server. Its address stays the same over its life.
+// Server is one stand-in server. Its address stays the same over restarts.
 type Server struct {
 	index           int
 	kind            *scenario.Kind
@@ -53,32 +53,32 @@
 	listener        net.Listener
 	timer           *time.Timer
 	mode            scenario.Mode
-	stopped         chan struct{} // closed when it dies
-	silenceEnded    chan struct{} // closed when it speaks again; nil: it speaks
-	started         policy.Micros
-	connections     map[net.Conn]bool // open ones, and whether each is one too many
-	resetAfterBytes int               // bytes of the next answer that is reset
-	ignoredShare    float64           // share of the pushes of whom ignores that get no answer
+	stopped         chan struct{} // closed when the server stops
+	silenceEnded    chan struct{} // closed when the silence ends; nil: the server is not silent
+	startedAt       policy.Micros
+	connections     map[net.Conn]bool // open connections, and whether each exceeds the limit
+	resetAfterBytes int               // length at which the next answer is cut off in mode Resets
+	ignoredShare    float64           // share of the tries selected by ignoredTry that get no answer
 	ignoredTry      func(ledger.TryID) bool
 	rng             *rand.Rand
 }
 
-// New makes a server that is not up yet.
-func New(index int, kind *scenario.Kind, traits fleet.Spec, addr string, environment Environment) *Server {
-	return &Server{index: index, kind: kind, environment: environment, model: fleet.New(traits), addr: addr}
+// New returns a server that is not started yet.
+func New(index int, kind *scenario.Kind, spec fleet.Spec, addr string, environment Environment) *Server {
+	return &Server{index: index, kind: kind, environment: environment, model: fleet.New(spec), addr: addr}
 }
 
-// Addr is where the server listens.
+// Addr returns the address of the server.
 func (s *Server) Addr() string { return s.addr }
 
-// Started is when it last started cold, in whole milliseconds; 0: long ago.
+// StartedAt returns the time of the last cold start in whole milliseconds; 0 means before the run.
 func (s *Server) StartedAt() policy.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.started
+	return s.startedAt
 }
 
-// Up opens the server. Cold, it has just started.
+// Start opens the server's address. A cold start also restarts the model, as a new process would.
 func (s *Server) Start(cold bool) error {
 	s.Stop(false)
 	s.mu.Lock()
@@ -88,10 +88,13 @@
 		return fmt.Errorf("server %d: %w", s.index, err)
 	}
 	if cold {
-		s.started = s.environment.Now() / policy.Millisecond * policy.Millisecond
-		s.model.RestartCold(s.started)
+		s.startedAt = s.environment.Now() / policy.Millisecond * policy.Millisecond
+		s.model.RestartCold(s.startedAt)
 	}
-	s.stopped, s.silenceEnded, s.connections, s.listener = make(chan struct{}), nil, make(map[net.Conn]bool), listener
+	s.stopped = make(chan struct{})
+	s.silenceEnded = nil
+	s.connections = make(map[net.Conn]bool)
+	s.listener = listener
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	idle := time.Duration(s.kind.IdleClose) * time.Microsecond
 	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.trackConnection,
@@ -100,8 +103,8 @@
 	return nil
 }
 
-// listen opens an address that this process has closed before. Danger: a process that is being forked just then holds
-// a copy of the old listener until it has started.
+// listen opens an address that this process has closed before. It retries while the address is in use: a child process
+// that is being forked holds a copy of the old listener until its exec.
 func listen(addr string) (listener net.Listener, err error) {
 	for range 100 {
 		if listener, err = net.Listen("tcp", addr); !errors.Is(err, syscall.EADDRINUSE) {
@@ -112,17 +115,18 @@
 	return listener, err
 }
 
-// Down ends the server: its connections are reset, and new ones refused. Silently, it keeps them open and says nothing
-// more until it is up again.
+// Stop stops the server: connections are reset, and new ones are refused. With keepConnections they stay open, but get
+// no answer until the server starts again.
 //
-// Danger: net/http's Close waits for the loop that accepts, and that may be waiting for the lock to count a connection.
+// The HTTP server is closed without the lock: its Close waits for the accept loop, which may in turn wait for the lock in
+// trackConnection.
 func (s *Server) Stop(keepConnections bool) {
 	if ended := s.shutDown(keepConnections); ended != nil {
 		ended.Close()
 	}
 }
 
-// die is Down up to what must be closed without the lock.
+// shutDown does the part of Stop that needs the lock. It returns the HTTP server to close without it, or nil.
 func (s *Server) shutDown(keepConnections bool) (server *http.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +146,7 @@
 	}
 	for conn := range s.connections {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // a process that dies resets its connections
+			tcp.SetLinger(0) // reset, as when a process dies
 		}
 	}
 	close(s.stopped)
@@ -150,18 +154,20 @@
 	if s.silenceEnded != nil {
 		close(s.silenceEnded)
 	}
-	s.listener.Close() // Danger: closed by http alone once Serve has begun, which may be after this
-	server, s.http = s.http, nil
+	s.listener.Close() // http.Server closes the listener only if Serve has begun, which may not be the case yet
+	server = s.http
+	s.http = nil
 	return server
 }
 
-// Slow, Stall and Behave set a fault.
+// SetSlowdown sets the factor by which jobs that start from now on take longer.
 func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.SetSlowdown(factor)
 }
 
+// Stall stops all progress until the given time.
 func (s *Server) Stall(until policy.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,32 +175,40 @@
 	s.scheduleAdvance()
 }
 
-func (s *Server) SetMode(mode scenario.Mode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
+// SetMode sets how the server answers from now on.
+func (s *Server) SetMode(mode scenario.Mode) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.mode = mode
+}
 
-// Ignore lets a share of the pushes that come by some nodes go without an answer; they don't run. 0 ends it.
+// SetIgnoredShare makes the server ignore a share of the tries that applies selects: they neither run nor get an answer.
+// A share of 0 ends the fault.
 func (s *Server) SetIgnoredShare(share float64, applies func(ledger.TryID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ignoredShare, s.ignoredTry = share, applies
+	s.ignoredShare = share
+	s.ignoredTry = applies
 	if s.rng == nil {
 		s.rng = rand.New(rand.NewPCG(uint64(s.index), 1))
 	}
 }
 
-// ignoring says whether a push gets no answer.
+// isIgnored decides by chance whether a push gets no answer.
 func (s *Server) isIgnored(try ledger.TryID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ignoredShare > 0 && s.ignoredTry(try) && s.rng.Float64() < s.ignoredShare
 }
 
-// visit is one push at the server.
+// pushState is one push while the server works on it.
 type pushState struct {
-	workDone chan struct{} // its own work is over
+	workDone chan struct{} // closed when the server's own work is done
 	push     ledger.PushID
 	op       *Op
 }
 
+// trackConnection keeps the map of open connections up to date.
 func (s *Server) trackConnection(conn net.Conn, connState http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,13 +220,14 @@
 	}
 }
 
-// wake sets the timer to the end of the next job's own work. The lock is held.
+// scheduleAdvance sets the timer to the completion of the next job's work. The caller holds the lock.
 func (s *Server) scheduleAdvance() {
 	if next := s.model.NextCompletion(); next != fleet.Never && s.http != nil {
 		s.timer.Reset(time.Duration(max(0, next-s.environment.Now())) * time.Microsecond)
 	}
 }
 
+// advance completes the jobs whose work is done.
 func (s *Server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,7 +239,8 @@
 	s.scheduleAdvance()
 }
 
-// book writes down what a job was. One that never ran is no repeat's first.
+// recordWork enters the effect and the work of a started job in the ledger. A job that never started is removed from the
+// dedup memory, so that a repeat of its op runs.
 func (s *Server) recordWork(job *fleet.Job, state *pushState) {
 	switch {
 	case job.Started() && s.environment.Ledger != nil:
@@ -237,7 +253,7 @@
 	}
 }
 
-// ServeHTTP takes one push.
+// ServeHTTP serves a push or a health or load report.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
 	s.mu.Lock()
@@ -262,6 +278,7 @@
 	s.servePush(w, r, try, op, stopped)
 }
 
+// servePush runs one push on the model, calls the next tier and writes the answer.
 func (s *Server) servePush(w http.ResponseWriter, r *http.Request, try ledger.TryID, op *Op, stopped chan struct{}) {
 	now := s.environment.Now()
 	state := &pushState{workDone: make(chan struct{}), push: -1, op: op}
@@ -328,7 +345,7 @@
 	case <-state.workDone:
 	case <-stopped:
 		abort(w)
-	case <-r.Context().Done(): // the node has given up; what runs goes on, what waits is dropped
+	case <-r.Context().Done(): // the node has given up: a running job goes on, a waiting one is dropped
 		s.mu.Lock()
 		dropped := s.model.Cancel(s.environment.Now(), job)
 		if dropped {
@@ -366,19 +383,19 @@
 	}
 }
 
-// remaining is how long the node says that it will wait.
+// timeRemaining returns how long the node waits for the answer, as its header says.
 func timeRemaining(r *http.Request) policy.Micros {
 	ms, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
 	return policy.Micros(ms) * policy.Millisecond
 }
 
-// Body is what a server answers.
+// AnswerBody is the JSON body of an answer.
 type AnswerBody struct {
 	Server int           `json:"server"`
 	Push   ledger.PushID `json:"push"`
 }
 
-// answer writes the answer, or what the fault makes of it.
+// writeAnswer writes the answer in the form that the server's mode prescribes.
 func (s *Server) writeAnswer(w http.ResponseWriter, state *pushState) {
 	body, _ := json.Marshal(AnswerBody{s.index, state.push})
 	s.mu.Lock()
@@ -404,12 +421,13 @@
 	}
 }
 
-// load is the load report. The lock is held.
+// loadReport returns the load report. The caller holds the lock.
 func (s *Server) loadReport() string {
 	return fmt.Sprintf("inflight=%d, queue=%d, util=%.2f", s.model.Running()+s.model.Waiting(), s.model.Waiting(),
 		min(1, float64(s.model.Running())/float64(s.model.Cores)))
 }
 
+// serveLoadReport answers with the load report, and with status 503 if the server is not healthy.
 func (s *Server) serveLoadReport(w http.ResponseWriter) {
 	s.mu.Lock()
 	load, healthy := s.loadReport(), s.mode == scenario.Honest && !s.model.Collapsed()
@@ -420,6 +438,7 @@
 	io.WriteString(w, load)
 }
 
+// writeRejection answers that the server did not accept the push.
 func writeRejection(w http.ResponseWriter) {
 	w.Header().Set("X-Turned-Away", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -17,13 +17,14 @@
 	"canvasrouter/policy"
 )
 
-// up starts a server with one core, room for one op to wait and two connections, whose ops take 20 ms.
+// startServer starts a server with one core, a queue of one op and a limit of three connections. Its ops take 20 ms.
 func startServer(t *testing.T, memory *fleet.DedupMemory) *Server {
 	t.Helper()
 	started := time.Now()
 	kind := &scenario.Kind{Conns: 3, IdleClose: 5_000_000, LoadReport: true}
 	var lock sync.Mutex
-	// An address from which nobody connects: a port given back could be taken by anybody while the server is down.
+	// No client connects from this address, so its port stays free while the server is down. A port on the common
+	// loopback address could be taken by any connection meanwhile.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
 	s := New(0, kind, fleet.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
 		Now: func() policy.Micros { return policy.Micros(time.Since(started).Microseconds()) },
@@ -37,7 +38,7 @@
 	return s
 }
 
-// ask sends one request on a connection of its own and gives all bytes that come back, for 100 ms.
+// rawRequest sends one request on a new connection and returns all bytes that come back within 100 ms.
 func rawRequest(t *testing.T, s *Server, id string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr())
@@ -62,14 +63,14 @@
 		t.Errorf("no id: %q", got)
 	}
 	s.SetMode(scenario.Resets)
-	for n := range 5 { // each time one byte further
+	for n := range 5 { // each answer is cut one byte later
 		if got := rawRequest(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
 			t.Errorf("reset %d: %q", n, got)
 		}
 	}
 	s.SetMode(scenario.Spoils)
 	if got := rawRequest(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
-		t.Errorf("spoilt: %q", got)
+		t.Errorf("corrupt answer: %q", got)
 	}
 	for mode, want := range map[scenario.Mode]string{scenario.Errors: "HTTP/1.1 500", scenario.TurnsAway: "HTTP/1.1 503"} {
 		s.SetMode(mode)
@@ -87,11 +88,11 @@
 	}
 	s.Stop(false)
 	if _, err := net.Dial("tcp", s.Addr()); err == nil {
-		t.Error("a dead server accepts")
+		t.Error("a stopped server accepts connections")
 	}
 }
 
-// Past the bound of its queue, and of its connections, a server turns away; a repeat is answered and not run.
+// Above the limits of its queue and of its connections a server rejects pushes. A duplicate is answered without running.
 func TestLimits(t *testing.T) {
 	s := startServer(t, fleet.NewDedupMemory(policy.Second))
 	var requests sync.WaitGroup
@@ -107,18 +108,18 @@
 	}
 	requests.Wait()
 	if statuses["HTTP/1.1 200"] != 2 || statuses["HTTP/1.1 503"] != 2 {
-		t.Errorf("of four at once: %v", statuses)
+		t.Errorf("statuses of four concurrent pushes: %v", statuses)
 	}
 	started := time.Now()
 	rawRequest(t, s, "again")
 	rawRequest(t, s, "again")
 	if elapsed := time.Since(started); elapsed < 20*time.Millisecond || s.model.CoreTime() != 3*20*policy.Millisecond {
-		t.Errorf("a repeat ran: %v, core time %d", elapsed, s.model.CoreTime())
+		t.Errorf("the duplicate ran: %v, core time %d", elapsed, s.model.CoreTime())
 	}
 }
 
-// Danger: a server that was taken down just as it accepted a connection waited for its own accepting for ever, and the run
-// with it.
+// Stopping a server while it accepts a connection must not block: Stop once closed the HTTP server under the lock, while
+// the accept loop waited for that lock, and the whole run hung.
 func TestStopWhileAccepting(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,7 +132,7 @@
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
 	}
-	s.mu.Lock() // first Down waits for it, then what accepts
+	s.mu.Lock() // Stop waits for the lock first, then the accept loop
 	stopped := make(chan struct{})
 	go func() { s.Stop(false); close(stopped) }()
 	time.Sleep(20 * time.Millisecond)
@@ -145,6 +146,6 @@
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
-		t.Error("a server that was taken down is still closing")
+		t.Error("the stopped server is still closing")
 	}
 }
