--- a/internal/lab/together/false_reporter.go
+++ b/internal/lab/together/false_reporter.go
@@ -15,8 +15,8 @@
 	"canvasrouter/policy"
 )
 
-// Liar is a member that takes no ops and says the same of every server to everybody, again and again: as bad a neighbour as
-// the frames allow.
+// FalseReporter is a member that serves no ops. It reports one false condition of all servers to all peers, over and
+// over: the worst behaviour that valid frames allow.
 type FalseReporter struct {
 	transport *transport.Transport
 	members   *members.Members
@@ -24,11 +24,13 @@
 	goroutine sync.WaitGroup
 }
 
+// reportInterval is the time between two rounds of reports.
 const reportInterval = 100 * time.Millisecond
 
-// NewLiar joins at a place as one more node, and lies of these servers until Close.
-func (g *Network) NewFalseReporter(slot, nodes int, condition judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
-	addresses := g.Addresses(slot)
+// NewFalseReporter joins the fleet at a slot as a further node, and reports the given condition of the servers until
+// Close.
+func (n *Network) NewFalseReporter(slot, nodes int, condition judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
+	addresses := n.Addresses(slot)
 	incarnation := transport.LifeID(rand.Uint64())
 	sender, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: addresses.Listen, Advertise: addresses.Advertise, Life: incarnation, Pace: 1 << 20}, zerolog.Nop())
 	if err != nil {
@@ -36,7 +38,7 @@
 	}
 	reporter := &FalseReporter{transport: sender, done: make(chan struct{})}
 	self := members.Member{Name: "liar-" + condition.String(), Life: incarnation, Number: nodes + int(condition), Addr: addresses.Advertise}
-	reporter.members, err = members.Start(members.Options{Own: self, Nodes: nodes + 8, Join: []netip.AddrPort{g.Addresses(0).Advertise}}, sender, node.NewClock(), zerolog.Nop())
+	reporter.members, err = members.Start(members.Options{Own: self, Nodes: nodes + 8, Join: []netip.AddrPort{n.Addresses(0).Advertise}}, sender, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		sender.Close()
 		return nil, err
@@ -46,12 +48,13 @@
 	return reporter, nil
 }
 
-func (l *FalseReporter) sendReports(reporter judged.SourceID, nodeNumber uint16, condition judged.Ill, servers []policy.ServerID) {
+// sendReports sends reports under two reporter IDs, one for each of two zones, until Close.
+func (r *FalseReporter) sendReports(reporter judged.SourceID, nodeNumber uint16, condition judged.Ill, servers []policy.ServerID) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for sequence := uint32(1); ; sequence++ {
 		select {
-		case <-l.done:
+		case <-r.done:
 			return
 		case <-ticker.C:
 		}
@@ -66,18 +69,18 @@
 			batch := reports[:min(len(reports), judged.Fit(transport.MostPayload))]
 			reports = reports[len(batch):]
 			payload := judged.Append(nil, batch)
-			for _, peer := range l.members.There() {
-				l.transport.Send(peer.Addr, transport.Judgements, payload)
+			for _, peer := range r.members.There() {
+				r.transport.Send(peer.Addr, transport.Judgements, payload)
 			}
 		}
 	}
 }
 
-// Close ends it without a word.
-func (l *FalseReporter) Close() {
-	close(l.done)
-	l.goroutine.Wait()
-	l.members.Close()
-	l.transport.Close()
-	time.Sleep(members.ProbeEnds) // Danger: what the library leaves running for so long looks like a leak of the run's
+// Close stops the reporter without announcing that it leaves.
+func (r *FalseReporter) Close() {
+	close(r.done)
+	r.goroutine.Wait()
+	r.members.Close()
+	r.transport.Close()
+	time.Sleep(members.ProbeEnds) // the membership library's last probes run on, and would count as leaked goroutines
 }
--- a/internal/lab/together/impairments.go
+++ b/internal/lab/together/impairments.go
@@ -1,5 +1,6 @@
-// Package together is the rig for nodes that hear each other: the relay that stands between a run's processes, the faults
-// on their ways, and a meter for what the rig itself was late with.
+// Package together is the test harness for fleets of nodes that talk to each other. It has the network between the
+// processes of a run with its faults, a set of node processes, a member that reports falsely, and a measurement of how
+// late the harness itself is.
 package together
 
 import (
@@ -10,15 +11,17 @@
 	"canvasrouter/internal/standin/relay"
 )
 
-// Ways turns a fault between nodes into the way of each pair. Whom it hits is drawn here, once: nodes from 0. Whoever
-// comes later, as a second process of a name or at another address, goes by the place beside which it stands.
+// PairImpairments turns a fault of the scenario into the impairment of each pair of slots. The affected nodes are drawn
+// once, here. A slot beyond the first ones belongs to the node with its number modulo nodes, so that a second process of
+// a name, or a node at another address, is affected like its node.
 func PairImpairments(fault *scenario.Between, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
 	numbers := make([]int, nodes)
 	for i := range numbers {
 		numbers[i] = i
 	}
 	if fault.Kind == "groups" || fault.Kind == "chain" {
-		group, maxDistance := assignGroups(numbers, fault.Parts, rng), 0
+		group := assignGroups(numbers, fault.Parts, rng)
+		maxDistance := 0
 		if fault.Kind == "chain" {
 			maxDistance = 1
 		}
@@ -33,7 +36,8 @@
 	}
 	impairment := impairmentOf(fault)
 	return func(from, to int) relay.Impairment {
-		from, to = from%nodes, to%nodes
+		from = from % nodes
+		to = to % nodes
 		applies := affected[from] || affected[to]
 		switch fault.Kind {
 		case "deaf", "silent":
@@ -48,7 +52,7 @@
 	}
 }
 
-// parts gives each node its group, the groups' sizes by weight.
+// assignGroups assigns each node to a random group. The sizes of the groups are in proportion to the weights.
 func assignGroups(nodes, weights []int, rng *rand.Rand) (group []int) {
 	rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	total := 0
@@ -56,7 +60,8 @@
 		total += weight
 	}
 	group = make([]int, len(nodes))
-	upperWeight, current := weights[0], 0
+	upperWeight := weights[0]
+	current := 0
 	for i, node := range nodes {
 		for i*total >= upperWeight*len(nodes) && current+1 < len(weights) {
 			current++
@@ -67,7 +72,7 @@
 	return group
 }
 
-// shape is what a fault does to a way that it acts on.
+// impairmentOf returns the impairment of a pair that a fault affects.
 func impairmentOf(fault *scenario.Between) relay.Impairment {
 	switch fault.Kind {
 	case "loss":
--- a/internal/lab/together/network.go
+++ b/internal/lab/together/network.go
@@ -12,27 +12,30 @@
 	"canvasrouter/internal/standin/relay"
 )
 
-// Rig is what stands between the nodes of one run.
+// Network is the network between the nodes of one run: the relay and the faults of the experiment.
+//
+// The relay has numbered slots, each with addresses of its own. Slot n belongs to node n modulo the number of nodes: the
+// first slots to the nodes themselves, the others to further processes of the same nodes.
 type Network struct {
 	Relay       *relay.Relay
 	nodes       int
 	dir         string
-	impairments []func(from, to int) relay.Impairment // of each fault of the experiment
+	impairments []func(from, to int) relay.Impairment // for each fault of the experiment
 	mu          sync.Mutex
-	active      map[int]int // numbers of the faults that act, by their place in the experiment
-	extraSlots  map[int]int // places beyond its own that a node's processes have had
+	active      map[int]int // the relay's number of each active fault, by its index in the experiment
+	extraSlots  map[int]int // how many extra slots each node has used
 	slotCount   int
 }
 
-// New opens the rig of a run: a relay with a place for each node and for each process that the plan starts at another
-// address. Sockets that a node's own user may open go into dir.
+// NewNetwork opens the network of a run: a relay with a slot for each node and for each process that the plan starts at
+// another address. The control sockets of the nodes are in dir.
 func NewNetwork(s *scenario.Scenario, plan *scenario.Plan, dir string, seed uint64, rng *rand.Rand) (*Network, error) {
 	nodes := s.Tiers[0].Nodes
 	if s.Fleet == nil {
-		return &Network{nodes: nodes, dir: dir}, nil // nobody says anything
+		return &Network{nodes: nodes, dir: dir}, nil // the nodes exchange nothing
 	}
-	// A place beyond the nodes' own stands beside a node for the faults: nodes are counted on from 0 again.
-	extraSlots, maxExtra := make(map[int]int), 0
+	extraSlots := make(map[int]int)
+	maxExtra := 0
 	for _, step := range plan.Steps {
 		switch step.Verb {
 		case scenario.TwinStart, scenario.NodeMove, scenario.LieDown, scenario.LieWell:
@@ -52,55 +55,55 @@
 	return network, nil
 }
 
-// Close ends the rig.
-func (network *Network) Close() {
-	if network != nil && network.Relay != nil {
-		network.Relay.Close()
+// Close closes the relay.
+func (n *Network) Close() {
+	if n != nil && n.Relay != nil {
+		n.Relay.Close()
 	}
 }
 
-// Further is the next place for a process of a node that stands at another one already. None is given twice.
-func (g *Network) NextSlot(slot int) (next int, err error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	node := slot % g.nodes
-	g.extraSlots[node]++
-	if next = node + g.nodes*g.extraSlots[node]; next >= g.slotCount {
+// NextSlot returns an unused slot of the node that the given slot belongs to.
+func (n *Network) NextSlot(slot int) (next int, err error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	node := slot % n.nodes
+	n.extraSlots[node]++
+	if next = node + n.nodes*n.extraSlots[node]; next >= n.slotCount {
 		return 0, fmt.Errorf("node %d has no further address", node)
 	}
 	return next, nil
 }
 
-// Late is the most that the rig was late with what it passed on.
-func (g *Network) MaxLateness() time.Duration {
-	if g.Relay == nil {
+// MaxLateness returns the longest time by which the relay forwarded a datagram later than intended.
+func (n *Network) MaxLateness() time.Duration {
+	if n.Relay == nil {
 		return 0
 	}
-	return g.Relay.MaxLateness()
+	return n.Relay.MaxLateness()
 }
 
-// Carry begins or ends a fault of the experiment. Beginning it twice is beginning it once.
-func (g *Network) ApplyStep(step *scenario.Step) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	number, isActive := g.active[step.Fault]
+// ApplyStep starts or ends a fault of the experiment. Starting an active fault does nothing.
+func (n *Network) ApplyStep(step *scenario.Step) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	number, isActive := n.active[step.Fault]
 	switch {
 	case step.Verb == scenario.BetweenOn && !isActive:
-		g.active[step.Fault] = g.Relay.AddFault(g.impairments[step.Fault])
+		n.active[step.Fault] = n.Relay.AddFault(n.impairments[step.Fault])
 	case step.Verb == scenario.BetweenOff && isActive:
-		g.Relay.RemoveFault(number)
-		delete(g.active, step.Fault)
+		n.Relay.RemoveFault(number)
+		delete(n.active, step.Fault)
 	}
 }
 
-// Place is a node's address, the one that others know, and where its own user asks it.
+// NodeAddresses are the address that a node binds to, the one that its peers know, and the path of its control socket.
 type NodeAddresses struct {
 	Listen, Advertise netip.AddrPort
 	ControlSocket     string
 }
 
-// Place gives the addresses of a place.
-func (g *Network) Addresses(slot int) NodeAddresses {
-	return NodeAddresses{Listen: relay.BindAddr(slot, g.Relay.Port()), Advertise: relay.AdvertisedAddr(slot, g.Relay.Port()),
-		ControlSocket: filepath.Join(g.dir, fmt.Sprintf("fleet-%d.sock", slot))}
+// Addresses returns the addresses of a slot.
+func (n *Network) Addresses(slot int) NodeAddresses {
+	return NodeAddresses{Listen: relay.BindAddr(slot, n.Relay.Port()), Advertise: relay.AdvertisedAddr(slot, n.Relay.Port()),
+		ControlSocket: filepath.Join(n.dir, fmt.Sprintf("fleet-%d.sock", slot))}
 }
--- a/internal/lab/together/network_test.go
+++ b/internal/lab/together/network_test.go
@@ -9,7 +9,7 @@
 	"canvasrouter/internal/standin/relay"
 )
 
-// Whom a fault hits, and in which direction, is as its kind says; a place beyond the nodes' own goes with its node.
+// The kind of a fault determines which pairs and directions it affects. An extra slot is affected like its node.
 func TestPairImpairments(t *testing.T) {
 	const nodes = 30
 	affectedPairs := func(b scenario.Between) (pairs int) {
@@ -21,7 +21,7 @@
 					pairs++
 				}
 				if impairment != impairments(from+nodes, to) || impairment != impairments(from, to+nodes) {
-					t.Fatalf("%s: a further place of %d or %d has another way", b.Kind, from, to)
+					t.Fatalf("%s: an extra slot of node %d or %d has another impairment", b.Kind, from, to)
 				}
 			}
 		}
@@ -41,7 +41,7 @@
 		{scenario.Between{Kind: "slow", Factor: 0.2, Count: 1}, 2 * 29},
 	} {
 		if got := affectedPairs(c.fault); got != c.want {
-			t.Errorf("%+v: acts on %d pairs, not %d", c.fault, got, c.want)
+			t.Errorf("%+v: affects %d pairs, want %d", c.fault, got, c.want)
 		}
 	}
 	slow := PairImpairments(&scenario.Between{Kind: "slow", Factor: 0.2}, 2, rand.New(rand.NewPCG(1, 2)))(0, 1)
@@ -50,13 +50,13 @@
 	}
 }
 
-// What the rig is late with is seen.
+// Stop returns the worst lateness since Reset.
 func TestTimerLag(t *testing.T) {
 	l := NewTimerLag()
 	l.record(40 * time.Millisecond)
 	l.Reset()
 	l.record(70 * time.Millisecond)
 	if worst, _ := l.Stop(); worst != 70*time.Millisecond {
-		t.Errorf("most %v", worst)
+		t.Errorf("worst %v", worst)
 	}
 }
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -20,8 +20,8 @@
 	"canvasrouter/internal/standin/relay"
 )
 
-// Processes are nodes of the real program that hear each other by the relay, with no server and no client: what they
-// know of each other is all that is looked at, by their own sockets.
+// Processes runs nodes of the real program, connected by a relay, without servers or clients. Only what the nodes know of
+// each other is examined, through their control sockets.
 type Processes struct {
 	Relay    *relay.Relay
 	program  string
@@ -29,9 +29,10 @@
 	scenario *scenario.Scenario
 	nodes    int
 	mu       sync.Mutex
-	running  map[int]*process // by place
+	running  map[int]*process // by slot
 }
 
+// process is one running node.
 type process struct {
 	cmd     *exec.Cmd
 	ended   chan struct{}
@@ -39,31 +40,33 @@
 	log     *lockedBuffer
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log that can be read while it is written.
 type lockedBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
+// Write appends to the log.
 func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.Write(p)
 }
 
+// text returns the log so far.
 func (b *lockedBuffer) text() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.String()
 }
 
-// clientsBelow is how far under the run's port its nodes take clients.
+// clientPortOffset is subtracted from the relay's port to get the port on which the nodes accept clients.
 const clientPortOffset = 11000
 
-// killWait is how long the end of a process that was killed may take.
+// exitTimeout is how long a process may take to exit after a signal.
 const exitTimeout = 10 * time.Second
 
-// NewProcesses opens the relay for so many nodes, and as many places again for second processes of a name.
+// NewProcesses opens a relay with a slot for each node, and another one for a second process with the node's name.
 func NewProcesses(program string, s *scenario.Scenario, nodes int, seed uint64) (*Processes, error) {
 	s.Tiers[0].Nodes = nodes
 	if s.Fleet == nil {
@@ -81,7 +84,7 @@
 	return &Processes{Relay: fleetRelay, program: program, dir: dir, scenario: s, nodes: nodes, running: make(map[int]*process)}, nil
 }
 
-// Close ends all processes.
+// Close kills all processes and closes the relay.
 func (p *Processes) Close() error {
 	var errs []error
 	for _, slot := range p.Running() {
@@ -92,25 +95,26 @@
 	return errors.Join(errs...)
 }
 
-// Running are the places where a process runs, stopped ones among them.
+// Running returns the slots with a process, including processes stopped by SIGSTOP.
 func (p *Processes) Running() []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.running))
 }
 
-// Control is the socket of a place.
+// ControlSocket returns the path of a slot's control socket.
 func (p *Processes) ControlSocket(slot int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("%d.sock", slot))
 }
 
-// File is the configuration of a place.
+// ConfigFile returns the path of a slot's configuration.
 func (p *Processes) ConfigFile(slot int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("%d.json", slot))
 }
 
-// Configure writes a place's configuration; places from the number of nodes on are second processes under the names of
-// those before. Change may change the key fleet.
+// Configure writes a slot's configuration. The slots after those of the nodes are for second processes with the same
+// names. The function change, if not nil, may change the value of the key fleet; if it clears the value, the node has no
+// peers.
 func (p *Processes) Configure(slot int, change func(fleet map[string]any)) error {
 	join := []string{}
 	for i := range min(3, p.nodes) {
@@ -123,18 +127,18 @@
 	}
 	var fleetValue any = fleetKey
 	if len(fleetKey) == 0 {
-		fleetValue = nil // it hears nobody
+		fleetValue = nil // the node has no peers
 	}
 	node := slot % p.nodes
 	balancer := p.scenario.Balancers()[node]
 	host := relay.BindAddr(slot, 0).Addr().String()
-	listen := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientPortOffset) // the run's own, too
+	listen := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientPortOffset) // unique to the run, like the relay's port
 	raw := p.scenario.Config(balancer, fmt.Sprintf("n%d", node), listen, host+":1", uint64(slot), nil, fleetValue)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
 	return os.WriteFile(p.ConfigFile(slot), raw, 0o600)
 }
 
-// Start starts a place's process with the configuration that it has, or the plain one.
+// Start starts the process of a slot. Without a configuration file it writes the default one first.
 func (p *Processes) Start(slot int) error {
 	if _, err := os.Stat(p.ConfigFile(slot)); err != nil {
 		if err := p.Configure(slot, nil); err != nil {
@@ -144,7 +148,9 @@
 	cmd := exec.Command(p.program)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.ConfigFile(slot))
 	proc := &process{cmd: cmd, ended: make(chan struct{}), log: &lockedBuffer{}}
-	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = proc.log, proc.log, time.Second
+	cmd.Stderr = proc.log
+	cmd.Stdout = proc.log
+	cmd.WaitDelay = time.Second
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -163,7 +169,7 @@
 	return nil
 }
 
-// Signal sends a signal; one that ends the process waits for its end.
+// Signal sends a signal to the process of a slot. For a signal that ends the process it waits for the exit.
 func (p *Processes) Signal(slot int, signal syscall.Signal) error {
 	p.mu.Lock()
 	proc := p.running[slot]
@@ -185,11 +191,11 @@
 	case <-proc.ended:
 		return nil
 	case <-time.After(exitTimeout):
-		return fmt.Errorf("process of place %d has not ended %v after %v", slot, exitTimeout, signal)
+		return fmt.Errorf("the process in slot %d has not exited %v after %v", slot, exitTimeout, signal)
 	}
 }
 
-// Log is what a place's process has logged.
+// Log returns the log of the process in a slot.
 func (p *Processes) Log(slot int) string {
 	p.mu.Lock()
 	proc := p.running[slot]
@@ -200,8 +206,8 @@
 	return proc.log.text()
 }
 
-// CPU gives the time that a place's process has used, in clock ticks of 10 ms turned to seconds, its resident memory in MB
-// and its open descriptors.
+// ProcessUsage returns the processor time that the process of a slot has used in seconds, counted by the kernel in clock
+// ticks of 10 ms, its resident memory in MB, and the number of its open descriptors.
 func (p *Processes) ProcessUsage(slot int) (seconds, mb float64, descriptors int) {
 	p.mu.Lock()
 	proc := p.running[slot]
@@ -220,14 +226,14 @@
 	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20), len(descriptorEntries)
 }
 
-// View asks a place what it knows.
+// View fetches what the node in a slot knows of the fleet, from its control socket.
 func (p *Processes) View(ctx context.Context, slot int) (*fleet.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	return fleet.Ask(ctx, p.ControlSocket(slot))
 }
 
-// there are the lives that a view has as there, its own among them.
+// aliveMembers returns the name and incarnation of each member that is alive by a node's view, including the node itself.
 func aliveMembers(view *fleet.View) []string {
 	alive := []string{view.Own.Name + "/" + view.Own.Life}
 	for _, member := range view.Members {
@@ -239,7 +245,8 @@
 	return alive
 }
 
-// Agree waits until each of some places has exactly these places' processes as there, and gives how long that took.
+// WaitForAgreement waits until each node in the given slots sees exactly the nodes in these slots as alive, and returns
+// how long that took.
 func (p *Processes) WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error) {
 	started := time.Now()
 	for lastMismatch := ""; ; {
@@ -267,7 +274,8 @@
 		agreed := len(want) == len(slots)
 		for i := 0; agreed && i < len(views); i++ {
 			if got := aliveMembers(views[i]); !slices.Equal(got, want) {
-				agreed, lastMismatch = false, fmt.Sprintf("place %d has %d there, not %d", slots[i], len(got), len(want))
+				agreed = false
+				lastMismatch = fmt.Sprintf("slot %d sees %d members alive, want %d", slots[i], len(got), len(want))
 			}
 		}
 		elapsed := time.Since(started)
--- a/internal/lab/together/processes_test.go
+++ b/internal/lab/together/processes_test.go
@@ -15,7 +15,7 @@
 	experiments "canvasrouter/lab"
 )
 
-// program is the real one, as go build makes it.
+// program is the path of the real program, which TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -32,8 +32,9 @@
 	os.Exit(code)
 }
 
-const agreeTimeout = 60 * time.Second // for what takes a few seconds, on a machine that is busy
+const agreeTimeout = 60 * time.Second // agreement takes a few seconds, but more on a busy machine
 
+// newProcesses opens a set of processes that the test's end kills.
 func newProcesses(t *testing.T, nodes int) *Processes {
 	t.Helper()
 	s, err := scenario.Read(experiments.Files, "fleet-steady.toml")
@@ -52,6 +53,7 @@
 	return p
 }
 
+// startAll starts the processes of the given slots.
 func (p *Processes) startAll(t *testing.T, slots ...int) {
 	t.Helper()
 	for _, slot := range slots {
@@ -61,6 +63,7 @@
 	}
 }
 
+// requireAgreement fails the test unless the nodes in the given slots agree that exactly they are alive.
 func (p *Processes) requireAgreement(t *testing.T, stage string, slots ...int) {
 	t.Helper()
 	if elapsed, err := p.WaitForAgreement(t.Context(), slots, agreeTimeout); err != nil {
@@ -70,6 +73,7 @@
 	}
 }
 
+// signalAll sends a signal to the processes of the given slots.
 func (p *Processes) signalAll(t *testing.T, signal syscall.Signal, slots ...int) {
 	t.Helper()
 	for _, slot := range slots {
@@ -79,16 +83,17 @@
 	}
 }
 
-// logged waits for a line in a place's log.
+// waitForLog waits for a text in the log of a slot's process.
 func (p *Processes) waitForLog(t *testing.T, slot int, line string) {
 	t.Helper()
 	for deadline := time.Now().Add(agreeTimeout); !strings.Contains(p.Log(slot), line); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("place %d has not logged %q: %s", slot, line, p.Log(slot))
+			t.Fatalf("the process in slot %d has not logged %q: %s", slot, line, p.Log(slot))
 		}
 	}
 }
 
+// sequence returns the numbers from from up to, but not including, to.
 func sequence(from, to int) (numbers []int) {
 	for i := from; i < to; i++ {
 		numbers = append(numbers, i)
@@ -96,43 +101,44 @@
 	return numbers
 }
 
-// Members find each other though those to join by are down at first; one that is killed is found dead, comes back under its
-// name as another life while old news of it is about, is stopped and goes on; one that leaves says so.
+// Members find each other even if the nodes of the join list start last. A killed member is found dead, and comes back
+// under its name as a new incarnation while older updates about it still spread. A stopped member continues. A member
+// that leaves announces it.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	const nodes = 8
 	p := newProcesses(t, nodes)
-	p.startAll(t, sequence(3, nodes)...) // nobody to join by is there: they are alone, and ready
+	p.startAll(t, sequence(3, nodes)...) // no node of the join list runs yet: each is alone, and ready
 	for _, slot := range sequence(3, nodes) {
 		p.requireAgreement(t, "alone", slot)
 	}
 	p.startAll(t, 0, 1, 2)
-	p.requireAgreement(t, "those to join by came late", sequence(0, nodes)...)
+	p.requireAgreement(t, "after the start of the join list", sequence(0, nodes)...)
 	before, err := p.View(t.Context(), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.signalAll(t, syscall.SIGKILL, 5)
-	p.startAll(t, 5) // at once, while it counts as alive everywhere
-	p.requireAgreement(t, "back under its name", sequence(0, nodes)...)
+	p.startAll(t, 5) // at once, while all peers still regard it as alive
+	p.requireAgreement(t, "one killed and restarted", sequence(0, nodes)...)
 	after, err := p.View(t.Context(), 5)
 	if err != nil || after.Own.Life == before.Own.Life {
-		t.Errorf("%v: the life %s came back", err, after.Own.Life)
+		t.Errorf("%v: incarnation %s came back", err, after.Own.Life)
 	}
 	p.signalAll(t, syscall.SIGKILL, 6, 7)
 	p.requireAgreement(t, "two killed", sequence(0, 6)...)
 	p.signalAll(t, syscall.SIGSTOP, 4)
 	p.requireAgreement(t, "one stopped", 0, 1, 2, 3, 5)
 	p.signalAll(t, syscall.SIGCONT, 4)
-	p.requireAgreement(t, "it went on", sequence(0, 6)...)
-	p.signalAll(t, syscall.SIGTERM, 3) // not the one that just went on: others may still find it dead meanwhile
-	p.requireAgreement(t, "another left", 0, 1, 2, 4, 5)
+	p.requireAgreement(t, "the stopped one continued", sequence(0, 6)...)
+	p.signalAll(t, syscall.SIGTERM, 3) // not the one that just continued: its peers may still declare it dead meanwhile
+	p.requireAgreement(t, "one left", 0, 1, 2, 4, 5)
 	p.waitForLog(t, 0, "member has left")
 	p.waitForLog(t, 0, "member is dead")
 }
 
-// A cut leaves two fleets, each whole for itself; healed, they are one. The same where every datagram comes twice and out of
-// order, a fifth is spoilt, and streams to some are never answered.
+// Nodes join even if every datagram is duplicated, half are reordered, some are corrupted or truncated, and streams to
+// one node are never answered. A cut leaves two fleets that are consistent in themselves; after its end they merge.
 func TestMembersCut(t *testing.T) {
 	t.Parallel()
 	const nodes = 9
@@ -141,17 +147,19 @@
 		return relay.Impairment{Duplicate: 1, Reorder: 0.5, Corrupt: 0.1, Truncate: 0.05, UnansweredStreams: to == 8}
 	})
 	p.startAll(t, sequence(0, nodes)...)
-	p.requireAgreement(t, "joined on bad ways", sequence(0, nodes)...)
-	malformed, duplicates := int64(0), int64(0)
+	p.requireAgreement(t, "joined over an impaired network", sequence(0, nodes)...)
+	malformed := int64(0)
+	duplicates := int64(0)
 	for _, slot := range sequence(0, nodes) {
 		view, err := p.View(t.Context(), slot)
 		if err != nil || view.Ways.Panicked > 0 {
-			t.Fatalf("%v: place %d: %+v", err, slot, view.Ways)
+			t.Fatalf("%v: slot %d: %+v", err, slot, view.Ways)
 		}
-		malformed, duplicates = malformed+view.Ways.Spoilt, duplicates+view.Ways.Doubled
+		malformed = malformed + view.Ways.Spoilt
+		duplicates = duplicates + view.Ways.Doubled
 	}
 	if malformed == 0 || duplicates == 0 {
-		t.Errorf("%d bad frames and %d doubled ones were counted", malformed, duplicates)
+		t.Errorf("the nodes counted %d malformed frames and %d duplicates", malformed, duplicates)
 	}
 	p.Relay.RemoveFault(impaired)
 	cut := p.Relay.AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < 3) != (to < 3)} })
@@ -161,7 +169,7 @@
 	p.requireAgreement(t, "healed", sequence(0, nodes)...)
 }
 
-// A second process under a name, and with a number that another has, is seen by all, named, and harms nobody.
+// A second process with the name and number of another node is seen and logged by all nodes, and disturbs none.
 func TestDuplicateNames(t *testing.T) {
 	t.Parallel()
 	const nodes = 4
@@ -169,16 +177,16 @@
 	p.startAll(t, sequence(0, nodes)...)
 	p.requireAgreement(t, "joined", sequence(0, nodes)...)
 	p.startAll(t, nodes+2) // beside node 2
-	p.requireAgreement(t, "with a twin", append(sequence(0, nodes), nodes+2)...)
+	p.requireAgreement(t, "with a duplicate", append(sequence(0, nodes), nodes+2)...)
 	for _, slot := range []int{0, 2, nodes + 2} {
 		p.waitForLog(t, slot, "two processes have one name")
 	}
 	p.signalAll(t, syscall.SIGKILL, nodes+2)
-	p.requireAgreement(t, "the twin is gone", sequence(0, nodes)...)
+	p.requireAgreement(t, "without the duplicate", sequence(0, nodes)...)
 }
 
-// SIGHUP takes a node out of the fleet and back in; a faulty key changes nothing. A port that is taken, or a control socket
-// that somebody answers on, is one line and an exit that is not 0.
+// SIGHUP takes a node out of the fleet and back in; an invalid value changes nothing. If the port is taken, or another
+// process answers on the control socket, the program prints one line that names the key, and exits with an error.
 func TestSwitchFleet(t *testing.T) {
 	t.Parallel()
 	const nodes = 3
@@ -193,7 +201,7 @@
 	}
 	reload(func(fleetKey map[string]any) { fleetKey["listen"] = "nowhere" })
 	p.waitForLog(t, 1, "key fleet.listen")
-	p.requireAgreement(t, "a faulty key", sequence(0, nodes)...)
+	p.requireAgreement(t, "an invalid value", sequence(0, nodes)...)
 	reload(func(fleetKey map[string]any) { clear(fleetKey) })
 	p.waitForLog(t, 1, "the node hears nobody any more")
 	p.requireAgreement(t, "switched off", 0, 2)
