--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -28,25 +28,28 @@
 
 const (
 	replicaCount  = 3
-	changeTimeout = 30 * time.Second
-	burstChanges  = 20 // 100 a minute, for 12 s
-	burstInterval = 600 * time.Millisecond
-	cutDuration   = 10 * time.Second
+	changeTimeout = 30 * time.Second       // until a change is in force at all nodes
+	burstChanges  = 20                     // at burstInterval: 100 a minute, for 12 s
+	burstInterval = 600 * time.Millisecond // between two changes of a release
+	cutDuration   = 10 * time.Second       // of the cut between the regions, after its change is in force
 )
 
-// storeCluster is nodes that follow a store of three replicas, by a relay.
+// storeCluster is a fleet of nodes that follow a store of three replicas, all connected by a relay. The replicas have the
+// slots after those of the nodes.
 type storeCluster struct {
 	relay        *relay.Relay
 	nodes        int
-	program      string // "": nodes and replicas are of this process
+	program      string // "": nodes and replicas run in this process
 	dir          string
 	seed         uint64
 	stopNodes    []func()
-	stopReplicas [replicaCount]func() // ends one
-	processes    []*process
+	stopReplicas [replicaCount]func()
+	processes    []*process // nil for nodes in this process
 	client       *http.Client
 }
 
+// newStoreCluster starts the replicas and the nodes. On an error after the start of the first replica it also returns the
+// cluster, which the caller must close.
 func newStoreCluster(nodes int, program string, seed uint64) (cluster *storeCluster, err error) {
 	cluster = &storeCluster{nodes: nodes, program: program, seed: seed, client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	if cluster.relay, err = relay.New(nodes+replicaCount, seed); err != nil {
@@ -82,6 +85,7 @@
 	return cluster, errors.Join(errs...)
 }
 
+// close stops all nodes and replicas.
 func (c *storeCluster) close() {
 	var stopping sync.WaitGroup
 	for _, stop := range c.stopNodes {
@@ -97,6 +101,7 @@
 	os.RemoveAll(c.dir)
 }
 
+// replicaAddrs returns the addresses at which the nodes reach the replicas.
 func (c *storeCluster) replicaAddrs() (addrs []string) {
 	for replica := range replicaCount {
 		addrs = append(addrs, relay.AdvertisedAddr(c.nodes+replica, c.relay.Port()).String())
@@ -104,12 +109,15 @@
 	return addrs
 }
 
+// bindIP returns the local IP of a node or replica.
 func (c *storeCluster) bindIP(slot int) net.IP {
 	return relay.BindAddr(slot, c.relay.Port()).Addr().AsSlice()
 }
 
+// startReplica starts a replica, as a process or in this one.
 func (c *storeCluster) startReplica(number int) error {
-	listen, dir := relay.BindAddr(c.nodes+number, c.relay.Port()).String(), filepath.Join(c.dir, fmt.Sprint("replica-", number))
+	listen := relay.BindAddr(c.nodes+number, c.relay.Port()).String()
+	dir := filepath.Join(c.dir, fmt.Sprint("replica-", number))
 	if c.program != "" {
 		raw, err := json.Marshal(map[string]any{"number": number, "listen": listen, "replicas": c.replicaAddrs(), "dir": dir, "bind": c.bindIP(c.nodes + number).String()})
 		if err != nil {
@@ -123,7 +131,10 @@
 		if err := cmd.Start(); err != nil {
 			return err
 		}
-		c.stopReplicas[number] = sync.OnceFunc(func() { cmd.Process.Kill(); cmd.Wait() })
+		c.stopReplicas[number] = sync.OnceFunc(func() {
+			cmd.Process.Kill()
+			cmd.Wait()
+		})
 		return c.waitReplica(number)
 	}
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bindIP(c.nodes + number)}}
@@ -139,10 +150,14 @@
 	server := &http.Server{Handler: replica, ReadHeaderTimeout: 2 * time.Second}
 	go server.Serve(listener)
 	go replica.Run(ctx)
-	c.stopReplicas[number] = sync.OnceFunc(func() { stop(); server.Close() })
+	c.stopReplicas[number] = sync.OnceFunc(func() {
+		stop()
+		server.Close()
+	})
 	return nil
 }
 
+// waitReplica waits until a replica answers.
 func (c *storeCluster) waitReplica(number int) error {
 	for started := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := c.replicaState(number); err == nil {
@@ -153,9 +168,11 @@
 	}
 }
 
+// serviceName returns the name of the service that a node belongs to.
 func (c *storeCluster) serviceName(node int) string { return fmt.Sprint("s", node/perService) }
 
-// startNode starts one, with an address of its own to call from.
+// startNode starts a node, as a process or, without a program, only its part that applies changes. Each node calls from
+// an address of its own.
 func (c *storeCluster) startNode(node int) (stop func(), err error) {
 	storeKey := map[string]any{"replicas": c.replicaAddrs(), "service": c.serviceName(node), "bind": c.bindIP(node).String()}
 	deployment, knownServers := processDeployment([]string{"127.0.0.1:1"})
@@ -187,10 +204,17 @@
 		Install: func(*config.Config) error { return nil }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { applier.Run(ctx); close(done) }()
-	return func() { cancel(); <-done }, nil
+	go func() {
+		applier.Run(ctx)
+		close(done)
+	}()
+	return func() {
+		cancel()
+		<-done
+	}, nil
 }
 
+// replicaState fetches the state of a replica.
 func (c *storeCluster) replicaState(number int) (*store.State, error) {
 	response, err := c.client.Get("http://" + relay.BindAddr(c.nodes+number, c.relay.Port()).String() + "/state")
 	if err != nil {
@@ -201,7 +225,7 @@
 	return state, json.NewDecoder(response.Body).Decode(state)
 }
 
-// reports are the youngest of each node, by the replicas' word.
+// latestReports returns the most recent report of each node that any replica holds.
 func (c *storeCluster) latestReports() map[string]store.NodeReport {
 	latest := map[string]store.NodeReport{}
 	for replica := range replicaCount {
@@ -218,7 +242,7 @@
 	return latest
 }
 
-// change asks a replica for one.
+// change requests a change from a replica and returns its version.
 func (c *storeCluster) change(replica int, key store.Key, id, patch string) (store.Version, error) {
 	raw, err := json.Marshal(store.Change{Key: key, ID: id, Patch: json.RawMessage(patch)})
 	if err != nil {
@@ -239,11 +263,13 @@
 	return answer.Version, nil
 }
 
-// force waits until all nodes of some places that a key is for report that they run a version.
+// waitInForce waits until all of the given nodes have reported, and those that follow the key report that they apply at
+// least the given version. It returns how long that took.
 func (c *storeCluster) waitInForce(ctx context.Context, key store.Key, version store.Version, nodes []int) (time.Duration, error) {
 	started := time.Now()
 	for {
-		reports, behind := c.latestReports(), 0
+		reports := c.latestReports()
+		behind := 0
 		for _, node := range nodes {
 			report, known := reports[fmt.Sprintf("n%d", node)]
 			if !known || slices.Contains(report.Keys, key) && report.Runs[key] < version {
@@ -261,7 +287,8 @@
 	}
 }
 
-// Changes plays one size: a change for all, a release's changes for services, one replica lost, and a region cut that has no replica.
+// MeasureChanges measures changes of configuration at one size: a change for all nodes, the changes of a release for
+// single services, a change after the loss of a replica, and one while a region without a replica is cut off.
 func MeasureChanges(ctx context.Context, program string, nodes int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	point = Point{Nodes: nodes, Values: map[string]float64{}}
 	cluster, err := newStoreCluster(nodes, program, seed)
@@ -319,7 +346,7 @@
 		return point, err
 	}
 	point.Values["change_bytes"] = roundFigure(meanBytes() - bytesBefore)
-	// A release: changes for one service after another, at 100 a minute.
+	// A release: changes for one service after another, 100 a minute.
 	bytesBefore = meanBytes()
 	started, cpuBeforeBurst := time.Now(), meanCPU()
 	var mu sync.Mutex
@@ -338,7 +365,8 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			errs[i], slowest = err, max(slowest, time.Since(requested))
+			errs[i] = err
+			slowest = max(slowest, time.Since(requested))
 		})
 		sleep(ctx, burstInterval)
 	}
@@ -350,7 +378,7 @@
 	if program != "" {
 		point.Values["burst_core_percent"] = roundFigure(100 * (meanCPU() - cpuBeforeBurst) / time.Since(started).Seconds())
 	}
-	// One replica lost without a word; its nodes go to the others.
+	// One replica stops without notice; its nodes switch to the others.
 	cluster.stopReplicas[0]()
 	if err := changeAll("replica_lost", 1, all); err != nil {
 		return point, err
@@ -358,10 +386,10 @@
 	if err := cluster.startReplica(0); err != nil {
 		return point, err
 	}
-	// The smaller region has no replica, and is cut off.
+	// The smaller region, which has no replica, is cut off.
 	smallRegion := max(1, int(smallRegionShare*float64(nodes)))
-	cut := cluster.relay.AddFault(func(firstNode, to int) relay.Impairment {
-		return relay.Impairment{Cut: (firstNode < smallRegion) != (to < smallRegion)}
+	cut := cluster.relay.AddFault(func(from, to int) relay.Impairment {
+		return relay.Impairment{Cut: (from < smallRegion) != (to < smallRegion)}
 	})
 	if err := changeAll("cut_large", 2, all[smallRegion:]); err != nil {
 		return point, err
@@ -380,7 +408,7 @@
 	return point, ctx.Err()
 }
 
-// versionOf is the version that stands, by any replica's word.
+// chosenVersion returns the highest version of a key that any replica holds.
 func (c *storeCluster) chosenVersion(key store.Key) (version store.Version) {
 	for replica := range replicaCount {
 		if state, err := c.replicaState(replica); err == nil {
@@ -394,6 +422,7 @@
 	return version
 }
 
+// totalBytes returns the bytes that a slot has sent and received.
 func totalBytes(fleetRelay *relay.Relay, slot int) int64 {
 	traffic := fleetRelay.Traffic(slot)
 	return traffic.TotalBytes()
--- a/internal/lab/scale/in_process.go
+++ b/internal/lab/scale/in_process.go
@@ -260,7 +260,7 @@
 			defer ticker.Stop()
 			type push struct {
 				server policy.ServerID
-				owed   time.Time
+				due    time.Time
 			}
 			var pending []push
 			for owed := 0.0; ; {
@@ -274,7 +274,7 @@
 					continue
 				}
 				now := time.Now()
-				for len(pending) > 0 && now.After(pending[0].owed) {
+				for len(pending) > 0 && now.After(pending[0].due) {
 					nodeFleet.Ended(pending[0].server, 0, policy.TimedOut, policy.Micros(callTimeout.Microseconds()))
 					pending = pending[1:]
 				}
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -18,7 +18,7 @@
 	"canvasrouter/policy"
 )
 
-// Bounds says beforehand what a run takes at the most.
+// ResourceEstimate describes the most processes and memory that a measurement will need.
 func ResourceEstimate(kind string, sizes []int) string {
 	largest := slices.Max(sizes)
 	if kind == KindReal {
@@ -27,14 +27,15 @@
 	return fmt.Sprintf("one process, at most some %d MB", 200+2*largest+largest*largest/200)
 }
 
-// drainGrace is the deployment's, as processes of a scale run have it: watches that fail go by it.
+// drainGrace is the drain grace of the deployment; the retries of a failed watch depend on it.
 const drainGrace = 1500 * time.Millisecond
 
-// restarts is the share of the servers that a release restarts: 180 of 900.
+// restartShare is the share of the servers that a release restarts: 180 of 900.
 const restartShare = 1.0 / zones
 
-// List plays one size: so many nodes follow the list, the real actor each, from one stand-in registry. A release restarts a
-// fifth of the servers listed, then the registry goes down for two seconds and all open their watches anew.
+// MeasureList measures the server list at one size, with registry clients in this process that all watch one stand-in
+// registry. A release restarts a fifth of the listed servers. Then the registry goes down for two seconds, and all clients
+// reopen their watches.
 func MeasureList(ctx context.Context, nodes, calledServices int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	point = Point{Nodes: nodes, Values: map[string]float64{}}
 	servers := calledServices * perService
@@ -48,7 +49,7 @@
 	defer service.Close()
 	timerLag := together.NewTimerLag()
 	var mu sync.Mutex
-	listedAt := map[int]time.Time{} // when a server's present start was listed
+	listedAt := map[int]time.Time{} // when each restart was listed, by its start time in ms
 	var latencies []float64
 	watching := make([]bool, nodes)
 	followCtx, stop := context.WithCancel(ctx)
@@ -80,16 +81,16 @@
 	followers := func() (count int) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, done := range watching {
-			if done {
+		for _, isDone := range watching {
+			if isDone {
 				count++
 			}
 		}
 		return count
 	}
-	waitUntil := func(stage string, timeout time.Duration, done func() bool) time.Duration {
+	waitUntil := func(stage string, timeout time.Duration, isDone func() bool) time.Duration {
 		started := time.Now()
-		for !done() && err == nil {
+		for !isDone() && err == nil {
 			if sleep(ctx, 10*time.Millisecond); time.Since(started) > timeout || ctx.Err() != nil {
 				err = fmt.Errorf("%s: not within %v: %d of %d nodes follow", stage, timeout, followers(), nodes)
 			}
@@ -98,12 +99,13 @@
 	}
 	opened := waitUntil("first watches", 30*time.Second, func() bool { return followers() == nodes })
 	calls, bytesBefore := service.Counts()
-	point.Values["opened_s"], point.Values["first_bytes"] = roundFigure(opened.Seconds()), roundFigure(float64(bytesBefore)/float64(nodes))
-	sleep(ctx, time.Second) // between two of the empty lines: all of those that come in the span are counted
+	point.Values["opened_s"] = roundFigure(opened.Seconds())
+	point.Values["first_bytes"] = roundFigure(float64(bytesBefore) / float64(nodes))
+	sleep(ctx, time.Second) // to start between two keepalive lines, so that all of those in the calm time count
 	sleep(ctx, calmTime)
 	_, bytesAfter := service.Counts()
 	point.Values["calm_bytes"] = roundFigure(float64(bytesAfter-bytesBefore) / float64(nodes) / calmTime.Seconds())
-	// The release: restarts in step over the span, each listed as leaving, left and started anew.
+	// The release: restarts at even intervals over the calm time. Each server is listed as draining and then as restarted.
 	bytesBefore = bytesAfter
 	restarts := max(1, int(restartShare*float64(servers)))
 	step := calmTime / time.Duration(restarts)
@@ -131,7 +133,8 @@
 	mu.Lock()
 	slices.Sort(latencies)
 	if len(latencies) > 0 {
-		point.Values["change_p50_ms"], point.Values["change_most_ms"] = roundFigure(latencies[len(latencies)/2]), roundFigure(latencies[len(latencies)-1])
+		point.Values["change_p50_ms"] = roundFigure(latencies[len(latencies)/2])
+		point.Values["change_most_ms"] = roundFigure(latencies[len(latencies)-1])
 	}
 	mu.Unlock()
 	calls, _ = service.Counts()
@@ -146,7 +149,7 @@
 	if meanLag > maxMeanLag {
 		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	progress("%d nodes, %d servers listed: opened in %v, a change in force everywhere after %.0f ms at the most, reopened in %v; rig late %v", nodes, servers,
+	progress("%d nodes, %d servers listed: opened in %v, a change in force everywhere after at most %.0f ms, reopened in %v; harness late by up to %v", nodes, servers,
 		opened.Round(time.Millisecond), point.Values["change_most_ms"], reopened.Round(time.Millisecond), worstLag.Round(time.Millisecond))
 	for name, v := range point.Values {
 		if math.IsNaN(v) {
--- a/internal/lab/scale/list_processes.go
+++ b/internal/lab/scale/list_processes.go
@@ -16,8 +16,9 @@
 	"canvasrouter/policy"
 )
 
-// ListReal plays one size of the list with processes of the program, which start without one: what the registry writes to them and how
-// often they call, as hollow nodes are counted. No op comes, so nothing is pushed to the servers listed.
+// MeasureListReal measures the server list at one size with processes of the program, which start without a list. Like
+// MeasureList it counts the bytes that the registry writes and the calls that it gets. There are no ops, so nothing is
+// pushed to the listed servers.
 func MeasureListReal(ctx context.Context, program string, nodes, calledServices int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	point = Point{Nodes: nodes, Values: map[string]float64{}}
 	servers := calledServices * perService
@@ -62,7 +63,7 @@
 		proc := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
 		config := deployment.Config(scenario.Balancer{Number: i, Of: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), proc.addr, registryAddr,
 			seed+uint64(i), nil, nil)
-		config = bytes.Replace(config, []byte(`"registry_mode":"ask"`), []byte(`"registry_mode":"push"`), 1) // as hollow nodes follow it
+		config = bytes.Replace(config, []byte(`"registry_mode":"ask"`), []byte(`"registry_mode":"push"`), 1) // watch the list, as in MeasureList
 		if err := os.WriteFile(proc.file, config, 0o600); err != nil {
 			return point, err
 		}
@@ -87,7 +88,7 @@
 			return point, fmt.Errorf("%d of %d nodes have called the registry after %v", calls, nodes, startTimeout)
 		}
 	}
-	sleep(ctx, time.Second) // the last ones are answered
+	sleep(ctx, time.Second) // until the last calls are answered
 	_, bytesBefore := service.Counts()
 	point.Values["first_bytes"] = roundFigure(float64(bytesBefore) / float64(nodes))
 	sleep(ctx, calmTime)
@@ -113,7 +114,7 @@
 	if meanLag > maxMeanLag {
 		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	progress("%d processes, %d servers listed: first %.0f bytes, calm %.2f bytes a second, %.0f a restart, %.2f calls a second while it is down; rig late %v", nodes, servers,
+	progress("%d processes, %d servers listed: first %.0f bytes, calm %.2f bytes a second, %.0f a restart, %.2f calls a second while the registry is down; harness late by up to %v", nodes, servers,
 		point.Values["first_bytes"], point.Values["calm_bytes"], point.Values["restart_bytes"], point.Values["down_calls_s"], worstLag.Round(time.Millisecond))
 	return point, ctx.Err()
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -240,17 +240,17 @@
 	if maxMB > 0 {
 		point.Values["calm_core_percent"], point.Values["calm_mb"] = roundFigure(100*cpu), roundFigure(maxMB)
 	}
-	killAndRestart := func(name string, first int) {
+	killAndRestart := func(name string, from int) {
 		measure(name, func() error {
-			if err := killAll(all[first:]); err != nil {
+			if err := killAll(all[from:]); err != nil {
 				return err
 			}
-			agree(name, all[:first])
+			agree(name, all[:from])
 			sleepScaled(ctx, cluster, worstWindow/2)
 			return err
 		})
 		if err == nil {
-			err = startAll(cluster, all[first:])
+			err = startAll(cluster, all[from:])
 		}
 		agree("", all)
 		sleepScaled(ctx, cluster, settleTime)
@@ -260,8 +260,8 @@
 	smallRegion := max(1, int(smallRegionShare*float64(nodes)))
 	var cut int
 	measure("cut", func() error {
-		cut = cluster.NetworkRelay().AddFault(func(first, to int) relay.Impairment {
-			return relay.Impairment{Cut: (first < smallRegion) != (to < smallRegion)}
+		cut = cluster.NetworkRelay().AddFault(func(from, to int) relay.Impairment {
+			return relay.Impairment{Cut: (from < smallRegion) != (to < smallRegion)}
 		})
 		started := time.Now()
 		agree("", all[:smallRegion])
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -30,16 +30,16 @@
 
 // row is one role of the page.
 type row struct {
-	role, state, mechanism, command string
-	cells                           []cell
-	missing                         string // what of it was not measured, or that nothing carries it
-	noMechanism                     bool   // no mechanism
+	title, state, mechanism, command string
+	cells                            []cell
+	missing                          string // what of it was not measured, or that nothing carries it
+	hasNoMechanism                   bool   // no mechanism
 }
 
 var columns = []string{"messages", "bytes", "processor", "memory", "in force"}
 
 var rows = []row{
-	{role: "Call's path", state: "ops in hand, 0.4 MB at most of bodies and tables for each 100; no term in N", command: "canvaslab scale path --nodes 1,10 --node bin/canvasrouter",
+	{title: "Call's path", state: "ops in hand, 0.4 MB at most of bodies and tables for each 100; no term in N", command: "canvaslab scale path --nodes 1,10 --node bin/canvasrouter",
 		mechanism: "`clients`, `node`, `servers`: one actor decides, a goroutine carries each push",
 		cells: []cell{
 			{column: "in force", label: "p99 added, one hop", record: "path", kind: KindReal, name: "p99_added_ms@1", unit: "ms", budget: maxAddedMs},
@@ -48,7 +48,7 @@
 			{column: "in force", label: "p99 added a hop, ten in a row", record: "path", kind: KindReal, name: "p99_added_a_hop_ms@10", unit: "ms", budget: maxAddedMs},
 			{column: "processor", label: "a call and hop", record: "path", kind: KindReal, name: "core_ms_a_call@1", unit: "ms of a core"},
 		}},
-	{role: "List from discovery", state: "8 x C servers, some 130 bytes each in the node", command: "canvaslab scale list --nodes 25,50,100,200,400,900",
+	{title: "List from discovery", state: "8 x C servers, some 130 bytes each in the node", command: "canvaslab scale list --nodes 25,50,100,200,400,900",
 		mechanism: "`registry`: one watch a node, changes as lines, a line each 2 s",
 		cells: []cell{
 			{column: "bytes", label: "calm", record: "list", kind: KindInProcess, name: "calm_bytes", unit: "bytes/s", control: "bytes"},
@@ -56,13 +56,13 @@
 			{column: "in force", label: "a change, the last node", record: "list", kind: KindInProcess, name: "change_most_ms", unit: "ms"},
 			{column: "in force", label: "all watches anew after 2 s down", record: "list", kind: KindInProcess, name: "reopened_s", unit: "s", budget: 6},
 		}},
-	{role: "Discovery itself", state: "N watches; S servers", command: "canvaslab scale list --nodes 25,50,100,200,400,900",
+	{title: "Discovery itself", state: "N watches; S servers", command: "canvaslab scale list --nodes 25,50,100,200,400,900",
 		mechanism: "the operators' service; a stand-in here (`standin/registry`)",
 		cells: []cell{
 			{column: "messages", label: "calls a node while it is down", record: "list", kind: KindInProcess, name: "down_calls_s", unit: "calls/s"},
 			{column: "bytes", label: "first list, 40 servers", record: "list", kind: KindInProcess, name: "first_bytes", unit: "bytes"},
 		}, missing: "its own processor time and memory: it is not ours"},
-	{role: "Members", state: "N x some 1.2 KB in each node (the library's state, table, senders)", command: "canvaslab scale members --nodes 25,50,100,200,400,900 (hollow); --nodes 25,50,100,200 --node bin/canvasrouter (real)",
+	{title: "Members", state: "N x some 1.2 KB in each node (the library's state, table, senders)", command: "canvaslab scale members --nodes 25,50,100,200,400,900 (hollow); --nodes 25,50,100,200 --node bin/canvasrouter (real)",
 		mechanism: "`fleet/members`: SWIM with Lifeguard (memberlist) on `fleet/transport`",
 		cells: []cell{
 			{column: "messages", label: "datagrams sent, calm", record: "members", kind: KindInProcess, name: "calm_datagrams", unit: "/s"},
@@ -72,15 +72,15 @@
 			{column: "memory", label: "whole process, idle", record: "members", kind: KindReal, name: "calm_mb", unit: "MB", budget: maxMemoryMB},
 			{column: "in force", label: "a tenth killed", record: "members", kind: KindInProcess, name: "killed_s", unit: "s"},
 		}},
-	{role: "Judgements on servers", state: "min(8 x C, 512) servers x 8 reports x some 100 bytes", command: "canvaslab scale judgements --nodes 25,50,100,200,400,900",
+	{title: "Judgements on servers", state: "min(8 x C, 512) servers x 8 reports x some 100 bytes", command: "canvaslab scale judgements --nodes 25,50,100,200,400,900",
 		mechanism: "`fleet/judged`: reports by source, gossiped by `fleet/transport`",
 		cells: []cell{
 			{column: "bytes", label: "calm", record: "judgements", kind: KindInProcess, name: "calm_bytes", unit: "bytes/s", control: "bytes"},
 			{column: "bytes", label: "a tenth of the servers silent", record: "judgements", kind: KindInProcess, name: "fault_bytes", unit: "bytes/s", budget: maxControlBytes, control: "fault"},
 			{column: "in force", label: "nine in ten nodes know", record: "judgements", kind: KindInProcess, name: "seen_s", unit: "s"},
 		}},
-	{role: "Messages between modules", state: "64 words a number, 192 bytes", mechanism: "`fleet/words`, off by default", missing: "not measured at this size: words go to the nodes of a service's fleet_size alone"},
-	{role: "Configuration", state: "at a node: three patches of at most 64 KiB; at each of the 3 replicas: V + N keys at the most, 4,096 reports of some 300 bytes",
+	{title: "Messages between modules", state: "64 words a number, 192 bytes", mechanism: "`fleet/words`, off by default", missing: "not measured at this size: words go to the nodes of a service's fleet_size alone"},
+	{title: "Configuration", state: "at a node: three patches of at most 64 KiB; at each of the 3 replicas: V + N keys at the most, 4,096 reports of some 300 bytes",
 		command:   "canvaslab scale changes --nodes 25,50,100,200,400,900 (hollow); --nodes 25,50,100 --node bin/canvasrouter (real)",
 		mechanism: "`store`: a register a key on three replicas, each node watches one of them; **none before**: a file and SIGHUP at each node",
 		cells: []cell{
@@ -93,8 +93,8 @@
 			{column: "in force", label: "one replica lost just before", record: "changes", kind: KindInProcess, name: "replica_lost_s", unit: "s", budget: maxChangeSeconds},
 			{column: "in force", label: "region without a replica, once it is back", record: "changes", kind: KindInProcess, name: "healed_s", unit: "s", budget: maxChangeSeconds},
 		}},
-	{role: "Limits over the fleet", state: "", mechanism: "**none**", noMechanism: true, missing: "budgets and counts over all nodes are not built"},
-	{role: "Start", state: "a list of known servers", command: "canvaslab scale start --nodes 25,50,100,200 --node bin/canvasrouter",
+	{title: "Limits over the fleet", state: "", mechanism: "**none**", hasNoMechanism: true, missing: "budgets and counts over all nodes are not built"},
+	{title: "Start", state: "a list of known servers", command: "canvaslab scale start --nodes 25,50,100,200 --node bin/canvasrouter",
 		mechanism: "`serve`: ready once it listens, whatever the registry does",
 		cells: []cell{
 			{column: "in force", label: "nine in ten restarted ready, registry up", record: "start", kind: KindReal, name: "up_ready_p90_s", unit: "s", budget: 10},
@@ -102,12 +102,12 @@
 			{column: "in force", label: "registry down", record: "start", kind: KindReal, name: "down_ready_p90_s", unit: "s", budget: 10},
 			{column: "in force", label: "the last one serves, registry down", record: "start", kind: KindReal, name: "down_serves_most_s", unit: "s"},
 		}, missing: "900 at once: each has a machine of its own there, and 8 cores here"},
-	{role: "A zone lost", state: "as Members", command: "as Members", mechanism: "`fleet/members`, `registry`",
+	{title: "A zone lost", state: "as Members", command: "as Members", mechanism: "`fleet/members`, `registry`",
 		cells: []cell{
 			{column: "bytes", label: "worst 10 s", record: "members", kind: KindInProcess, name: "zone_bytes10", unit: "bytes/s", budget: maxControlBytes},
 			{column: "in force", label: "the others agree", record: "members", kind: KindInProcess, name: "zone_s", unit: "s"},
 		}},
-	{role: "A region cut for an hour, and back", state: "as Members; those gone are kept ten minutes", command: "as Members (30 s against 5 s kept: an hour by a factor of 120)",
+	{title: "A region cut for an hour, and back", state: "as Members; those gone are kept ten minutes", command: "as Members (30 s against 5 s kept: an hour by a factor of 120)",
 		mechanism: "`fleet/members`: addresses in `join` are asked for ever, so some of them must lie in the other region",
 		cells: []cell{
 			{column: "bytes", label: "worst 10 s at the cut", record: "members", kind: KindInProcess, name: "cut_bytes10", unit: "bytes/s", budget: maxControlBytes},
@@ -115,7 +115,7 @@
 			{column: "in force", label: "the smaller side agrees", record: "members", kind: KindInProcess, name: "cut_small_s", unit: "s"},
 			{column: "in force", label: "all agree when it is back", record: "members", kind: KindInProcess, name: "healed_s", unit: "s"},
 		}},
-	{role: "Operators' view", state: "N members, reports on 8 x C servers", mechanism: "`canvasrouter fleet`, a node at a time, on its own socket: nothing of it goes between nodes",
+	{title: "Operators' view", state: "N members, reports on 8 x C servers", mechanism: "`canvasrouter fleet`, a node at a time, on its own socket: nothing of it goes between nodes",
 		command: "canvaslab scale view --nodes 25,50,100,200,400,900 (hollow); --nodes 25,50,100 --node bin/canvasrouter (real)",
 		cells: []cell{
 			{column: "bytes", label: "a look at one node", record: "view", kind: KindInProcess, name: "view_bytes", unit: "bytes"},
@@ -223,7 +223,7 @@
 			}
 			if figure.budget > 0 && value > figure.budget {
 				line += fmt.Sprintf(" **over %s**", formatFigure(figure.budget))
-				p.OverBudget = append(p.OverBudget, fmt.Sprintf("%s, %s: %s %s, over %s (%.1f times)", role.role, figure.label, formatFigure(value), figure.unit, formatFigure(figure.budget), value/figure.budget))
+				p.OverBudget = append(p.OverBudget, fmt.Sprintf("%s, %s: %s %s, over %s (%.1f times)", role.title, figure.label, formatFigure(value), figure.unit, formatFigure(figure.budget), value/figure.budget))
 			} else if figure.budget > 0 {
 				line += fmt.Sprintf(", under %s", formatFigure(figure.budget))
 			}
@@ -236,11 +236,11 @@
 		}
 		if missing != "" {
 			slopes = append(slopes, "**not measured:** "+missing)
-			if role.noMechanism || !slices.ContainsFunc(role.cells, func(figure cell) bool { _, _, _, ok := p.figure(figure, TargetNodes); return ok }) {
-				p.Missing = append(p.Missing, role.role+": "+missing)
+			if role.hasNoMechanism || !slices.ContainsFunc(role.cells, func(figure cell) bool { _, _, _, ok := p.figure(figure, TargetNodes); return ok }) {
+				p.Missing = append(p.Missing, role.title+": "+missing)
 			}
 		}
-		fmt.Fprintf(&b, "| %s | %s |", role.role, role.state)
+		fmt.Fprintf(&b, "| %s | %s |", role.title, role.state)
 		for _, column := range columns {
 			fmt.Fprintf(&b, " %s |", strings.Join(cells[column], "<br>"))
 		}
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -107,29 +107,29 @@
 
 // ask sends one call. A kept connection that the other side has closed just then, before it read the call, is no answer: the call
 // goes once more, on a new one, as the protocol has it.
-func (a *pathClient) call() error {
-	a.mu.Lock()
+func (p *pathClient) call() error {
+	p.mu.Lock()
 	var idle *idleConn
-	if n := len(a.idle); n > 0 {
-		idle, a.idle = a.idle[n-1], a.idle[:n-1]
+	if n := len(p.idle); n > 0 {
+		idle, p.idle = p.idle[n-1], p.idle[:n-1]
 	}
-	a.mu.Unlock()
-	id := a.ids.Add(1)
+	p.mu.Unlock()
+	id := p.ids.Add(1)
 	if idle != nil {
-		if err := a.exchange(idle, id); !errors.Is(err, errClosedEarly) {
+		if err := p.exchange(idle, id); !errors.Is(err, errClosedEarly) {
 			return err
 		}
 	}
-	conn, err := net.DialTimeout("tcp", a.addr, time.Second)
+	conn, err := net.DialTimeout("tcp", p.addr, time.Second)
 	if err != nil {
 		return err
 	}
-	return a.exchange(&idleConn{conn, bufio.NewReader(conn)}, id)
+	return p.exchange(&idleConn{conn, bufio.NewReader(conn)}, id)
 }
 
 var errClosedEarly = errors.New("closed before a byte of the answer")
 
-func (a *pathClient) exchange(conn *idleConn, id int64) error {
+func (p *pathClient) exchange(conn *idleConn, id int64) error {
 	conn.SetDeadline(time.Now().Add(2 * time.Second))
 	_, err := fmt.Fprintf(conn, "GET /call HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %x\r\nX-Remaining-Ms: 900\r\n\r\n", id)
 	if err == nil {
@@ -152,14 +152,14 @@
 		conn.Close()
 		return err
 	}
-	a.mu.Lock()
-	a.idle = append(a.idle, conn)
-	a.mu.Unlock()
+	p.mu.Lock()
+	p.idle = append(p.idle, conn)
+	p.mu.Unlock()
 	return nil
 }
 
 // offer asks in an open loop, Poisson, for a span.
-func (a *pathClient) offerLoad(ctx context.Context, rate float64, duration time.Duration, rng *rand.Rand) (latencies *hdrhistogram.Histogram, failed int64) {
+func (p *pathClient) offerLoad(ctx context.Context, rate float64, duration time.Duration, rng *rand.Rand) (latencies *hdrhistogram.Histogram, failed int64) {
 	latencies = hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var calls sync.WaitGroup
@@ -171,7 +171,7 @@
 		}
 		intended := started.Add(at)
 		calls.Go(func() {
-			if err := a.call(); err != nil {
+			if err := p.call(); err != nil {
 				failures.Add(1)
 				return
 			}
@@ -207,7 +207,7 @@
 	ids := &atomic.Int64{}
 	ids.Store(int64(seed) << 40)
 	// Each of the two chains has servers of its own: one calls the next node, the other the next server.
-	startChain := func(withNodes bool) (first string, nodes []*process, stop func(), err error) {
+	startChain := func(throughNodes bool) (firstAddr string, nodes []*process, stop func(), err error) {
 		nextHop := make([]*pathClient, hops)
 		handle := func(server int, _ *http.Request) bool {
 			i := server / perService
@@ -222,39 +222,39 @@
 			return "", nil, nil, err
 		}
 		stop = func() {
-			for _, n := range nodes {
-				n.kill()
+			for _, node := range nodes {
+				node.kill()
 			}
 			stopServers()
 		}
 		hopAddrs := make([]string, hops)
 		for i := range hops {
-			if hopAddrs[i] = addrs[i*perService]; !withNodes {
+			if hopAddrs[i] = addrs[i*perService]; !throughNodes {
 				continue
 			}
 			deployment, knownServers := processDeployment(addrs[i*perService : (i+1)*perService])
-			n := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-			if err := os.WriteFile(n.file, deployment.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, knownServers, nil), 0o600); err != nil {
+			node := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
+			if err := os.WriteFile(node.file, deployment.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), node.addr, "127.0.0.1:1", seed, knownServers, nil), 0o600); err != nil {
 				return "", nil, stop, err
 			}
-			if err := n.start(program); err != nil {
+			if err := node.start(program); err != nil {
 				return "", nil, stop, err
 			}
-			nodes, hopAddrs[i] = append(nodes, n), n.addr
+			nodes, hopAddrs[i] = append(nodes, node), node.addr
 		}
 		for i := range hops - 1 {
 			nextHop[i] = &pathClient{addr: hopAddrs[i+1], ids: ids}
 		}
 		return hopAddrs[0], nodes, stop, nil
 	}
-	direct, _, stopDirect, err := startChain(false)
+	directAddr, _, stopDirect, err := startChain(false)
 	if err != nil {
 		return point, err
 	}
 	defer stopDirect()
-	withNodes, nodes, stopThrough, err := startChain(true)
-	if stopThrough != nil {
-		defer func() { stopThrough() }()
+	routedAddr, nodes, stopRouted, err := startChain(true)
+	if stopRouted != nil {
+		defer func() { stopRouted() }()
 	}
 	if err != nil {
 		return point, err
@@ -265,24 +265,24 @@
 			return point, err
 		}
 	}
-	directClient, routedClient := &pathClient{addr: direct, ids: ids}, &pathClient{addr: withNodes, ids: ids}
+	directClient, routedClient := &pathClient{addr: directAddr, ids: ids}, &pathClient{addr: routedAddr, ids: ids}
 	warmUp := 3 * time.Second
-	run := func(span time.Duration) (directLatencies, routedLatencies *hdrhistogram.Histogram, failed int64) {
-		var both sync.WaitGroup
+	run := func(duration time.Duration) (directLatencies, routedLatencies *hdrhistogram.Histogram, failed int64) {
+		var clients sync.WaitGroup
 		var directFailed, routedFailed int64
-		both.Go(func() {
-			directLatencies, directFailed = directClient.offerLoad(ctx, callRate, span, rand.New(rand.NewPCG(seed, 1)))
+		clients.Go(func() {
+			directLatencies, directFailed = directClient.offerLoad(ctx, callRate, duration, rand.New(rand.NewPCG(seed, 1)))
 		})
-		both.Go(func() {
-			routedLatencies, routedFailed = routedClient.offerLoad(ctx, callRate, span, rand.New(rand.NewPCG(seed, 2)))
+		clients.Go(func() {
+			routedLatencies, routedFailed = routedClient.offerLoad(ctx, callRate, duration, rand.New(rand.NewPCG(seed, 2)))
 		})
-		both.Wait()
+		clients.Wait()
 		return directLatencies, routedLatencies, directFailed + routedFailed
 	}
 	run(warmUp)
 	cpuSeconds := func() (sum float64) {
-		for _, n := range nodes {
-			sum += processorTime(n.cmd.Process.Pid)
+		for _, node := range nodes {
+			sum += processorTime(node.cmd.Process.Pid)
 		}
 		return sum
 	}
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -20,7 +20,7 @@
 	"canvasrouter/policy"
 )
 
-// process is one node of the program, beside stand-ins of this process.
+// process is one node of the program, whose servers and registry are stand-ins in this process.
 type process struct {
 	cmd       *exec.Cmd
 	addr      string
@@ -30,20 +30,26 @@
 	startedAt time.Time
 }
 
+// start starts the process.
 func (p *process) start(program string) error {
 	p.cmd = exec.Command(program)
 	p.cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.file)
 	p.log.Reset()
-	p.cmd.Stderr, p.cmd.WaitDelay = &p.log, time.Second
-	p.startedAt, p.ended = time.Now(), make(chan struct{})
+	p.cmd.Stderr = &p.log
+	p.cmd.WaitDelay = time.Second
+	p.startedAt = time.Now()
+	p.ended = make(chan struct{})
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	go func(cmd *exec.Cmd, ended chan struct{}) { cmd.Wait(); close(ended) }(p.cmd, p.ended)
+	go func(cmd *exec.Cmd, ended chan struct{}) {
+		cmd.Wait()
+		close(ended)
+	}(p.cmd, p.ended)
 	return nil
 }
 
-// listens waits until the node answers that it is ready.
+// waitReady waits until the node answers its readiness check, and returns the time since the start.
 func (p *process) waitReady(ctx context.Context, client *http.Client, timeout time.Duration) (ready time.Duration, err error) {
 	for {
 		if response, err := client.Get("http://" + p.addr + "/-/ready"); err == nil {
@@ -56,7 +62,7 @@
 	}
 }
 
-// ready waits until the node answers that it is ready, and then until an op is answered.
+// waitServing waits until the node is ready and then until it serves an op. It returns the time of both since the start.
 func (p *process) waitServing(ctx context.Context, client *http.Client, timeout time.Duration) (ready, serving time.Duration, err error) {
 	if ready, err = p.waitReady(ctx, client, timeout); err != nil {
 		return 0, 0, err
@@ -80,6 +86,7 @@
 	}
 }
 
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	if p.cmd != nil && p.cmd.Process != nil {
 		p.cmd.Process.Kill()
@@ -87,7 +94,8 @@
 	}
 }
 
-// setting is the deployment that processes of a scale run have.
+// processDeployment returns the deployment of the measured processes, with servers at the given addresses, and the cached
+// list of these servers.
 func processDeployment(addrs []string) (*scenario.Scenario, []byte) {
 	deployment := &scenario.Scenario{Name: "scale", Zones: []string{"a", "b", "c", "d", "e"},
 		Categories: []scenario.Category{{Name: "call", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"}},
@@ -102,11 +110,12 @@
 	return deployment, options.EncodeList(1, entries, true)
 }
 
-// startWait is the longest that a node may take to be ready.
+// startTimeout limits the time until a node is ready, until it serves, and until it exits.
 const startTimeout = 30 * time.Second
 
-// Starts plays one size: so many processes are told to end, and start anew as they have, all at once; with the registry up, answering
-// two seconds late, and down. Each is timed from its new process to its word that it is ready, and to its first op served.
+// MeasureStarts measures restarts at one size: all processes are terminated, and each starts again once it has exited.
+// This is done with the registry up, delayed by two seconds, and down. For each process it measures the time from the
+// start until it is ready, and until its first op is served.
 func MeasureStarts(ctx context.Context, program string, nodes int, seed uint64, progress ProgressFunc) (point Point, err error) {
 	if program == "" {
 		return point, errors.New("starts are measured with processes: --node names the program")
@@ -180,7 +189,8 @@
 				if ready, serving, errs[i] = proc.waitServing(ctx, client, startTimeout); errs[i] == nil {
 					mu.Lock()
 					defer mu.Unlock()
-					readyTimes, servingTimes = append(readyTimes, ready.Seconds()), append(servingTimes, serving.Seconds())
+					readyTimes = append(readyTimes, ready.Seconds())
+					servingTimes = append(servingTimes, serving.Seconds())
 				}
 			})
 		}
@@ -190,9 +200,11 @@
 		}
 		slices.Sort(readyTimes)
 		slices.Sort(servingTimes)
-		point.Values[phase+"_ready_p50_s"], point.Values[phase+"_ready_p90_s"] = roundFigure(readyTimes[nodes/2]), roundFigure(readyTimes[nodes*9/10])
-		point.Values[phase+"_ready_most_s"], point.Values[phase+"_serves_most_s"] = roundFigure(readyTimes[nodes-1]), roundFigure(servingTimes[nodes-1])
-		progress("%d processes, registry %s: ready after %.3f s at half, %.3f at nine in ten, %.3f at the last; serving at %.3f", nodes, phase, readyTimes[nodes/2],
+		point.Values[phase+"_ready_p50_s"] = roundFigure(readyTimes[nodes/2])
+		point.Values[phase+"_ready_p90_s"] = roundFigure(readyTimes[nodes*9/10])
+		point.Values[phase+"_ready_most_s"] = roundFigure(readyTimes[nodes-1])
+		point.Values[phase+"_serves_most_s"] = roundFigure(servingTimes[nodes-1])
+		progress("%d processes, registry %s: ready after %.3f s at p50, %.3f s at p90, %.3f s at most; serving after at most %.3f s", nodes, phase, readyTimes[nodes/2],
 			readyTimes[nodes*9/10], readyTimes[nodes-1], servingTimes[nodes-1])
 	}
 	if worstLag, meanLag := timerLag.Stop(); meanLag > maxMeanLag {
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -11,11 +11,11 @@
 	"canvasrouter/internal/lab/together"
 )
 
-// looks are how many nodes are looked at, spread over all.
+// sampledViews is the number of nodes whose view is fetched, spread evenly over all nodes.
 const sampledViews = 20
 
-// Views plays one size of the operators' view: a look at one node after another, how long it takes (for real nodes from the socket to
-// its last byte read) and how much it is.
+// MeasureViews measures the operators' view at one size. It fetches the views of sampled nodes one after another, and
+// records their size and how long each takes; for real nodes that is until the last byte is read from the control socket.
 func MeasureViews(ctx context.Context, cluster Cluster, progress ProgressFunc) (point Point, err error) {
 	nodes := cluster.Size()
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
@@ -26,7 +26,9 @@
 		return point, err
 	}
 	timerLag := together.NewTimerLag()
-	meanBytes, meanMs, maxMs := 0.0, 0.0, 0.0
+	meanBytes := 0.0
+	meanMs := 0.0
+	maxMs := 0.0
 	for i := range sampledViews {
 		started := time.Now()
 		view, err := cluster.View(ctx, i*nodes/sampledViews)
@@ -38,16 +40,20 @@
 			return point, err
 		}
 		ms := time.Since(started).Seconds() * 1000
-		meanBytes, meanMs, maxMs = meanBytes+float64(len(raw))/sampledViews, meanMs+ms/sampledViews, max(maxMs, ms)
+		meanBytes = meanBytes + float64(len(raw))/sampledViews
+		meanMs = meanMs + ms/sampledViews
+		maxMs = max(maxMs, ms)
 		if len(view.Members) != nodes-1 {
-			return point, fmt.Errorf("node %d shows %d others of %d", i*nodes/sampledViews, len(view.Members), nodes-1)
+			return point, fmt.Errorf("node %d shows %d peers, want %d", i*nodes/sampledViews, len(view.Members), nodes-1)
 		}
 	}
 	worstLag, meanLag := timerLag.Stop()
-	point.Values["view_bytes"], point.Values["view_ms"], point.Values["view_most_ms"] = roundFigure(meanBytes), roundFigure(meanMs), roundFigure(maxMs)
+	point.Values["view_bytes"] = roundFigure(meanBytes)
+	point.Values["view_ms"] = roundFigure(meanMs)
+	point.Values["view_most_ms"] = roundFigure(maxMs)
 	if meanLag > maxMeanLag {
 		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	progress("%d nodes, a look at one: %.0f bytes, %.2f ms, %.2f at the most; rig late %v", nodes, meanBytes, meanMs, maxMs, worstLag.Round(time.Millisecond))
+	progress("%d nodes, view of one node: %.0f bytes, %.2f ms in the mean, %.2f ms at most; harness late by up to %v", nodes, meanBytes, meanMs, maxMs, worstLag.Round(time.Millisecond))
 	return point, ctx.Err()
 }
