--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -408,7 +408,7 @@
 	return point, ctx.Err()
 }
 
-// chosenVersion returns the highest version of a key that any replica holds.
+// chosenVersion returns the highest version of a key that any replica reports.
 func (c *storeCluster) chosenVersion(key store.Key) (version store.Version) {
 	for replica := range replicaCount {
 		if state, err := c.replicaState(replica); err == nil {
--- a/internal/lab/scale/in_process.go
+++ b/internal/lab/scale/in_process.go
@@ -18,29 +18,36 @@
 )
 
 const (
-	perService = 8   // servers of a service, each with its node: 900 in 110 services
-	zones      = 5   // in two regions: three and two
-	callRate   = 322 // calls a second at a node
+	perService = 8   // servers of a service, each with a node of its own: 900 servers are in some 110 services
+	zones      = 5   // three in one region, two in the other
+	callRate   = 322 // calls per second at each node
 )
 
-// Cluster is nodes that hear each other by a relay, real or hollow.
+// Cluster is a fleet of nodes connected by a relay. Each node has a slot of the relay. The nodes are processes of the
+// program, or in-process nodes.
 type Cluster interface {
+	// Size returns the number of nodes.
 	Size() int
-	Start(place int) error
-	Kill(place int) error
-	// Agree waits until the nodes at some places know of exactly these.
-	WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error)
+	// Start starts the node in a slot.
+	Start(slot int) error
+	// Kill stops the node in a slot without notice to its peers.
+	Kill(slot int) error
+	// WaitForAgreement waits until each node in the given slots sees exactly the nodes in these slots as alive, and
+	// returns how long that took on the cluster's clock.
+	WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error)
+	// NetworkRelay returns the relay between the nodes.
 	NetworkRelay() *relay.Relay
-	// Usage is the processor time used so far in seconds and the resident memory in MB; 0 where nodes share a process.
-	Usage(place int) (seconds, mb float64)
-	// View is what a node knows, as operators look at it.
-	View(ctx context.Context, place int) (*fleet.View, error)
-	// Slow is by how much all clocks of the run are slowed; 1: real time.
+	// Usage returns the processor time used so far in seconds and the resident memory in MB; 0 if nodes share a process.
+	Usage(slot int) (seconds, mb float64)
+	// View returns what a node knows of the fleet, as operators see it.
+	View(ctx context.Context, slot int) (*fleet.View, error)
+	// SlowdownFactor returns the factor by which all clocks of the cluster are slowed; 1 is real time.
 	SlowdownFactor() int
+	// Close stops all nodes and the relay.
 	Close() error
 }
 
-// hollow is one node without clients' and servers' sockets.
+// inProcessNode is one node of an InProcessCluster: a node without sockets for clients and servers.
 type inProcessNode struct {
 	mu      sync.Mutex
 	node    *node.Node
@@ -50,18 +57,18 @@
 	servers []policy.ServerID
 }
 
-// HollowCluster is many nodes in this process: the real code of members, judgements and the module's actor, with its real
-// clocks and sizes, each at an address of its own.
+// InProcessCluster is a Cluster of many nodes in this process. They run the real code of membership, of server reports and
+// of the node's actor, with its real intervals and sizes, each at an address of its own.
 type InProcessCluster struct {
 	relay          *relay.Relay
 	nodes          []*inProcessNode
-	calledServices int           // services that a node calls
-	retention      time.Duration // members that are gone; 0: as usual
+	calledServices int           // number of services that each node calls
+	retention      time.Duration // of departed members; 0: the default
 	slowdown       int
 	seed           uint64
 }
 
-// NewHollow opens the relay for so many, with all clocks slowed by a factor.
+// NewInProcessCluster opens the relay for the given number of nodes. All clocks are slowed by the factor slowdown.
 func NewInProcessCluster(nodes, calledServices int, retention time.Duration, slowdown int, seed uint64) (*InProcessCluster, error) {
 	fleetRelay, err := relay.New(nodes, seed)
 	if err != nil {
@@ -74,15 +81,22 @@
 	return cluster, nil
 }
 
-func (c *InProcessCluster) Size() int                    { return len(c.nodes) }
-func (c *InProcessCluster) NetworkRelay() *relay.Relay   { return c.relay }
+// Size implements Cluster.
+func (c *InProcessCluster) Size() int { return len(c.nodes) }
+
+// NetworkRelay implements Cluster.
+func (c *InProcessCluster) NetworkRelay() *relay.Relay { return c.relay }
+
+// Usage implements Cluster: it is unknown, as the nodes share this process.
 func (c *InProcessCluster) Usage(int) (float64, float64) { return 0, 0 }
-func (c *InProcessCluster) SlowdownFactor() int          { return c.slowdown }
 
-// services is how many there are.
+// SlowdownFactor implements Cluster.
+func (c *InProcessCluster) SlowdownFactor() int { return c.slowdown }
+
+// serviceCount returns the number of services of a fleet.
 func serviceCount(nodes int) int { return max(1, (nodes+perService-1)/perService) }
 
-// servers are those of the services that a node calls: the next ones after its own, round.
+// calledServers returns the servers of the services that a node calls: those that follow its own service, cyclically.
 func calledServers(slot, nodes, calledServices int) (servers []policy.ServerID) {
 	total := serviceCount(nodes)
 	for offset := 1; offset <= min(calledServices, total); offset++ {
@@ -96,7 +110,7 @@
 	return servers
 }
 
-// configuration is a hollow node's, in the platform's form.
+// configuration returns the configuration of a node, parsed from the platform's JSON format.
 func (c *InProcessCluster) configuration(slot int) (*config.Config, error) {
 	join := ""
 	for i := range min(3, len(c.nodes)) {
@@ -115,15 +129,22 @@
 		len(c.nodes), slot, slot%zones)), func(string) string { return "" })
 }
 
-// none carries nothing and asks nobody: a hollow node has no servers and no registry.
+// noServers replaces the server pool and the registry client, which in-process nodes don't have. All methods do nothing.
 type noServers struct{}
 
-func (noServers) Follow(*node.List)         {}
-func (noServers) Push(*node.Push)           {}
+// UpdateList implements node.Servers.
+func (noServers) Follow(*node.List) {}
+
+// Push implements node.Servers.
+func (noServers) Push(*node.Push) {}
+
+// CloseIdle implements node.Servers.
 func (noServers) CloseIdle(policy.ServerID) {}
-func (noServers) Watch()                    {}
 
-// Start starts a hollow node.
+// Watch implements node.Registry.
+func (noServers) Watch() {}
+
+// Start implements Cluster.
 func (c *InProcessCluster) Start(slot int) error {
 	member := c.nodes[slot]
 	member.mu.Lock()
@@ -151,11 +172,12 @@
 		<-member.ended
 		return err
 	}
-	member.node, member.fleet = newNode, newFleet
+	member.node = newNode
+	member.fleet = newFleet
 	return nil
 }
 
-// Kill ends a hollow node without a word to anybody.
+// Kill implements Cluster.
 func (c *InProcessCluster) Kill(slot int) error {
 	member := c.nodes[slot]
 	member.mu.Lock()
@@ -166,11 +188,12 @@
 	member.fleet.Kill()
 	member.stop()
 	err := <-member.ended
-	member.fleet, member.node = nil, nil
+	member.fleet = nil
+	member.node = nil
 	return err
 }
 
-// Close ends all.
+// Close implements Cluster.
 func (c *InProcessCluster) Close() error {
 	var kills sync.WaitGroup
 	semaphore := make(chan struct{}, 32)
@@ -186,14 +209,15 @@
 	return nil
 }
 
-// View is Cluster's. Hollow nodes have no socket to ask.
+// View implements Cluster. It asks the node directly, as in-process nodes have no control socket.
 func (c *InProcessCluster) View(_ context.Context, slot int) (*fleet.View, error) {
 	if nodeFleet := c.fleetOf(slot); nodeFleet != nil {
 		return nodeFleet.View(), nil
 	}
-	return nil, fmt.Errorf("node %d is not there", slot)
+	return nil, fmt.Errorf("node %d is not running", slot)
 }
 
+// fleetOf returns the fleet part of the node in a slot, or nil if none runs.
 func (c *InProcessCluster) fleetOf(slot int) *fleet.Fleet {
 	member := c.nodes[slot]
 	member.mu.Lock()
@@ -201,9 +225,10 @@
 	return member.fleet
 }
 
-// Agree is Cluster's.
+// WaitForAgreement implements Cluster.
 func (c *InProcessCluster) WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error) {
-	started, slowdown := time.Now(), time.Duration(c.slowdown)
+	started := time.Now()
+	slowdown := time.Duration(c.slowdown)
 	want := make(map[transport.LifeID]bool, len(slots))
 	for _, slot := range slots {
 		if nodeFleet := c.fleetOf(slot); nodeFleet != nil {
@@ -211,7 +236,8 @@
 		}
 	}
 	for {
-		lastWrong, wrong := 0, 0
+		lastWrong := 0
+		wrong := 0
 		for _, slot := range slots {
 			if nodeFleet := c.fleetOf(slot); nodeFleet == nil || !knowsExactly(nodeFleet, want) {
 				lastWrong = slot
@@ -233,6 +259,7 @@
 	}
 }
 
+// knowsExactly reports whether a node and its alive peers are exactly the wanted incarnations.
 func knowsExactly(nodeFleet *fleet.Fleet, want map[transport.LifeID]bool) bool {
 	peers := nodeFleet.Others()
 	if len(peers) != len(want)-1 {
@@ -246,8 +273,8 @@
 	return true
 }
 
-// Calls draws the ends of pushes at callRate a second a node, until ctx is done. Pushes to a silent server time out after a
-// second. Both are of the cluster's clock.
+// SimulateCalls records pushes and their random outcomes at each node, callRate per second, until ctx is done. Pushes to a
+// silent server time out after one second. Both times are on the cluster's clock.
 func (c *InProcessCluster) SimulateCalls(ctx context.Context, silent func(policy.ServerID) bool) {
 	const tick, callTimeout = 50 * time.Millisecond, time.Second
 	slowdown := time.Duration(c.slowdown)
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -33,9 +33,9 @@
 // restartShare is the share of the servers that a release restarts: 180 of 900.
 const restartShare = 1.0 / zones
 
-// MeasureList measures the server list at one size, with registry clients in this process that all watch one stand-in
-// registry. A release restarts a fifth of the listed servers. Then the registry goes down for two seconds, and all clients
-// reopen their watches.
+// MeasureList measures the server list at one size. The real registry client of each node runs in this process, and all
+// watch one stand-in registry. A release restarts a fifth of the listed servers. Then the registry goes down for two
+// seconds, and all clients reopen their watches.
 func MeasureList(ctx context.Context, nodes, calledServices int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	point = Point{Nodes: nodes, Values: map[string]float64{}}
 	servers := calledServices * perService
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -16,48 +16,58 @@
 	"canvasrouter/policy"
 )
 
-// RealCluster is processes of the program.
+// ProcessCluster is a Cluster whose nodes are processes of the program.
 type ProcessCluster struct {
 	*together.Processes
 	nodes int
 }
 
-// NewReal opens the relay for so many processes of a program.
+// NewProcessCluster opens the relay for the given number of processes.
 func NewProcessCluster(program string, s *scenario.Scenario, nodes int, seed uint64) (*ProcessCluster, error) {
 	p, err := together.NewProcesses(program, s, nodes, seed)
 	return &ProcessCluster{p, nodes}, err
 }
 
-func (c *ProcessCluster) Size() int                  { return c.nodes }
+// Size implements Cluster.
+func (c *ProcessCluster) Size() int { return c.nodes }
+
+// NetworkRelay implements Cluster.
 func (c *ProcessCluster) NetworkRelay() *relay.Relay { return c.Relay }
-func (c *ProcessCluster) Kill(slot int) error        { return c.Signal(slot, syscall.SIGKILL) }
-func (c *ProcessCluster) Start(slot int) error       { return c.Processes.Start(slot) }
-func (c *ProcessCluster) SlowdownFactor() int        { return 1 }
 
-// Usage is Cluster's.
+// Kill implements Cluster with a SIGKILL.
+func (c *ProcessCluster) Kill(slot int) error { return c.Signal(slot, syscall.SIGKILL) }
+
+// Start implements Cluster.
+func (c *ProcessCluster) Start(slot int) error { return c.Processes.Start(slot) }
+
+// SlowdownFactor implements Cluster: processes run in real time.
+func (c *ProcessCluster) SlowdownFactor() int { return 1 }
+
+// Usage implements Cluster.
 func (c *ProcessCluster) Usage(slot int) (seconds, mb float64) {
 	seconds, mb, _ = c.ProcessUsage(slot)
 	return seconds, mb
 }
 
-// Progress tells whoever waits.
+// ProgressFunc prints a line on the progress of a measurement.
 type ProgressFunc func(format string, args ...any)
 
 const (
-	settleTime   = 12 * time.Second // past the first seconds, in which nodes ask more
-	worstWindow  = 10 * time.Second // the worst of a fault is told over so long
+	settleTime   = 12 * time.Second // longer than the first seconds, in which new nodes send more requests
+	worstWindow  = 10 * time.Second // over which the worst traffic of a fault is averaged
 	agreeTimeout = 120 * time.Second
-	// KeepScaled and cutScaled are an hour's cut against the ten minutes that members are kept, both by one factor of 120.
+	// ScaledRetention and scaledCut stand for ten minutes, for which departed members are retained, and for a cut of one
+	// hour. Both are scaled down by the same factor of 120.
 	ScaledRetention = 5 * time.Second
 	scaledCut       = 30 * time.Second
-	// calmLeast is the least time over which calm is told: the operators count in a calm minute.
+	// minCalmTime is the least time over which calm traffic is averaged: the operators measure it over one minute.
 	minCalmTime = time.Minute
-	// cutShare is the smaller of two regions.
+	// smallRegionShare is the share of the nodes in the smaller of the two regions.
 	smallRegionShare = 0.4
 )
 
-// traffic samples what all nodes have sent and been sent, each second of the cluster's clock, and how late this process's own
-// timers are.
+// trafficSampler samples the traffic of all nodes each second of the cluster's clock, and measures how late the timers of
+// this process are.
 type trafficSampler struct {
 	relay     *relay.Relay
 	nodes     int
@@ -66,9 +76,10 @@
 	stop      chan struct{}
 	goroutine sync.WaitGroup
 	mu        sync.Mutex
-	meanBytes []float64 // a node, at each second
+	meanBytes []float64 // sent and received so far, per node, at each second
 }
 
+// startTraffic starts sampling the traffic of a cluster.
 func startTraffic(cluster Cluster) *trafficSampler {
 	sampler := &trafficSampler{relay: cluster.NetworkRelay(), nodes: cluster.Size(), slowdown: time.Duration(cluster.SlowdownFactor()), lag: together.NewTimerLag(), stop: make(chan struct{})}
 	sampler.goroutine.Go(func() {
@@ -86,6 +97,7 @@
 	return sampler
 }
 
+// sample adds one sample.
 func (t *trafficSampler) sample() {
 	sum := 0.0
 	for i := range t.nodes {
@@ -97,13 +109,15 @@
 	t.mu.Unlock()
 }
 
-// end gives the mean and the worst window, both in bytes a second and node, and how late the rig was at the most and in the mean.
+// finish stops sampling. It returns the traffic in the mean and in the worst window, both in bytes per second and node,
+// and the worst and the mean lateness of timers, on the cluster's clock.
 func (t *trafficSampler) finish() (mean, worst float64, worstLag, meanLag time.Duration) {
 	close(t.stop)
 	t.goroutine.Wait()
 	t.sample()
 	worstLag, meanLag = t.lag.Stop()
-	worstLag, meanLag = worstLag/t.slowdown, meanLag/t.slowdown
+	worstLag = worstLag / t.slowdown
+	meanLag = meanLag / t.slowdown
 	last := len(t.meanBytes) - 1
 	mean = (t.meanBytes[last] - t.meanBytes[0]) / float64(max(1, last))
 	seconds := int(worstWindow / time.Second)
@@ -114,6 +128,7 @@
 	return mean, worst, worstLag, meanLag
 }
 
+// sequence returns the numbers from from up to, but not including, to.
 func sequence(from, to int) (numbers []int) {
 	for i := from; i < to; i++ {
 		numbers = append(numbers, i)
@@ -121,7 +136,7 @@
 	return numbers
 }
 
-// startAll starts some places, a few side by side.
+// startAll starts the nodes in the given slots, a limited number at a time.
 func startAll(cluster Cluster, slots []int) error {
 	errs := make([]error, len(slots))
 	var starts sync.WaitGroup
@@ -137,11 +152,13 @@
 	return errors.Join(errs...)
 }
 
-// mostLate makes a play void: this process's own timers were later than that in the mean, so that figures of time are the machine's.
+// maxMeanLag is the mean lateness of this process's timers above which a run is void: its times would be those of an
+// overloaded machine.
 const maxMeanLag = 20 * time.Millisecond
 
-// startSpread starts some places one after another, evenly over a span of the cluster's clock. Danger: nodes that start together
-// exchange all they know together for as long as they live, and ten seconds hold all of it or nothing.
+// startSpread starts the nodes in the given slots one after another, spread evenly over a time on the cluster's clock.
+// Nodes that start together also do their periodic full exchanges together for as long as they run, so that a window of
+// ten seconds would contain all of these exchanges or none.
 func startSpread(ctx context.Context, cluster Cluster, slots []int, spread time.Duration) error {
 	errs := make([]error, len(slots))
 	var starts sync.WaitGroup
@@ -157,24 +174,26 @@
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// real is how long a span of the cluster's clock takes.
+// scaled returns the real time that a duration on the cluster's clock takes.
 func scaled(cluster Cluster, duration time.Duration) time.Duration {
 	return duration * time.Duration(cluster.SlowdownFactor())
 }
 
-// rest waits for a span of the cluster's clock.
+// sleepScaled waits for a duration on the cluster's clock.
 func sleepScaled(ctx context.Context, cluster Cluster, duration time.Duration) {
 	sleep(ctx, scaled(cluster, duration))
 }
 
-// whole is the least number of whole spans between two exchanges of all that is known, that lasts for a calm minute and for least.
+// calmDuration returns the shortest whole number of full-exchange intervals that lasts for the minimum and for
+// minCalmTime.
 func calmDuration(nodes int, minimum time.Duration) time.Duration {
 	interval := members.ExchangeEvery(nodes)
 	return (max(minimum, minCalmTime) + interval - 1) / interval * interval
 }
 
-// Members plays one size: nodes that come one after another, calm, a tenth killed, a zone lost, a region cut and back, and all killed
-// and started at once. All times are of the cluster's clock.
+// MeasureMembers measures membership at one size: nodes join one after another, a calm phase, a tenth of the nodes killed,
+// a zone lost, a region cut off and connected again, and all nodes killed and started at once. All times are on the
+// cluster's clock.
 func MeasureMembers(ctx context.Context, cluster Cluster, calmTime time.Duration, progress ProgressFunc) (point Point, err error) {
 	nodes := cluster.Size()
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
@@ -193,7 +212,7 @@
 		} else {
 			point.Values[name+"_bytes10"] = roundFigure(worst)
 		}
-		progress("%d nodes, %s: %.0f bytes a second and node, worst ten seconds %.0f; rig late %v", nodes, name, mean, worst, worstLag.Round(time.Millisecond))
+		progress("%d nodes, %s: %.0f bytes a second and node, worst ten seconds %.0f; harness late by up to %v", nodes, name, mean, worst, worstLag.Round(time.Millisecond))
 	}
 	agree := func(name string, slots []int) {
 		if err != nil {
@@ -229,16 +248,21 @@
 		return sum / float64(nodes)
 	}
 	datagramsBefore := meanDatagrams()
-	measure("calm", func() error { sleepScaled(ctx, cluster, calmTime); return err })
+	measure("calm", func() error {
+		sleepScaled(ctx, cluster, calmTime)
+		return err
+	})
 	point.Values["calm_datagrams"] = roundFigure((meanDatagrams() - datagramsBefore) / calmTime.Seconds())
-	cpu, maxMB := 0.0, 0.0
+	cpu := 0.0
+	maxMB := 0.0
 	for i := range all {
 		used, memory := cluster.Usage(i)
 		cpu += (used - cpuBefore[i]) / calmTime.Seconds() / float64(nodes)
 		maxMB = max(maxMB, memory)
 	}
 	if maxMB > 0 {
-		point.Values["calm_core_percent"], point.Values["calm_mb"] = roundFigure(100*cpu), roundFigure(maxMB)
+		point.Values["calm_core_percent"] = roundFigure(100 * cpu)
+		point.Values["calm_mb"] = roundFigure(maxMB)
 	}
 	killAndRestart := func(name string, from int) {
 		measure(name, func() error {
@@ -298,7 +322,8 @@
 	return point, err
 }
 
-// Judgements plays one size: calls with nothing wrong, then a tenth of all servers silent, for so long each, on the cluster's clock.
+// MeasureServerReports measures the nodes' reports on servers at one size: first calls to healthy servers, then calls with
+// a tenth of all servers silent. Each phase lasts for calmTime on the cluster's clock.
 func MeasureServerReports(ctx context.Context, cluster *InProcessCluster, calmTime time.Duration, progress ProgressFunc) (point Point, err error) {
 	nodes := cluster.Size()
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
@@ -319,7 +344,10 @@
 		return faulty && uint64(server)%10 == 3
 	}
 	callers.Go(func() { cluster.SimulateCalls(callsCtx, silent) })
-	defer func() { stop(); callers.Wait() }()
+	defer func() {
+		stop()
+		callers.Wait()
+	}()
 	sleepScaled(ctx, cluster, 2*time.Second)
 	meanReportBytes := func() (bytes float64) {
 		for i := range nodes {
@@ -349,7 +377,7 @@
 		if meanLag > maxMeanLag {
 			point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 		}
-		progress("%d nodes, judgements, %s: %.0f bytes a second and node; nine in ten know after %.1f s; rig late %v", nodes, name, bytes, seenAfter, worstLag.Round(time.Millisecond))
+		progress("%d nodes, server reports, %s: %.0f bytes a second and node; nine in ten nodes know after %.1f s; harness late by up to %v", nodes, name, bytes, seenAfter, worstLag.Round(time.Millisecond))
 		return bytes
 	}
 	phase("calm")
@@ -360,9 +388,11 @@
 	return point, ctx.Err()
 }
 
-// lowered is the share of nodes with a silent server on their list that have lowered one.
+// shareReducing returns the share of the nodes with a silent server in their list that have reduced the weight of a
+// server.
 func (c *InProcessCluster) shareReducing(silent func(policy.ServerID) bool) float64 {
-	affected, reducing := 0.0, 0.0
+	affected := 0.0
+	reducing := 0.0
 	for i, member := range c.nodes {
 		nodeFleet := c.fleetOf(i)
 		if nodeFleet == nil {
@@ -381,6 +411,7 @@
 	return reducing / max(1, affected)
 }
 
+// sleep waits for a duration or until ctx is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -24,16 +24,17 @@
 	"canvasrouter/internal/lab/together"
 )
 
-// HostPorts are addresses of one run's own.
+// LoopbackHost is a loopback address that one run has claimed for itself, with its ports.
 type LoopbackHost struct {
 	claim net.Listener
 	ip    string
 	next  int
 }
 
-var hostCounter atomic.Uint32
+var hostCounter atomic.Uint32 // of the addresses tried by this process
 
-// Host claims a loopback address, from which nobody connects, so that a process that starts anew finds its port free.
+// ClaimLoopbackHost claims a loopback address. No client connects from it, so that a restarted process finds its port
+// free.
 func ClaimLoopbackHost() (*LoopbackHost, error) {
 	for range 64 {
 		id := uint32(os.Getpid())*11 + hostCounter.Add(1)
@@ -45,16 +46,16 @@
 	return nil, errors.New("no loopback address is free for this run")
 }
 
-// Addr gives the next address.
+// NextAddr returns an address with the next unused port.
 func (h *LoopbackHost) NextAddr() string {
 	h.next++
 	return fmt.Sprintf("%s:%d", h.ip, h.next)
 }
 
-// Close gives the address back.
+// Close releases the address.
 func (h *LoopbackHost) Close() { h.claim.Close() }
 
-// Instant starts servers of this process that answer after a fixed time.
+// StartFixedDelayServers starts servers in this process that answer after a fixed delay.
 func StartFixedDelayServers(n int, delay time.Duration) (addrs []string, stop func(), err error) {
 	return startServers(n, func(int, *http.Request) bool {
 		if delay > 0 {
@@ -64,7 +65,7 @@
 	})
 }
 
-// handlers starts servers that answer 200 where do says so, else 500.
+// startServers starts servers in this process that answer with status 200 if handle returns true, and 500 otherwise.
 func startServers(n int, handle func(index int, r *http.Request) bool) (addrs []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
@@ -86,13 +87,14 @@
 			w.Header().Set("Content-Length", "11")
 			io.WriteString(w, `{"ok":true}`)
 		})}
-		servers, addrs = append(servers, server), append(addrs, listener.Addr().String())
+		servers = append(servers, server)
+		addrs = append(addrs, listener.Addr().String())
 		go server.Serve(listener)
 	}
 	return addrs, stop, nil
 }
 
-// asker asks on kept connections.
+// pathClient makes calls to one address and keeps idle connections.
 type pathClient struct {
 	addr string
 	mu   sync.Mutex
@@ -100,18 +102,20 @@
 	ids  *atomic.Int64
 }
 
+// idleConn is a connection with its buffered reader.
 type idleConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// ask sends one call. A kept connection that the other side has closed just then, before it read the call, is no answer: the call
-// goes once more, on a new one, as the protocol has it.
+// call makes one call. If an idle connection turns out to be closed by the other side before it read the call, the call is
+// sent again on a new connection, as HTTP allows.
 func (p *pathClient) call() error {
 	p.mu.Lock()
 	var idle *idleConn
 	if n := len(p.idle); n > 0 {
-		idle, p.idle = p.idle[n-1], p.idle[:n-1]
+		idle = p.idle[n-1]
+		p.idle = p.idle[:n-1]
 	}
 	p.mu.Unlock()
 	id := p.ids.Add(1)
@@ -127,8 +131,9 @@
 	return p.exchange(&idleConn{conn, bufio.NewReader(conn)}, id)
 }
 
-var errClosedEarly = errors.New("closed before a byte of the answer")
+var errClosedEarly = errors.New("connection closed before the first byte of the answer")
 
+// exchange sends a call on a connection, reads the answer, and keeps the connection if it can be used again.
 func (p *pathClient) exchange(conn *idleConn, id int64) error {
 	conn.SetDeadline(time.Now().Add(2 * time.Second))
 	_, err := fmt.Fprintf(conn, "GET /call HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %x\r\nX-Remaining-Ms: 900\r\n\r\n", id)
@@ -158,7 +163,8 @@
 	return nil
 }
 
-// offer asks in an open loop, Poisson, for a span.
+// offerLoad makes calls in an open loop for a duration, with Poisson arrivals. Latencies in microseconds count from the
+// time at which a call was due. It also returns the number of failed calls.
 func (p *pathClient) offerLoad(ctx context.Context, rate float64, duration time.Duration, rng *rand.Rand) (latencies *hdrhistogram.Histogram, failed int64) {
 	latencies = hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
@@ -185,10 +191,11 @@
 	return latencies, failures.Load()
 }
 
-const serverWork = 5 * time.Millisecond // of the server at the end
+// serverWork is how long a server of the last hop works on a call.
+const serverWork = 5 * time.Millisecond
 
-// Path plays a call of so many hops: each hop is a node and the eight servers of a service behind it, which call the next node. The same call without
-// the nodes goes beside it, at the same rate, in the same run.
+// MeasureCallPath measures calls over the given number of hops. Each hop is a node and the eight servers of a service
+// behind it, which call the next node. In the same run and at the same rate, the same calls are made without the nodes.
 func MeasureCallPath(ctx context.Context, program string, hops int, calmTime time.Duration, seed uint64, progress ProgressFunc) (point Point, err error) {
 	if program == "" {
 		return point, errors.New("the call's path is measured with processes: --node names the program")
@@ -206,7 +213,7 @@
 	defer host.Close()
 	ids := &atomic.Int64{}
 	ids.Store(int64(seed) << 40)
-	// Each of the two chains has servers of its own: one calls the next node, the other the next server.
+	// Each of the two chains has servers of its own. They call the next node in one chain, the next server in the other.
 	startChain := func(throughNodes bool) (firstAddr string, nodes []*process, stop func(), err error) {
 		nextHop := make([]*pathClient, hops)
 		handle := func(server int, _ *http.Request) bool {
@@ -240,7 +247,8 @@
 			if err := node.start(program); err != nil {
 				return "", nil, stop, err
 			}
-			nodes, hopAddrs[i] = append(nodes, node), node.addr
+			nodes = append(nodes, node)
+			hopAddrs[i] = node.addr
 		}
 		for i := range hops - 1 {
 			nextHop[i] = &pathClient{addr: hopAddrs[i+1], ids: ids}
@@ -260,12 +268,13 @@
 		return point, err
 	}
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for i := len(nodes) - 1; i >= 0; i-- { // the last first: those before call it
+	for i := len(nodes) - 1; i >= 0; i-- { // from the last hop on, as the earlier ones need it
 		if _, _, err := nodes[i].waitServing(ctx, client, startTimeout); err != nil {
 			return point, err
 		}
 	}
-	directClient, routedClient := &pathClient{addr: directAddr, ids: ids}, &pathClient{addr: routedAddr, ids: ids}
+	directClient := &pathClient{addr: directAddr, ids: ids}
+	routedClient := &pathClient{addr: routedAddr, ids: ids}
 	warmUp := 3 * time.Second
 	run := func(duration time.Duration) (directLatencies, routedLatencies *hdrhistogram.Histogram, failed int64) {
 		var clients sync.WaitGroup
@@ -292,8 +301,11 @@
 	worstLag, meanLag := timerLag.Stop()
 	calls := float64(routedLatencies.TotalCount() * int64(hops))
 	for name, quantile := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
-		without, with := float64(directLatencies.ValueAtQuantile(quantile))/1000, float64(routedLatencies.ValueAtQuantile(quantile))/1000
-		point.Values[name+"_direct_ms"], point.Values[name+"_ms"], point.Values[name+"_added_ms"] = roundFigure(without), roundFigure(with), roundFigure(with-without)
+		without := float64(directLatencies.ValueAtQuantile(quantile)) / 1000
+		with := float64(routedLatencies.ValueAtQuantile(quantile)) / 1000
+		point.Values[name+"_direct_ms"] = roundFigure(without)
+		point.Values[name+"_ms"] = roundFigure(with)
+		point.Values[name+"_added_ms"] = roundFigure(with - without)
 	}
 	point.Values["p99_added_a_hop_ms"] = roundFigure(point.Values["p99_added_ms"] / float64(hops))
 	point.Values["core_ms_a_call"] = roundFigure(1000 * used / max(1, calls))
@@ -301,13 +313,13 @@
 	if meanLag > maxMeanLag {
 		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
-	progress("%d hops at %d calls a second: p50 %.2f ms and %.2f direct, p99 %.2f and %.2f, p999 %.2f and %.2f; %.3f ms of a core a call and hop, %d failed; rig late %v",
+	progress("%d hops at %d calls a second: p50 %.2f ms and %.2f direct, p99 %.2f and %.2f, p999 %.2f and %.2f; %.3f ms of a core a call and hop, %d failed; harness late by up to %v",
 		hops, callRate, point.Values["p50_ms"], point.Values["p50_direct_ms"], point.Values["p99_ms"], point.Values["p99_direct_ms"], point.Values["p999_ms"],
 		point.Values["p999_direct_ms"], point.Values["core_ms_a_call"], failed, worstLag.Round(time.Millisecond))
 	return point, ctx.Err()
 }
 
-// processorTime is what a process has used so far, in seconds.
+// processorTime returns the processor time that a process has used so far, in seconds; 0 if it is unknown.
 func processorTime(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -321,7 +333,8 @@
 	return (user + system) / 100
 }
 
-// fieldsAfterName are the fields of /proc's stat behind the name, which may hold anything.
+// fieldsAfterName returns the fields of /proc/PID/stat that follow the name of the program. The name itself may contain
+// spaces and parentheses.
 func fieldsAfterName(raw []byte) []string {
 	return strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 }
