--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -1,6 +1,6 @@
-// Package scale measures what a part of the fleet costs at several sizes, keeps what was measured as small records, and works
-// the page of capacity out from them. Real processes give processor time and memory; hollow nodes, many in this process, give the
-// growth with their number.
+// Package scale measures what each part of a fleet costs at several numbers of nodes, stores the measurements as small
+// records, and generates the capacity page from them. Real processes give the processor time and memory. Many in-process
+// nodes ("hollow" in the records) give the growth with the number of nodes.
 package scale
 
 import (
@@ -18,42 +18,42 @@
 	"syscall"
 )
 
-// Kinds of node that a size was played with.
+// Kinds of nodes of a measurement.
 const (
 	KindReal      = "real"   // processes of the program
-	KindInProcess = "hollow" // the program's own parts without clients' and servers' sockets, many in a process
+	KindInProcess = "hollow" // the program's code without sockets for clients and servers, many nodes in one process
 )
 
-// Record is what was measured of one role with one kind of node.
+// Record holds the measurements of one role with one kind of node.
 type Record struct {
 	Role        string       `json:"role"`
 	Kind        string       `json:"kind"`
-	Command     string       `json:"command"` // gives the figures again
+	Command     string       `json:"command"` // reproduces the figures
 	Cores       int          `json:"cores"`   // of the machine
 	Points      []Point      `json:"points"`
 	Predictions []Prediction `json:"predictions,omitempty"`
 }
 
-// Point is one play at one size.
+// Point is one run of a measurement at one size.
 type Point struct {
 	Nodes         int                `json:"nodes"`
 	Run           int                `json:"play"`
 	Values        map[string]float64 `json:"values"`
-	ClockSlowdown int                `json:"slowed,omitempty"` // all clocks of the play, by this factor; 0 and 1: real time
-	VoidReason    string             `json:"void,omitempty"`   // why it does not count
+	ClockSlowdown int                `json:"slowed,omitempty"` // factor by which all clocks of the run were slowed; 0 and 1: real time
+	VoidReason    string             `json:"void,omitempty"`   // why the run does not count; "": it counts
 }
 
-// Prediction is what smaller sizes gave for a larger one, written down before it was played.
+// Prediction holds the values that smaller sizes predict for a larger one, recorded before that size was measured.
 type Prediction struct {
 	Nodes     int                `json:"nodes"`
-	FromSizes []int              `json:"from"` // sizes
+	FromSizes []int              `json:"from"`
 	Values    map[string]float64 `json:"values"`
 }
 
-// file is where a record stands in a directory.
+// recordPath returns the path of a record in a directory.
 func recordPath(dir, role, kind string) string { return filepath.Join(dir, role+"-"+kind+".json") }
 
-// Load reads a record; one that is not there yet is empty. A fault is one line that names the file.
+// Load reads a record; if there is none yet, it returns an empty one. An error is one line that names the file.
 func Load(dir, role, kind string) (*Record, error) {
 	r := &Record{Role: role, Kind: kind}
 	path := recordPath(dir, role, kind)
@@ -67,6 +67,7 @@
 	return r, r.parse(path, raw)
 }
 
+// parse decodes and checks a record.
 func (r *Record) parse(path string, raw []byte) error {
 	if err := json.Unmarshal(raw, r); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// All reads the records of a directory, by file name.
+// LoadAll reads all records of a directory, in the order of their file names.
 func LoadAll(dir string) ([]*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -107,7 +108,8 @@
 	return records, nil
 }
 
-// Save writes the record, with what other runs have added to its file meanwhile.
+// Save writes the record. Points and predictions that other processes have added to the file meanwhile are kept; a lock on
+// the directory serializes concurrent calls.
 func (r *Record) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -142,7 +144,7 @@
 	return os.WriteFile(recordPath(dir, r.Role, r.Kind), append(raw, '\n'), 0o644)
 }
 
-// Add takes a play in. One of the same size and number takes the place of the earlier.
+// Add adds a run. It replaces an earlier run with the same size and number.
 func (r *Record) Add(p Point) {
 	for i := range r.Points {
 		if r.Points[i].Nodes == p.Nodes && r.Points[i].Run == p.Run {
@@ -153,7 +155,8 @@
 	r.Points = append(r.Points, p)
 }
 
-// Predict writes down what the sizes below give for one, unless it was played or predicted before.
+// Predict returns the prediction for a size. Unless there is one already, it is computed from the smaller sizes and
+// recorded. It returns nil if fewer than three smaller sizes were measured, or if the size itself was measured before.
 func (r *Record) Predict(nodes int) *Prediction {
 	for i := range r.Predictions {
 		if r.Predictions[i].Nodes == nodes {
@@ -174,7 +177,7 @@
 	return &r.Predictions[len(r.Predictions)-1]
 }
 
-// Sizes are those played, in order.
+// Sizes returns the measured sizes that include selects, in order.
 func (r *Record) Sizes(include func(nodes int) bool) (sizes []int) {
 	for _, p := range r.Points {
 		if p.VoidReason == "" && include(p.Nodes) && !slices.Contains(sizes, p.Nodes) {
@@ -185,7 +188,7 @@
 	return sizes
 }
 
-// Names are those of the values, in order.
+// ValueNames returns the names of all values, in order.
 func (r *Record) ValueNames() (names []string) {
 	for _, p := range r.Points {
 		for name := range p.Values {
@@ -198,26 +201,29 @@
 	return names
 }
 
-// At is the mean of a value at a size over its plays, and the spread: the least and the most.
+// Stats returns the mean, the lowest and the highest of a value over the runs at a size, and the number of these runs.
 func (r *Record) Stats(name string, nodes int) (mean, lowest, highest float64, runs int) {
-	lowest, highest = math.Inf(1), math.Inf(-1)
+	lowest = math.Inf(1)
+	highest = math.Inf(-1)
 	for _, p := range r.Points {
 		if v, has := p.Values[name]; has && p.Nodes == nodes && p.VoidReason == "" {
 			mean += v
-			lowest, highest = min(lowest, v), max(highest, v)
+			lowest = min(lowest, v)
+			highest = max(highest, v)
 			runs++
 		}
 	}
 	return mean / float64(max(1, runs)), lowest, highest, runs
 }
 
-// Fit is how a value grows with the number of nodes.
+// GrowthFit describes how a value grows with the number of nodes.
 type GrowthFit struct {
 	Form             string  // "constant", "logarithmic", "linear", "quadratic"
-	Intercept, Slope float64 // A + B x f(nodes)
-	MaxRelativeError float64 // largest distance from a size's mean, as a share of it
+	Intercept, Slope float64 // the value is Intercept + Slope * f(nodes), where f depends on Form
+	MaxRelativeError float64 // largest deviation from the mean at a size, as a share of it
 }
 
+// growthForms are the forms of growth, from the simplest on.
 var growthForms = []struct {
 	name string
 	of   func(n float64) float64
@@ -228,7 +234,7 @@
 	{"quadratic", func(n float64) float64 { return n * n }},
 }
 
-// At is the value at a size.
+// Value returns the fitted value at a size.
 func (f GrowthFit) Value(nodes float64) float64 {
 	for _, form := range growthForms {
 		if form.name == f.Form {
@@ -238,15 +244,17 @@
 	return math.NaN()
 }
 
-// nearEnough is how far from every size's mean a simpler form may lie to be taken.
+// maxFormError is the largest relative error with which a simpler form is preferred to a better fitting one.
 const maxFormError = 0.1
 
-// Fit finds the simplest form that passes near every size's mean, or else the nearest.
+// FitGrowth finds the simplest form whose error is at most maxFormError at every size, or else the form with the smallest
+// error. Only sizes that include selects count.
 func (r *Record) FitGrowth(name string, include func(nodes int) bool) (best GrowthFit, ok bool) {
 	var xs, ys []float64
 	for _, n := range r.Sizes(include) {
 		if mean, _, _, runs := r.Stats(name, n); runs > 0 {
-			xs, ys = append(xs, float64(n)), append(ys, mean)
+			xs = append(xs, float64(n))
+			ys = append(ys, mean)
 		}
 	}
 	if len(xs) < 2 {
@@ -269,8 +277,9 @@
 	return best, true
 }
 
-// line is the least squares of y over of(x), each distance as a share of y, so that small sizes count like large ones.
-func leastSquares(xs, ys []float64, transform func(float64) float64) (a, b float64) {
+// leastSquares fits y = intercept + slope * transform(x) with the least sum of squared relative errors. With relative
+// errors, small sizes count as much as large ones.
+func leastSquares(xs, ys []float64, transform func(float64) float64) (intercept, slope float64) {
 	var sumW, sumWX, sumWY, sumWXX, sumWXY float64
 	for i, x := range xs {
 		weight := 1 / max(1e-18, ys[i]*ys[i])
@@ -282,12 +291,13 @@
 		sumWXY += weight * transformed * ys[i]
 	}
 	if determinant := sumW*sumWXX - sumWX*sumWX; math.Abs(determinant) > 1e-12*sumW*sumWXX {
-		b = (sumW*sumWXY - sumWX*sumWY) / determinant
+		slope = (sumW*sumWXY - sumWX*sumWY) / determinant
 	}
-	return (sumWY - b*sumWX) / sumW, b
+	return (sumWY - slope*sumWX) / sumW, slope
 }
 
-// round keeps four digits: more would be noise.
+// roundFigure rounds to four significant digits, as further ones would be noise. It returns 0 for what is no finite
+// number.
 func roundFigure(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
@@ -296,7 +306,7 @@
 	return x
 }
 
-// ParseSizes reads sizes such as 25,50,100.
+// ValidateSizes checks the sizes given on the command line.
 func ValidateSizes(sizes []int, maximum int) error {
 	for _, n := range sizes {
 		if n < 1 || n > maximum {
@@ -309,7 +319,7 @@
 	return nil
 }
 
-// text writes a figure for a person.
+// formatFigure formats a figure for the page, with at most three decimals.
 func formatFigure(x float64) string {
 	switch {
 	case x == 0:
--- a/internal/lab/scale/record_test.go
+++ b/internal/lab/scale/record_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// sampleRecord returns a record with three runs at each of four sizes; the values follow growth with some noise.
 func sampleRecord(growth func(n float64) float64) *Record {
 	record := &Record{Role: "members", Kind: KindInProcess}
 	for _, n := range []int{25, 50, 100, 200} {
@@ -19,7 +20,8 @@
 	return record
 }
 
-// The form is found, and what is predicted for a larger size stands in the record before that is played.
+// FitGrowth finds the form of the growth. A prediction for a larger size does not change once that size is measured, and a
+// size that is measured already gets no prediction.
 func TestGrowthForms(t *testing.T) {
 	for want, growth := range map[string]func(float64) float64{
 		"constant":    func(float64) float64 { return 500 },
@@ -30,7 +32,7 @@
 		r := sampleRecord(growth)
 		fit, ok := r.FitGrowth("calm_bytes", func(int) bool { return true })
 		if !ok || fit.Form != want || math.Abs(fit.Value(900)/growth(900)-1) > 0.02 {
-			t.Errorf("%s: found %+v, %.0f at 900, not %.0f", want, fit, fit.Value(900), growth(900))
+			t.Errorf("%s: found %+v, %.0f at 900, want %.0f", want, fit, fit.Value(900), growth(900))
 		}
 		prediction := r.Predict(900)
 		if prediction == nil || math.Abs(prediction.Values["calm_bytes"]/growth(900)-1) > 0.02 {
@@ -38,21 +40,23 @@
 		}
 		r.Add(Point{Nodes: 900, Run: 1, Values: map[string]float64{"calm_bytes": 1}})
 		if repeated := r.Predict(900); repeated == nil || repeated.Values["calm_bytes"] != prediction.Values["calm_bytes"] {
-			t.Errorf("%s: the prediction has changed once the size was played", want)
+			t.Errorf("%s: the prediction has changed after the size was measured", want)
 		}
 		if later := r.Predict(901); later == nil || len(later.FromSizes) != 5 {
 			t.Errorf("%s: %+v", want, later)
 		}
 	}
 	if sampleRecord(func(float64) float64 { return 1 }).Predict(100) != nil {
-		t.Error("a size that was played is predicted after it")
+		t.Error("a size that was measured already gets a prediction")
 	}
 }
 
-// Records come back as they were saved; two runs that save side by side lose nothing; a broken one is one line that names its file.
+// Saved records load unchanged. Two records that save to the same file lose nothing. The error for an invalid record is
+// one line that names its file.
 func TestRecords(t *testing.T) {
 	dir := t.TempDir()
-	first, second := sampleRecord(func(float64) float64 { return 5 }), &Record{Role: "members", Kind: KindInProcess}
+	first := sampleRecord(func(float64) float64 { return 5 })
+	second := &Record{Role: "members", Kind: KindInProcess}
 	second.Add(Point{Nodes: 400, Run: 1, Values: map[string]float64{"calm_bytes": 7}})
 	second.Add(Point{Nodes: 400, Run: 2, VoidReason: "late"})
 	for _, r := range []*Record{first, second} {
@@ -68,7 +72,7 @@
 		t.Errorf("sizes %s", sizes)
 	}
 	if mean, _, _, runs := got[0].Stats("calm_bytes", 400); mean != 7 || runs != 1 {
-		t.Errorf("a void play counts: %v of %d", mean, runs)
+		t.Errorf("a void run counts: %v of %d", mean, runs)
 	}
 	for name, raw := range map[string]string{"members-real.json": `{"role": "members"`, "list-real.json": `{"role":"list","kind":"some"}`,
 		"path-real.json":    `{"role":"path","kind":"real","points":[{"nodes":0}]}`,
@@ -84,7 +88,7 @@
 	}
 }
 
-// The page in docs says what the records beside it say.
+// The capacity page in docs matches the records.
 func TestPageMatchesRecords(t *testing.T) {
 	records, err := LoadAll("../../../docs/capacity")
 	if err != nil {
@@ -99,18 +103,18 @@
 		t.Fatal(err)
 	}
 	if want != string(raw) {
-		t.Error("docs/CAPACITY.md differs from docs/capacity: canvaslab capacity --write docs/CAPACITY.md makes it anew")
+		t.Error("docs/CAPACITY.md differs from docs/capacity: canvaslab capacity --write docs/CAPACITY.md generates it again")
 	}
 	changed := strings.Replace(string(raw), "| Members |", "| Numbers |", 1)
 	if regenerated, _ := ReplaceGenerated(changed, NewPage(records).Render()); changed == string(raw) || regenerated == changed {
-		t.Error("a figure that drifts is not seen")
+		t.Error("a changed page is not detected")
 	}
 	if _, err := ReplaceGenerated("no marks", ""); err == nil {
-		t.Error("a page without marks is taken")
+		t.Error("a page without marks is accepted")
 	}
 }
 
-// A budget that is passed is told as passed.
+// The table marks a figure above its budget, and OverBudget lists it.
 func TestBudgets(t *testing.T) {
 	r := sampleRecord(func(n float64) float64 { return 100 * n })
 	p := NewPage([]*Record{r})
--- a/internal/lab/scale/slowdown_test.go
+++ b/internal/lab/scale/slowdown_test.go
@@ -10,8 +10,8 @@
 	"canvasrouter/policy"
 )
 
-// On a slowed clock everything that hollow nodes do takes as much longer: they say as much to each other in a second of that clock,
-// and find one that was killed after as long. A wait left in real time would show as twice as much.
+// On slowed clocks in-process nodes do everything in the same time by these clocks: they send as many datagrams per second
+// and find a killed node as soon. An interval that wrongly stays in real time would make a difference of a factor of two.
 func TestSlowedClocks(t *testing.T) {
 	const nodes = 12
 	type figures struct{ datagrams, found float64 }
@@ -43,7 +43,7 @@
 				}
 				return sum / nodes
 			}
-			sleepScaled(t.Context(), cluster, 2*time.Second) // what joining has to tell is told
+			sleepScaled(t.Context(), cluster, 2*time.Second) // until the updates about joining have spread
 			before := meanDatagrams()
 			sleepScaled(t.Context(), cluster, 4*time.Second)
 			results[i].datagrams = (meanDatagrams() - before) / 4
@@ -59,15 +59,15 @@
 		t.Errorf("%.2f datagrams a second and node in real time, %.2f on clocks slowed by 2", realTime, slowed)
 	}
 	if realTime, slowed := results[0].found, results[1].found; slowed > 2*realTime+2 || realTime > 2*slowed+2 {
-		t.Errorf("one that was killed is found after %.1f s, and %.1f s on clocks slowed by 2", realTime, slowed)
+		t.Errorf("a killed node is found after %.1f s in real time, and %.1f s on clocks slowed by 2", realTime, slowed)
 	}
 	clock := node.NewSlowedClock(100)
 	started := clock.Now()
 	if remaining := clock.Until(started + policy.Second); remaining < 95*time.Second || remaining > 100*time.Second {
-		t.Errorf("a second is %v away", remaining)
+		t.Errorf("one second on the slowed clock takes %v", remaining)
 	}
 	time.Sleep(50 * time.Millisecond)
 	if elapsed := clock.Now() - started; elapsed < 500 || elapsed > 50*policy.Millisecond {
-		t.Errorf("%d us have passed in 50 ms", elapsed)
+		t.Errorf("%d us have passed on the slowed clock in 50 ms", elapsed)
 	}
 }
--- a/internal/lab/scale/start_test.go
+++ b/internal/lab/scale/start_test.go
@@ -7,7 +7,7 @@
 	"canvasrouter/internal/serve"
 )
 
-// The test's own program is the nodes: they have a configuration.
+// TestMain runs the test binary as a node if it has a configuration: the tests start it as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("NODE_CONFIG") != "" {
 		os.Exit(serve.Main(serve.Options{}))
@@ -15,8 +15,8 @@
 	os.Exit(m.Run())
 }
 
-// Processes that are told to end and start anew all at once are ready within 10 s, nine in ten of them, and serve, with the registry up, late
-// and down. A node that waited for its registry would not be.
+// When all processes restart at once, nine in ten are ready within 10 s, and all serve by then, whether the registry is up,
+// delayed or down. A node that waited for its registry would not be ready.
 func TestReadyAfterRestart(t *testing.T) {
 	point, err := MeasureStarts(t.Context(), os.Args[0], 40, 1, t.Logf)
 	if err != nil {
@@ -31,6 +31,6 @@
 		}
 	}
 	if _, err := MeasureStarts(t.Context(), "", 3, 1, t.Logf); err == nil {
-		t.Error("starts without a program")
+		t.Error("a measurement without a program succeeds")
 	}
 }
