--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -76,7 +76,8 @@
 			stop, err := cluster.startNode(i)
 			mu.Lock()
 			defer mu.Unlock()
-			if errs[i] = err; stop != nil {
+			errs[i] = err
+			if stop != nil {
 				cluster.stopNodes = append(cluster.stopNodes, stop)
 			}
 		})
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -54,7 +54,10 @@
 	watching := make([]bool, nodes)
 	followCtx, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
-	defer func() { stop(); clients.Wait() }()
+	defer func() {
+		stop()
+		clients.Wait()
+	}()
 	for i := range nodes {
 		addr, err := service.Listen(i)
 		if err != nil {
@@ -67,7 +70,8 @@
 				now := time.Now()
 				mu.Lock()
 				defer mu.Unlock()
-				if watching[i] = update.Form != policy.ListFailed; update.Form != policy.ListChanges {
+				watching[i] = update.Form != policy.ListFailed
+				if update.Form != policy.ListChanges {
 					return
 				}
 				for _, e := range update.Entries {
@@ -91,7 +95,8 @@
 	waitUntil := func(stage string, timeout time.Duration, isDone func() bool) time.Duration {
 		started := time.Now()
 		for !isDone() && err == nil {
-			if sleep(ctx, 10*time.Millisecond); time.Since(started) > timeout || ctx.Err() != nil {
+			sleep(ctx, 10*time.Millisecond)
+			if time.Since(started) > timeout || ctx.Err() != nil {
 				err = fmt.Errorf("%s: not within %v: %d of %d nodes follow", stage, timeout, followers(), nodes)
 			}
 		}
--- a/internal/lab/scale/list_processes.go
+++ b/internal/lab/scale/list_processes.go
@@ -84,7 +84,8 @@
 	}
 	started := time.Now()
 	for calls, _ := service.Counts(); calls < int64(nodes); calls, _ = service.Counts() {
-		if sleep(ctx, 10*time.Millisecond); ctx.Err() != nil || time.Since(started) > startTimeout {
+		sleep(ctx, 10*time.Millisecond)
+		if ctx.Err() != nil || time.Since(started) > startTimeout {
 			return point, fmt.Errorf("%d of %d nodes have called the registry after %v", calls, nodes, startTimeout)
 		}
 	}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -165,7 +165,8 @@
 	started := time.Now()
 	for i, slot := range slots {
 		due := started.Add(scaled(cluster, spread) * time.Duration(i) / time.Duration(len(slots)))
-		if sleep(ctx, time.Until(due)); ctx.Err() != nil {
+		sleep(ctx, time.Until(due))
+		if ctx.Err() != nil {
 			break
 		}
 		starts.Go(func() { errs[i] = cluster.Start(slot) })
@@ -199,7 +200,7 @@
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
 	all := sequence(0, nodes)
 	calmTime = calmDuration(nodes, calmTime)
-	var maxLag time.Duration
+	var worstMeanLag time.Duration
 	measure := func(name string, run func() error) {
 		if err != nil {
 			return
@@ -207,7 +208,8 @@
 		sampler := startTraffic(cluster)
 		err = run()
 		mean, worst, worstLag, meanLag := sampler.finish()
-		if maxLag = max(maxLag, meanLag); name == "calm" {
+		worstMeanLag = max(worstMeanLag, meanLag)
+		if name == "calm" {
 			point.Values["calm_bytes"] = roundFigure(mean)
 		} else {
 			point.Values[name+"_bytes10"] = roundFigure(worst)
@@ -234,7 +236,8 @@
 	}
 	err = startSpread(ctx, cluster, all, members.ExchangeEvery(nodes))
 	agree("", all)
-	if sleepScaled(ctx, cluster, settleTime); err != nil {
+	sleepScaled(ctx, cluster, settleTime)
+	if err != nil {
 		return point, err
 	}
 	cpuBefore := make([]float64, nodes)
@@ -316,8 +319,8 @@
 		sleepScaled(ctx, cluster, worstWindow)
 		return err
 	})
-	if worstLag := maxLag; worstLag > maxMeanLag {
-		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", worstLag.Round(time.Millisecond))
+	if meanLag := worstMeanLag; meanLag > maxMeanLag {
+		point.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", meanLag.Round(time.Millisecond))
 	}
 	return point, err
 }
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -12,7 +12,7 @@
 	DoubleNodes = 1800
 )
 
-// Budgets of a node for control traffic and other overhead, as the operators set them.
+// Budgets of a node for control traffic and other overhead.
 const (
 	maxControlBytes  = 4096.0 // per second, sent and received together
 	maxCorePercent   = 2.4
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -236,7 +236,8 @@
 		}
 		hopAddrs := make([]string, hops)
 		for i := range hops {
-			if hopAddrs[i] = addrs[i*perService]; !throughNodes {
+			hopAddrs[i] = addrs[i*perService]
+			if !throughNodes {
 				continue
 			}
 			deployment, knownServers := processDeployment(addrs[i*perService : (i+1)*perService])
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -56,7 +56,8 @@
 			response.Body.Close()
 			return time.Since(p.startedAt), nil
 		}
-		if sleep(ctx, 5*time.Millisecond); ctx.Err() != nil || time.Since(p.startedAt) > timeout {
+		sleep(ctx, 5*time.Millisecond)
+		if ctx.Err() != nil || time.Since(p.startedAt) > timeout {
 			return 0, fmt.Errorf("node at %s is not ready after %v: %s", p.addr, timeout, p.log.String())
 		}
 	}
@@ -80,7 +81,8 @@
 				return ready, time.Since(p.startedAt), nil
 			}
 		}
-		if sleep(ctx, 5*time.Millisecond); ctx.Err() != nil || time.Since(p.startedAt) > timeout {
+		sleep(ctx, 5*time.Millisecond)
+		if ctx.Err() != nil || time.Since(p.startedAt) > timeout {
 			return 0, 0, fmt.Errorf("node at %s serves nothing after %v", p.addr, timeout)
 		}
 	}
--- a/internal/lab/together/network.go
+++ b/internal/lab/together/network.go
@@ -68,7 +68,8 @@
 	defer n.mu.Unlock()
 	node := slot % n.nodes
 	n.extraSlots[node]++
-	if next = node + n.nodes*n.extraSlots[node]; next >= n.slotCount {
+	next = node + n.nodes*n.extraSlots[node]
+	if next >= n.slotCount {
 		return 0, fmt.Errorf("node %d has no further address", node)
 	}
 	return next, nil
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -83,7 +83,7 @@
 	return &Server{Spec: spec, slowdown: 1, crowdedSince: Never, idleSince: Never}
 }
 
-// RestartCold restarts the server: cold and without jobs.
+// RestartCold restarts the server: cold and without jobs. A slowdown remains.
 func (s *Server) RestartCold(now policy.Micros) {
 	*s = Server{Spec: s.Spec, slowdown: s.slowdown, crowdedSince: Never, idleSince: Never, startedAt: now, coldStarted: true, coreTime: s.coreTime}
 }
@@ -134,7 +134,7 @@
 func (s *Server) Jammed() bool { return s.jammed }
 
 // Collapsed reports whether the server collapsed under load while it was cold. A collapsed server rejects every push
-// until it is restarted.
+// until RestartCold.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
 // PeakLoad returns the work of the fullest overload window since the last cold start, as a share of the budget plus
--- a/internal/standin/registry/catalog.go
+++ b/internal/standin/registry/catalog.go
@@ -59,7 +59,8 @@
 	}
 	c.current, _ = upsert(c.current)
 	var index int
-	if c.served, index = upsert(c.served); index == len(c.changedAt) {
+	c.served, index = upsert(c.served)
+	if index == len(c.changedAt) {
 		c.changedAt = append(c.changedAt, 0)
 	}
 	c.changedAt[index] = c.generation
@@ -94,7 +95,8 @@
 
 // ChangesSince returns the entries that changed after a generation, or the full list without the servers that are gone.
 func (c *Catalog) ChangesSince(generation uint64) (entries []Entry, full bool) {
-	if full = c.alwaysFull || generation < c.resetGeneration || generation > c.generation; full {
+	full = c.alwaysFull || generation < c.resetGeneration || generation > c.generation
+	if full {
 		for _, e := range c.served {
 			if e.State != policy.Gone {
 				entries = append(entries, e)
--- a/internal/standin/registry/service.go
+++ b/internal/standin/registry/service.go
@@ -118,6 +118,7 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
+// lifecycles are the names of server states in the registry's format.
 var lifecycles = map[policy.ServerState]string{policy.Ready: "active", policy.Draining: "leaving", policy.Gone: "left"}
 
 // InstanceID returns the ID under which a server is listed.
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -118,7 +118,8 @@
 	return netip.AddrPortFrom(loopbackAddr(2, node+1), uint16(port))
 }
 
-const minPort, maxPort = 22000, 32000 // below the ephemeral ports of the kernel
+// minPort and maxPort limit the ports of runs. They are below the ephemeral ports of the kernel.
+const minPort, maxPort = 22000, 32000
 
 var claimed atomic.Int64
 
@@ -464,6 +465,7 @@
 	early []byte
 }
 
+// Read returns the early data first.
 func (a *earlyDataConn) Read(b []byte) (int, error) {
 	if len(a.early) == 0 {
 		return a.Conn.Read(b)
