--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -49,7 +49,7 @@
 	defer service.Close()
 	timerLag := together.NewTimerLag()
 	var mu sync.Mutex
-	listedAt := map[int]time.Time{} // when each restart was listed, by its start time in ms
+	listedAt := map[int]time.Time{} // when each restart was listed, by its start time in µs
 	var latencies []float64
 	watching := make([]bool, nodes)
 	followCtx, stop := context.WithCancel(ctx)
@@ -85,8 +85,8 @@
 	followers := func() (count int) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, isDone := range watching {
-			if isDone {
+		for _, isWatching := range watching {
+			if isWatching {
 				count++
 			}
 		}
