--- a/internal/clients/crossing_test.go
+++ b/internal/clients/crossing_test.go
@@ -137,7 +137,7 @@
 	own := r.only(t)
 	io.WriteString(c.Conn, beyond) // what came in one piece with the request would not stop the library
 	await(t, "the library read no byte beyond", func() bool { return !own.reading.Load() })
-	if op.Client.Left() || own.leftUnread() {
+	if op.Client.Disconnected() || own.leftUnread() {
 		t.Error("it counts as left")
 	}
 	return r, c, op
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -37,7 +37,7 @@
 		os.Exit(3)
 	}()
 	return serve.Main(serve.Options{
-		Decider: func(c *config.Config) (policy.Decider, error) {
+		NewDecider: func(c *config.Config) (policy.Decider, error) {
 			d, module, err := trial.New(name, fault, c.Rules, c.Seed)
 			file := os.Getenv(SamplesEnv)
 			if err != nil || module == nil || file == "" {
@@ -49,7 +49,7 @@
 			}
 			return &sampler{Decider: d, module: module, names: names(), lines: json.NewEncoder(out)}, nil
 		},
-		Slack: func(settings policy.Micros) policy.Micros { return trial.Slack(fault, settings) },
+		AdjustAnswerSlack: func(settings policy.Micros) policy.Micros { return trial.Slack(fault, settings) },
 	})
 }
 
@@ -65,7 +65,7 @@
 func (s *sampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if now >= s.next {
 		s.next = now + sampleEvery
-		s.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+		s.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
 			name := s.names[server]
 			if server == 0 {
 				name = "all"
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -167,17 +167,17 @@
 			if !n.hears {
 				continue
 			}
-			view, err := fleet.Ask(ctx, r.rig.Addresses(n.beside).ControlSocket)
+			view, err := fleet.FetchView(ctx, r.rig.Addresses(n.beside).ControlSocket)
 			if err != nil {
 				continue // it is down, or stopped
 			}
 			closed := 0
 			for _, s := range view.Servers {
-				if s.Part < 1.0/3 {
+				if s.RemainingFraction < 1.0/3 {
 					closed++
 				}
 			}
-			if part := int64(1000 * closed / max(1, view.Listed)); part > r.closed.Load() {
+			if part := int64(1000 * closed / max(1, view.ReadyServers)); part > r.closed.Load() {
 				r.closed.Store(part)
 			}
 		}
--- a/internal/lab/live/troubles.go
+++ b/internal/lab/live/troubles.go
@@ -131,7 +131,7 @@
 	if !r.nodes[step.Node].hears {
 		return nil // nobody would hear it
 	}
-	ill := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
+	ill := map[scenario.Verb]judged.Condition{scenario.LieDown: judged.Down, scenario.LieWell: judged.Healthy}[step.Verb]
 	place, err := r.rig.NextSlot(step.Node)
 	if err != nil {
 		return err
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -139,7 +139,7 @@
 		return c.waitReplica(number)
 	}
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bindIP(c.nodes + number)}}
-	replica, err := store.NewReplica(store.ReplicaOptions{Number: number, Peers: c.replicaAddrs(), Dir: dir, Check: apply.CheckChange, Dial: dialer.DialContext}, zerolog.Nop())
+	replica, err := store.NewReplica(store.ReplicaOptions{Index: number, Replicas: c.replicaAddrs(), Dir: dir, Validate: apply.ValidateChange, Dial: dialer.DialContext}, zerolog.Nop())
 	if err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	applier := apply.New(apply.Options{Config: parsed, Getenv: noEnv, Lock: &sync.Mutex{}, Life: fmt.Sprint(node), Seed: c.seed + uint64(node), Log: zerolog.Nop(),
+	applier := apply.New(apply.Options{Config: parsed, Getenv: noEnv, InstallLock: &sync.Mutex{}, Incarnation: fmt.Sprint(node), Seed: c.seed + uint64(node), Log: zerolog.Nop(),
 		Install: func(*config.Config) error { return nil }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -216,13 +216,13 @@
 }
 
 // replicaState fetches the state of a replica.
-func (c *storeCluster) replicaState(number int) (*store.State, error) {
+func (c *storeCluster) replicaState(number int) (*store.ReplicaState, error) {
 	response, err := c.client.Get("http://" + relay.BindAddr(c.nodes+number, c.relay.Port()).String() + "/state")
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	state := &store.State{}
+	state := &store.ReplicaState{}
 	return state, json.NewDecoder(response.Body).Decode(state)
 }
 
@@ -254,12 +254,12 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	var answer store.Answer
+	var answer store.ChangeResponse
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 		return 0, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s: %s %s", response.Status, answer.Verdict, answer.Why)
+		return 0, fmt.Errorf("%s: %s %s", response.Status, answer.Verdict, answer.Reason)
 	}
 	return answer.Version, nil
 }
@@ -273,7 +273,7 @@
 		behind := 0
 		for _, node := range nodes {
 			report, known := reports[fmt.Sprintf("n%d", node)]
-			if !known || slices.Contains(report.Keys, key) && report.Runs[key] < version {
+			if !known || slices.Contains(report.Keys, key) && report.Applied[key] < version {
 				behind++
 			}
 		}
--- a/internal/lab/scale/in_process.go
+++ b/internal/lab/scale/in_process.go
@@ -133,7 +133,7 @@
 type noServers struct{}
 
 // UpdateList implements node.Servers.
-func (noServers) Follow(*node.List) {}
+func (noServers) UpdateList(*node.List) {}
 
 // Push implements node.Servers.
 func (noServers) Push(*node.Push) {}
@@ -154,11 +154,11 @@
 		return err
 	}
 	clock := node.NewSlowedClock(c.slowdown)
-	newNode := node.New(node.Options{MostOpen: 1000}, parsed.Rules.NewNode(parsed.Seed), clock, zerolog.Nop())
-	list := &node.List{Form: policy.ListWhole}
+	newNode := node.New(node.Options{MaxPendingOps: 1000}, parsed.Rules.NewNode(parsed.Seed), clock, zerolog.Nop())
+	list := &node.List{Form: policy.ListFull}
 	member.servers = calledServers(slot, len(c.nodes), c.calledServices)
 	for _, server := range member.servers {
-		list.Entries = append(list.Entries, policy.Entry{Server: server, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(server-1) % zones)})
+		list.Entries = append(list.Entries, policy.ListEntry{Server: server, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(server-1) % zones)})
 		list.Addrs = append(list.Addrs, "127.0.0.1:1")
 	}
 	newNode.Start(noServers{}, noServers{}, list)
@@ -166,7 +166,7 @@
 	ctx, member.stop = context.WithCancel(context.Background())
 	member.ended = make(chan error, 1)
 	go func() { member.ended <- newNode.Run(ctx) }()
-	newFleet, err := fleet.StartKeeping(parsed, newNode, clock, zerolog.Nop(), c.retention)
+	newFleet, err := fleet.StartWithRetention(parsed, newNode, clock, zerolog.Nop(), c.retention)
 	if err != nil {
 		member.stop()
 		<-member.ended
@@ -229,10 +229,10 @@
 func (c *InProcessCluster) WaitForAgreement(ctx context.Context, slots []int, timeout time.Duration) (time.Duration, error) {
 	started := time.Now()
 	slowdown := time.Duration(c.slowdown)
-	want := make(map[transport.LifeID]bool, len(slots))
+	want := make(map[transport.IncarnationID]bool, len(slots))
 	for _, slot := range slots {
 		if nodeFleet := c.fleetOf(slot); nodeFleet != nil {
-			want[nodeFleet.Life()] = true
+			want[nodeFleet.Incarnation()] = true
 		}
 	}
 	for {
@@ -260,13 +260,13 @@
 }
 
 // knowsExactly reports whether a node and its alive peers are exactly the wanted incarnations.
-func knowsExactly(nodeFleet *fleet.Fleet, want map[transport.LifeID]bool) bool {
-	peers := nodeFleet.Others()
+func knowsExactly(nodeFleet *fleet.Fleet, want map[transport.IncarnationID]bool) bool {
+	peers := nodeFleet.AlivePeers()
 	if len(peers) != len(want)-1 {
 		return false
 	}
 	for i := range peers {
-		if !want[peers[i].Life] {
+		if !want[peers[i].Incarnation] {
 			return false
 		}
 	}
@@ -302,17 +302,17 @@
 				}
 				now := time.Now()
 				for len(pending) > 0 && now.After(pending[0].due) {
-					nodeFleet.Ended(pending[0].server, 0, policy.TimedOut, policy.Micros(callTimeout.Microseconds()))
+					nodeFleet.PushEnded(pending[0].server, 0, policy.TimedOut, policy.Micros(callTimeout.Microseconds()))
 					pending = pending[1:]
 				}
 				for owed += callRate * tick.Seconds(); owed >= 1; owed-- {
 					server := member.servers[rng.IntN(len(member.servers))]
-					nodeFleet.Sent(server, 0)
+					nodeFleet.PushSent(server, 0)
 					if silent(server) {
 						pending = append(pending, push{server, now.Add(slowdown * callTimeout)})
 						continue
 					}
-					nodeFleet.Ended(server, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
+					nodeFleet.PushEnded(server, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
 				}
 			}
 		})
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -63,8 +63,8 @@
 		if err != nil {
 			return point, err
 		}
-		client := registry.New(registry.Options{Addr: addr, Zones: options.Zones, Kinds: options.MachineTypes, Unasked: true, Again: time.Second, Grace: drainGrace, Seed: seed + uint64(i)},
-			sockets.NewPart(4), zerolog.Nop())
+		client := registry.New(registry.Options{Addr: addr, Zones: options.Zones, MachineTypes: options.MachineTypes, AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: drainGrace, Seed: seed + uint64(i)},
+			sockets.NewBudget(4), zerolog.Nop())
 		clients.Go(func() {
 			client.Run(followCtx, func(update *node.List) {
 				now := time.Now()
@@ -75,7 +75,7 @@
 					return
 				}
 				for _, e := range update.Entries {
-					if changedAt, known := listedAt[int(e.Started)]; known {
+					if changedAt, known := listedAt[int(e.StartedAt)]; known {
 						latencies = append(latencies, now.Sub(changedAt).Seconds()*1000)
 					}
 				}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -188,7 +188,7 @@
 // calmDuration returns the shortest whole number of full-exchange intervals that lasts for the minimum and for
 // minCalmTime.
 func calmDuration(nodes int, minimum time.Duration) time.Duration {
-	interval := members.ExchangeEvery(nodes)
+	interval := members.ExchangeInterval(nodes)
 	return (max(minimum, minCalmTime) + interval - 1) / interval * interval
 }
 
@@ -234,7 +234,7 @@
 		}
 		return nil
 	}
-	err = startSpread(ctx, cluster, all, members.ExchangeEvery(nodes))
+	err = startSpread(ctx, cluster, all, members.ExchangeInterval(nodes))
 	agree("", all)
 	sleepScaled(ctx, cluster, settleTime)
 	if err != nil {
@@ -330,7 +330,7 @@
 func MeasureServerReports(ctx context.Context, cluster *InProcessCluster, calmTime time.Duration, progress ProgressFunc) (point Point, err error) {
 	nodes := cluster.Size()
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
-	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeEvery(nodes)); err != nil {
+	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeInterval(nodes)); err != nil {
 		return point, err
 	}
 	if _, err = cluster.WaitForAgreement(ctx, sequence(0, nodes), agreeTimeout); err != nil {
@@ -355,8 +355,8 @@
 	meanReportBytes := func() (bytes float64) {
 		for i := range nodes {
 			if nodeFleet := cluster.fleetOf(i); nodeFleet != nil {
-				counts := nodeFleet.Counts()
-				bytes += float64(counts.SentKinds.Judgements + counts.GotKinds.Judgements)
+				counts := nodeFleet.TransportCounts()
+				bytes += float64(counts.SentBytesByKind.ServerReports + counts.ReceivedBytesByKind.ServerReports)
 			}
 		}
 		return bytes / float64(nodes)
@@ -404,7 +404,7 @@
 		for _, server := range member.servers {
 			if silent(server) {
 				affected++
-				if nodeFleet.Lowered() > 0 {
+				if nodeFleet.ReducedServers() > 0 {
 					reducing++
 				}
 				break
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -19,7 +19,7 @@
 func MeasureViews(ctx context.Context, cluster Cluster, progress ProgressFunc) (point Point, err error) {
 	nodes := cluster.Size()
 	point = Point{Nodes: nodes, Values: map[string]float64{}, ClockSlowdown: cluster.SlowdownFactor()}
-	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeEvery(nodes)); err != nil {
+	if err = startSpread(ctx, cluster, sequence(0, nodes), members.ExchangeInterval(nodes)); err != nil {
 		return point, err
 	}
 	if _, err = cluster.WaitForAgreement(ctx, sequence(0, nodes), agreeTimeout); err != nil {
--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -66,7 +66,7 @@
 	"at_most_once": "at_most_once"}
 
 // Repeats are the categories' kinds of repeat, as the module has them.
-var Repeats = map[string]policy.Repeat{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
+var Repeats = map[string]policy.DeliverySemantics{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.AtMostOnce}
 
 // Config is a node's configuration in the platform's form. Known is the list that it starts with, in the registry's; fleet
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -206,11 +206,11 @@
 }
 
 // list is the catalog's entries as the module takes them.
-func (r *run) list(entries ...registry.Entry) ([]policy.Entry, []string) {
-	var out []policy.Entry
+func (r *run) list(entries ...registry.Entry) ([]policy.ListEntry, []string) {
+	var out []policy.ListEntry
 	for _, e := range entries {
-		out = append(out, policy.Entry{Server: id(e.Server), Started: e.StartedAt, Weight: e.Weight,
-			Cell: policy.CellID(e.Cell), Kind: policy.KindID(e.MachineType), Zone: policy.ZoneID(e.Zone), State: e.State})
+		out = append(out, policy.ListEntry{Server: id(e.Server), StartedAt: e.StartedAt, Weight: e.Weight,
+			Cell: policy.CellID(e.Cell), MachineType: policy.MachineTypeID(e.MachineType), Zone: policy.ZoneID(e.Zone), State: e.State})
 	}
 	return out, make([]string, len(out))
 }
@@ -293,7 +293,7 @@
 	if n.module == nil || !n.up {
 		return
 	}
-	n.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+	n.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
 		name := "all"
 		if server != 0 {
 			name = fmt.Sprintf("s-%d", r.byID[server])
--- a/internal/lab/together/false_reporter.go
+++ b/internal/lab/together/false_reporter.go
@@ -29,27 +29,27 @@
 
 // NewFalseReporter joins the fleet at a slot as a further node, and reports the given condition of the servers until
 // Close.
-func (n *Network) NewFalseReporter(slot, nodes int, condition judged.Ill, servers []policy.ServerID) (*FalseReporter, error) {
+func (n *Network) NewFalseReporter(slot, nodes int, condition judged.Condition, servers []policy.ServerID) (*FalseReporter, error) {
 	addresses := n.Addresses(slot)
-	incarnation := transport.LifeID(rand.Uint64())
-	sender, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: addresses.Listen, Advertise: addresses.Advertise, Life: incarnation, Pace: 1 << 20}, zerolog.Nop())
+	incarnation := transport.IncarnationID(rand.Uint64())
+	sender, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: addresses.Listen, Advertise: addresses.Advertise, Incarnation: incarnation, MaxBytesPerSecond: 1 << 20}, zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
 	reporter := &FalseReporter{transport: sender, done: make(chan struct{})}
-	self := members.Member{Name: "liar-" + condition.String(), Life: incarnation, Number: nodes + int(condition), Addr: addresses.Advertise}
-	reporter.members, err = members.Start(members.Options{Own: self, Nodes: nodes + 8, Join: []netip.AddrPort{n.Addresses(0).Advertise}}, sender, node.NewClock(), zerolog.Nop())
+	self := members.Member{Name: "liar-" + condition.String(), Incarnation: incarnation, Number: nodes + int(condition), Addr: addresses.Advertise}
+	reporter.members, err = members.Start(members.Options{Self: self, FleetSize: nodes + 8, JoinAddrs: []netip.AddrPort{n.Addresses(0).Advertise}}, sender, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		sender.Close()
 		return nil, err
 	}
 	sender.Run()
-	reporter.goroutine.Go(func() { reporter.sendReports(judged.SourceID(incarnation), uint16(self.Number), condition, servers) })
+	reporter.goroutine.Go(func() { reporter.sendReports(judged.ReporterID(incarnation), uint16(self.Number), condition, servers) })
 	return reporter, nil
 }
 
 // sendReports sends reports under two reporter IDs, one for each of two zones, until Close.
-func (r *FalseReporter) sendReports(reporter judged.SourceID, nodeNumber uint16, condition judged.Ill, servers []policy.ServerID) {
+func (r *FalseReporter) sendReports(reporter judged.ReporterID, nodeNumber uint16, condition judged.Condition, servers []policy.ServerID) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for sequence := uint32(1); ; sequence++ {
@@ -61,16 +61,16 @@
 		var reports []judged.Report
 		for _, server := range servers {
 			for zone := range uint8(2) {
-				reports = append(reports, judged.Report{Server: server, Source: reporter + judged.SourceID(zone), Number: sequence, Ill: condition, Zone: zone, Node: nodeNumber,
-					Span: 500 * policy.Millisecond})
+				reports = append(reports, judged.Report{Server: server, Reporter: reporter + judged.ReporterID(zone), Sequence: sequence, Condition: condition, Zone: zone, NodeNumber: nodeNumber,
+					Duration: 500 * policy.Millisecond})
 			}
 		}
 		for len(reports) > 0 {
-			batch := reports[:min(len(reports), judged.Fit(transport.MostPayload))]
+			batch := reports[:min(len(reports), judged.MaxReports(transport.MaxPayload))]
 			reports = reports[len(batch):]
-			payload := judged.Append(nil, batch)
-			for _, peer := range r.members.There() {
-				r.transport.Send(peer.Addr, transport.Judgements, payload)
+			payload := judged.AppendReports(nil, batch)
+			for _, peer := range r.members.AlivePeers() {
+				r.transport.Send(peer.Addr, transport.ServerReports, payload)
 			}
 		}
 	}
@@ -82,5 +82,5 @@
 	r.goroutine.Wait()
 	r.members.Close()
 	r.transport.Close()
-	time.Sleep(members.ProbeEnds) // the membership library's last probes run on, and would count as leaked goroutines
+	time.Sleep(members.MaxProbeAfterClose) // the membership library's last probes run on, and would count as leaked goroutines
 }
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -230,15 +230,15 @@
 func (p *Processes) View(ctx context.Context, slot int) (*fleet.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return fleet.Ask(ctx, p.ControlSocket(slot))
+	return fleet.FetchView(ctx, p.ControlSocket(slot))
 }
 
 // aliveMembers returns the name and incarnation of each member that is alive by a node's view, including the node itself.
 func aliveMembers(view *fleet.View) []string {
-	alive := []string{view.Own.Name + "/" + view.Own.Life}
+	alive := []string{view.Self.Name + "/" + view.Self.Incarnation}
 	for _, member := range view.Members {
 		if member.State == "alive" {
-			alive = append(alive, member.Name+"/"+member.Life)
+			alive = append(alive, member.Name+"/"+member.Incarnation)
 		}
 	}
 	slices.Sort(alive)
@@ -268,7 +268,7 @@
 				lastMismatch = errs[i].Error()
 				break
 			}
-			want = append(want, view.Own.Name+"/"+view.Own.Life)
+			want = append(want, view.Self.Name+"/"+view.Self.Incarnation)
 		}
 		slices.Sort(want)
 		agreed := len(want) == len(slots)
--- a/internal/lab/together/processes_test.go
+++ b/internal/lab/together/processes_test.go
@@ -122,8 +122,8 @@
 	p.startAll(t, 5) // at once, while all peers still regard it as alive
 	p.requireAgreement(t, "one killed and restarted", sequence(0, nodes)...)
 	after, err := p.View(t.Context(), 5)
-	if err != nil || after.Own.Life == before.Own.Life {
-		t.Errorf("%v: incarnation %s came back", err, after.Own.Life)
+	if err != nil || after.Self.Incarnation == before.Self.Incarnation {
+		t.Errorf("%v: incarnation %s came back", err, after.Self.Incarnation)
 	}
 	p.signalAll(t, syscall.SIGKILL, 6, 7)
 	p.requireAgreement(t, "two killed", sequence(0, 6)...)
@@ -152,11 +152,11 @@
 	duplicates := int64(0)
 	for _, slot := range sequence(0, nodes) {
 		view, err := p.View(t.Context(), slot)
-		if err != nil || view.Ways.Panicked > 0 {
-			t.Fatalf("%v: slot %d: %+v", err, slot, view.Ways)
+		if err != nil || view.Transport.HandlerPanics > 0 {
+			t.Fatalf("%v: slot %d: %+v", err, slot, view.Transport)
 		}
-		malformed = malformed + view.Ways.Spoilt
-		duplicates = duplicates + view.Ways.Doubled
+		malformed = malformed + view.Transport.Malformed
+		duplicates = duplicates + view.Transport.Duplicates
 	}
 	if malformed == 0 || duplicates == 0 {
 		t.Errorf("the nodes counted %d malformed frames and %d duplicates", malformed, duplicates)
