--- a/internal/lab/together/together_test.go
+++ b/internal/lab/together/network_test.go
@@ -9,23 +9,23 @@
 	"canvasrouter/internal/standin/relay"
 )
 
-// Whom a fault hits, and in which direction, is as its kind says; a place beyond the nodes' own goes with its node.
-func TestWays(t *testing.T) {
+// The kind of a fault determines which pairs and directions it affects. An extra slot is affected like its node.
+func TestPairImpairments(t *testing.T) {
 	const nodes = 30
-	count := func(b scenario.Between) (cut int) {
-		ways := PairImpairments(&b, nodes, rand.New(rand.NewPCG(1, 2)))
+	affectedPairs := func(b scenario.Between) (pairs int) {
+		impairments := PairImpairments(&b, nodes, rand.New(rand.NewPCG(1, 2)))
 		for from := range nodes {
 			for to := range nodes {
-				w := ways(from, to)
-				if w != (relay.Impairment{}) {
-					cut++
+				impairment := impairments(from, to)
+				if impairment != (relay.Impairment{}) {
+					pairs++
 				}
-				if w != ways(from+nodes, to) || w != ways(from, to+nodes) {
-					t.Fatalf("%s: a further place of %d or %d has another way", b.Kind, from, to)
+				if impairment != impairments(from+nodes, to) || impairment != impairments(from, to+nodes) {
+					t.Fatalf("%s: an extra slot of node %d or %d has another impairment", b.Kind, from, to)
 				}
 			}
 		}
-		return cut
+		return pairs
 	}
 	for _, c := range []struct {
 		fault scenario.Between
@@ -40,8 +40,8 @@
 		{scenario.Between{Kind: "loss", Factor: 0.2}, 30 * 29},
 		{scenario.Between{Kind: "slow", Factor: 0.2, Count: 1}, 2 * 29},
 	} {
-		if got := count(c.fault); got != c.want {
-			t.Errorf("%+v: acts on %d pairs, not %d", c.fault, got, c.want)
+		if got := affectedPairs(c.fault); got != c.want {
+			t.Errorf("%+v: affects %d pairs, want %d", c.fault, got, c.want)
 		}
 	}
 	slow := PairImpairments(&scenario.Between{Kind: "slow", Factor: 0.2}, 2, rand.New(rand.NewPCG(1, 2)))(0, 1)
@@ -50,13 +50,13 @@
 	}
 }
 
-// What the rig is late with is seen.
-func TestLag(t *testing.T) {
+// Stop returns the worst lateness since Reset.
+func TestTimerLag(t *testing.T) {
 	l := NewTimerLag()
-	l.book(40 * time.Millisecond)
+	l.record(40 * time.Millisecond)
 	l.Reset()
-	l.book(70 * time.Millisecond)
-	if most, _ := l.Stop(); most != 70*time.Millisecond {
-		t.Errorf("most %v", most)
+	l.record(70 * time.Millisecond)
+	if worst, _ := l.Stop(); worst != 70*time.Millisecond {
+		t.Errorf("worst %v", worst)
 	}
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -1,6 +1,8 @@
-// Package fleet is the model of a stand-in server: cores, a bounded queue, the jam, a cold start and tipping over,
-// and the memory by which a group drops repeats. It does no I/O and has no clock: time is passed in. The same model
-// stands behind servers on sockets and in simulated time.
+// Package fleet models a stand-in server: its cores, its bounded queue, jams under long queues, the cold start and the
+// collapse of an overloaded cold server. It also models the memory by which a group of servers drops duplicate ops.
+//
+// The package does no I/O and has no clock: callers pass the time in. The same model serves the servers on sockets and
+// those in simulated time.
 package fleet
 
 import (
@@ -9,302 +11,323 @@
 	"canvasrouter/policy"
 )
 
-// Never is a time that does not come.
+// Never is later than every time that occurs.
 const Never = policy.Micros(math.MaxInt64)
 
-// Traits are what a server is.
+// Spec holds the fixed properties of a server.
 type Spec struct {
 	Cores            int
-	Speed            float64 // of a core; work of 1 ms takes 1 ms at speed 1
-	QueueLimit       int     // ops that may wait; further ones are turned away
-	JamQueuePerCore  float64 // ops waiting per core that jam it; 0: never
-	JamDelay         policy.Micros
-	JamSlowdown      float64
-	JamRecoveryTime  policy.Micros // mostly idle for so long ends the jam
-	CrowdingPerCore  float64       // jobs in hand per core over which each takes longer; 0: never
-	CrowdingSlowdown float64       // times longer, for each such number more
+	Speed            float64       // of a core; work of 1 ms takes 1 ms at speed 1
+	QueueLimit       int           // ops that may wait; further ones are rejected
+	JamQueuePerCore  float64       // more waiting ops per core than this jam the server; 0: it never jams
+	JamDelay         policy.Micros // how long the queue must be that long before the server is jammed
+	JamSlowdown      float64       // factor by which jobs take longer in a jammed server
+	JamRecoveryTime  policy.Micros // how long the server must be mostly idle before the jam ends
+	CrowdingPerCore  float64       // jobs running and waiting per core above which each job takes longer; 0: no such effect
+	CrowdingSlowdown float64       // extra time, as a share, for each further CrowdingPerCore jobs per core
 	ColdStart        ColdStart
 }
 
-// Cold is how a server starts, and what pushes it over while it is cold.
+// ColdStart describes how the capacity of a restarted server rises, and which load makes it collapse meanwhile.
 type ColdStart struct {
-	InitialShare   float64 // share of the capacity at the start; it rises evenly to all of it
-	WarmUpTime     policy.Micros
-	OverloadFactor float64 // sent more than this multiple of the present capacity
-	OverloadWindow policy.Micros
-	MeanWork       policy.Micros // work of a mean op: its budget is counted in such ops
+	InitialShare   float64       // share of the full capacity at the start; it rises linearly to 1
+	WarmUpTime     policy.Micros // time until the full capacity is reached
+	OverloadFactor float64       // multiple of the present capacity above which the server collapses; 0: it never does
+	OverloadWindow policy.Micros // time over which the arriving work is summed up
+	MeanWork       policy.Micros // work of an average op: the unit of the budget
 }
 
-// Chance is how many ops beyond a budget of n are put down to chance (the operators' figure).
-func ChanceAllowance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+// ChanceAllowance returns how many ops beyond the budget are attributed to random variation. The operators of the
+// servers define the formula.
+func ChanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
-// Job is one push at a server.
+// Job is one push as a server processes it.
 type Job struct {
-	Work       policy.Micros // at a core of speed 1
-	StartKnown bool          // its node had been told of the server's last start
-	Context    any           // whoever hands it in
+	Work       policy.Micros // on a core of speed 1
+	StartKnown bool          // the sending node had been notified of the server's last start
+	Context    any           // belongs to the caller; the model does not use it
 
-	begun, running, over bool
-	ends                 policy.Micros
+	started, running, finished bool
+	endsAt                     policy.Micros
 }
 
-// Begun says that a core has taken the job: it may have had an effect.
-func (j *Job) Started() bool { return j.begun }
+// Started reports whether a core has begun the job, so that the job may have had an effect.
+func (j *Job) Started() bool { return j.started }
 
-// Server is the state of one server. The zero value is not one; use New.
+// Server is the state of one server. The zero value is not usable: call New.
 type Server struct {
 	Spec
-	running, waiting []*Job
-	held             int // jobs whose own work is over, and that hold their core until Release
-	started          policy.Micros
-	cold             bool // started during the run
-	slow             float64
-	stalled          policy.Micros // until then nothing moves
-	crowded, idle    policy.Micros // since when; Never: not
-	jammed           bool
-	tipped           bool
-	sent             []pressure
-	window, told     policy.Micros // work in sent
-	pressed          float64       // the fullest window so far, as a share of what the server bears
-	busy             policy.Micros // core time used
+	running, waiting         []*Job
+	awaitingRelease          int // jobs whose own work is done and that occupy a core until Release
+	startedAt                policy.Micros
+	coldStarted              bool // false: the server has been up since before the run
+	slowdown                 float64
+	stalledUntil             policy.Micros // until then no job makes progress
+	crowdedSince, idleSince  policy.Micros // Never: the server is not in that state
+	jammed                   bool
+	collapsed                bool
+	coldPushes               []coldPush
+	windowWork, informedWork policy.Micros // work of all coldPushes, and of those whose node knew of the start
+	peakLoad                 float64       // the fullest window so far, as a share of the load at which the server collapses
+	coreTime                 policy.Micros // used so far
 }
 
-// pressure is one push as it bears on a cold server.
-type pressure struct {
-	at, work policy.Micros
-	told     bool
+// coldPush is one push in the overload window of a cold server.
+type coldPush struct {
+	at, work   policy.Micros
+	startKnown bool
 }
 
-// New makes a server that has been up for long.
-func New(traits Spec) *Server {
-	return &Server{Spec: traits, slow: 1, crowded: Never, idle: Never}
+// New returns a server that has long been warm.
+func New(spec Spec) *Server {
+	return &Server{Spec: spec, slowdown: 1, crowdedSince: Never, idleSince: Never}
 }
 
-// Start starts the server anew, cold and empty.
+// RestartCold restarts the server: cold and without jobs. A slowdown remains.
 func (s *Server) RestartCold(now policy.Micros) {
-	*s = Server{Spec: s.Spec, slow: s.slow, crowded: Never, idle: Never, started: now, cold: true, busy: s.busy}
+	*s = Server{Spec: s.Spec, slowdown: s.slowdown, crowdedSince: Never, idleSince: Never, startedAt: now, coldStarted: true, coreTime: s.coreTime}
 }
 
-// Crash gives the jobs that were in hand; none of them ends.
+// Crash drops all jobs, which never complete, and returns them.
 func (s *Server) Crash() []*Job {
 	lost := append(append([]*Job(nil), s.running...), s.waiting...)
 	for _, j := range lost {
-		j.over, j.running = true, false
+		j.finished = true
+		j.running = false
 	}
-	s.running, s.waiting, s.held = nil, nil, 0
+	s.running = nil
+	s.waiting = nil
+	s.awaitingRelease = 0
 	return lost
 }
 
-// Slow sets how many times slower jobs run that begin from now on.
-func (s *Server) SetSlowdown(factor float64) { s.slow = factor }
+// SetSlowdown sets the factor by which jobs that start from now on take longer.
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
-// Stall keeps everything still until a moment.
+// Stall stops all progress until the given time.
 func (s *Server) Stall(now, until policy.Micros) {
-	until = max(until, s.stalled)
+	until = max(until, s.stalledUntil)
 	for _, j := range s.running {
-		j.ends += until - max(now, s.stalled)
+		j.endsAt += until - max(now, s.stalledUntil)
 	}
-	s.stalled = until
+	s.stalledUntil = until
 }
 
-// Capacity is the share of its speed that the server has now.
+// Capacity returns the share of its full speed that the server has at the given time.
 func (s *Server) Capacity(now policy.Micros) float64 {
-	if !s.cold || now >= s.started+s.ColdStart.WarmUpTime {
+	if !s.coldStarted || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return 1
 	}
-	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.started)/float64(s.ColdStart.WarmUpTime)
+	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.startedAt)/float64(s.ColdStart.WarmUpTime)
 }
 
-// Busy is the core time used so far. Waiting and Running are jobs in hand.
-func (s *Server) CoreTime() policy.Micros { return s.busy }
-func (s *Server) Waiting() int            { return len(s.waiting) }
-func (s *Server) Running() int            { return len(s.running) + s.held }
-func (s *Server) Jammed() bool            { return s.jammed }
-func (s *Server) Collapsed() bool         { return s.tipped }
+// CoreTime returns the core time used so far.
+func (s *Server) CoreTime() policy.Micros { return s.coreTime }
+
+// Waiting returns the number of jobs in the queue.
+func (s *Server) Waiting() int { return len(s.waiting) }
+
+// Running returns the number of jobs that occupy a core.
+func (s *Server) Running() int { return len(s.running) + s.awaitingRelease }
 
-// Pressed is the fullest window since the server last started cold, as a share of its budget and what is put down to chance:
-// above 1 it fell over.
-func (s *Server) PeakLoad() float64 { return s.pressed }
+// Jammed reports whether the server is slowed down by a jam.
+func (s *Server) Jammed() bool { return s.jammed }
 
-// Arrival says what became of a push.
+// Collapsed reports whether the server collapsed under load while it was cold. A collapsed server rejects every push
+// until RestartCold.
+func (s *Server) Collapsed() bool { return s.collapsed }
+
+// PeakLoad returns the work of the fullest overload window since the last cold start, as a share of the budget plus
+// ChanceAllowance. Above 1 the server has collapsed.
+func (s *Server) PeakLoad() float64 { return s.peakLoad }
+
+// ArrivalResult is the outcome of a push's arrival.
 type ArrivalResult uint8
 
 const (
-	Accepted              ArrivalResult = iota
-	Rejected                            // never runs
-	CollapsedByInformed                 // this one pushes the server over, most of it by nodes that knew: the rule is broken
-	CollapsedByUninformed               // it falls over, and most of it came from nodes that could not know
+	Accepted ArrivalResult = iota // the push runs or waits
+	Rejected                      // the push never runs
+	// CollapsedByInformed means that this push made the server collapse and that at least two thirds of the work in
+	// the window came from nodes that knew of the cold start: a breach of the cold-start rule.
+	CollapsedByInformed
+	// CollapsedByUninformed means that this push made the server collapse, but too much of the work came from nodes
+	// that could not know of the start.
+	CollapsedByUninformed
 )
 
-// Arrive takes a push, or turns it away. One that is turned away bears on a cold server all the same.
-func (s *Server) Arrive(now policy.Micros, j *Job) ArrivalResult {
-	if s.tipped {
+// Arrive accepts or rejects a push. Even a rejected push counts as load on a cold server.
+func (s *Server) Arrive(now policy.Micros, job *Job) ArrivalResult {
+	if s.collapsed {
 		return Rejected
 	}
-	if tips := s.press(now, j); tips != Accepted {
-		s.tipped = true
-		return tips
+	if result := s.addColdLoad(now, job); result != Accepted {
+		s.collapsed = true
+		return result
 	}
-	if len(s.running)+s.held >= s.Cores && len(s.waiting) >= s.QueueLimit {
-		s.load(now)
+	if len(s.running)+s.awaitingRelease >= s.Cores && len(s.waiting) >= s.QueueLimit {
+		s.updateJam(now)
 		return Rejected
 	}
-	s.waiting = append(s.waiting, j)
-	s.begin(now)
+	s.waiting = append(s.waiting, job)
+	s.startWaiting(now)
 	return Accepted
 }
 
-// press adds a push to what a cold server bears, and says whether it falls over.
-func (s *Server) press(now policy.Micros, j *Job) ArrivalResult {
-	if !s.cold || s.ColdStart.OverloadFactor <= 0 || now >= s.started+s.ColdStart.WarmUpTime {
+// addColdLoad adds a push to the overload window of a cold server. It returns Accepted unless the server collapses.
+func (s *Server) addColdLoad(now policy.Micros, job *Job) ArrivalResult {
+	if !s.coldStarted || s.ColdStart.OverloadFactor <= 0 || now >= s.startedAt+s.ColdStart.WarmUpTime {
 		return Accepted
 	}
-	s.sent = append(s.sent, pressure{now, j.Work, j.StartKnown})
-	s.window += j.Work
-	if j.StartKnown {
-		s.told += j.Work
+	s.coldPushes = append(s.coldPushes, coldPush{now, job.Work, job.StartKnown})
+	s.windowWork += job.Work
+	if job.StartKnown {
+		s.informedWork += job.Work
 	}
-	drop := 0
-	for _, p := range s.sent {
-		if p.at > now-s.ColdStart.OverloadWindow {
+	expired := 0
+	for _, push := range s.coldPushes {
+		if push.at > now-s.ColdStart.OverloadWindow {
 			break
 		}
-		s.window -= p.work
-		if p.told {
-			s.told -= p.work
+		s.windowWork -= push.work
+		if push.startKnown {
+			s.informedWork -= push.work
 		}
-		drop++
+		expired++
 	}
-	s.sent = s.sent[drop:]
+	s.coldPushes = s.coldPushes[expired:]
 	budget := s.ColdStart.OverloadFactor * s.Capacity(now) * float64(s.Cores) * s.Speed * float64(s.ColdStart.OverloadWindow) / float64(s.ColdStart.MeanWork)
-	share := float64(s.window) / float64(s.ColdStart.MeanWork) / (budget + ChanceAllowance(budget))
-	s.pressed = max(s.pressed, share)
-	if share <= 1 {
+	load := float64(s.windowWork) / float64(s.ColdStart.MeanWork) / (budget + ChanceAllowance(budget))
+	s.peakLoad = max(s.peakLoad, load)
+	if load <= 1 {
 		return Accepted
 	}
-	if s.told*3 >= s.window*2 {
+	if s.informedWork*3 >= s.windowWork*2 {
 		return CollapsedByInformed
 	}
 	return CollapsedByUninformed
 }
 
-// begin gives free cores to those that wait.
-func (s *Server) begin(now policy.Micros) {
-	for len(s.waiting) > 0 && len(s.running)+s.held < s.Cores {
-		j := s.waiting[0]
+// startWaiting starts waiting jobs on free cores.
+func (s *Server) startWaiting(now policy.Micros) {
+	for len(s.waiting) > 0 && len(s.running)+s.awaitingRelease < s.Cores {
+		job := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		speed := s.Speed * s.Capacity(now) / s.slow
+		speed := s.Speed * s.Capacity(now) / s.slowdown
 		if s.jammed {
 			speed /= s.JamSlowdown
 		}
-		if most := s.CrowdingPerCore * float64(s.Cores); most > 0 {
-			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.held+1+len(s.waiting))-most)/most
+		if threshold := s.CrowdingPerCore * float64(s.Cores); threshold > 0 {
+			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.awaitingRelease+1+len(s.waiting))-threshold)/threshold
 		}
-		took := max(1, policy.Micros(float64(j.Work)/speed))
-		j.begun, j.running, j.ends = true, true, max(now, s.stalled)+took
-		s.busy += took
-		s.running = append(s.running, j)
+		duration := max(1, policy.Micros(float64(job.Work)/speed))
+		job.started = true
+		job.running = true
+		job.endsAt = max(now, s.stalledUntil) + duration
+		s.coreTime += duration
+		s.running = append(s.running, job)
 	}
-	s.load(now)
+	s.updateJam(now)
 }
 
-// load follows the jam: it comes when too many wait for too long, and goes when the server is mostly idle.
-func (s *Server) load(now policy.Micros) {
+// updateJam starts a jam when too many jobs have waited for JamDelay, and ends it when the server has been mostly idle
+// for JamRecoveryTime.
+func (s *Server) updateJam(now policy.Micros) {
 	if s.JamQueuePerCore <= 0 {
 		return
 	}
 	if float64(len(s.waiting)) <= s.JamQueuePerCore*float64(s.Cores) {
-		s.crowded = Never
-	} else if s.crowded == Never {
-		s.crowded = now
+		s.crowdedSince = Never
+	} else if s.crowdedSince == Never {
+		s.crowdedSince = now
 	}
-	if s.crowded != Never && now-s.crowded >= s.JamDelay {
+	if s.crowdedSince != Never && now-s.crowdedSince >= s.JamDelay {
 		s.jammed = true
 	}
-	if 2*(len(s.running)+s.held) > s.Cores || len(s.waiting) > 0 {
-		s.idle = Never
-	} else if s.idle == Never {
-		s.idle = now
+	if 2*(len(s.running)+s.awaitingRelease) > s.Cores || len(s.waiting) > 0 {
+		s.idleSince = Never
+	} else if s.idleSince == Never {
+		s.idleSince = now
 	}
-	if s.jammed && s.idle != Never && now-s.idle >= s.JamRecoveryTime {
+	if s.jammed && s.idleSince != Never && now-s.idleSince >= s.JamRecoveryTime {
 		s.jammed = false
 	}
 }
 
-// Next is when the next job's own work is over.
+// NextCompletion returns when the work of the next running job is done; Never if none runs.
 func (s *Server) NextCompletion() policy.Micros {
 	next := Never
 	for _, j := range s.running {
-		next = min(next, j.ends)
+		next = min(next, j.endsAt)
 	}
 	return next
 }
 
-// Advance gives the jobs whose own work is over by now, in the order of their ends. Each holds its core until
-// Release: a server keeps the place of an op that waits for the next tier.
+// Advance returns the jobs whose own work is done by now, in the order of completion. Each occupies its core until
+// Release, because a server's core is blocked while its op waits for the next tier.
 func (s *Server) Advance(now policy.Micros) (done []*Job) {
 	for {
-		at := -1
-		for i, j := range s.running {
-			if j.ends <= now && (at < 0 || j.ends < s.running[at].ends) {
-				at = i
+		earliest := -1
+		for i, job := range s.running {
+			if job.endsAt <= now && (earliest < 0 || job.endsAt < s.running[earliest].endsAt) {
+				earliest = i
 			}
 		}
-		if at < 0 {
-			s.load(now)
+		if earliest < 0 {
+			s.updateJam(now)
 			return done
 		}
-		j := s.running[at]
-		s.running = append(s.running[:at], s.running[at+1:]...)
-		j.running = false
-		s.held++
-		done = append(done, j)
+		job := s.running[earliest]
+		s.running = append(s.running[:earliest], s.running[earliest+1:]...)
+		job.running = false
+		s.awaitingRelease++
+		done = append(done, job)
 	}
 }
 
-// Release gives a job's core back, once.
-func (s *Server) Release(now policy.Micros, j *Job) {
-	if j.over {
+// Release frees the core of a job. Further calls for the same job do nothing.
+func (s *Server) Release(now policy.Micros, job *Job) {
+	if job.finished {
 		return
 	}
-	j.over = true
-	s.held--
-	s.begin(now)
+	job.finished = true
+	s.awaitingRelease--
+	s.startWaiting(now)
 }
 
-// Leave drops a job that still waits; one that runs is not stopped. It says whether the job will never run.
-func (s *Server) Cancel(now policy.Micros, j *Job) bool {
-	for i, w := range s.waiting {
-		if w == j {
+// Cancel removes a job from the queue and reports whether it did, so that the job never runs. A running job is not
+// stopped.
+func (s *Server) Cancel(now policy.Micros, job *Job) bool {
+	for i, waiting := range s.waiting {
+		if waiting == job {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
-			j.over = true
-			s.load(now)
+			job.finished = true
+			s.updateJam(now)
 			return true
 		}
 	}
 	return false
 }
 
-// Memory is what a group of servers remembers of deduplicated ops.
+// DedupMemory records which deduplicated ops a group of servers has seen.
 type DedupMemory struct {
-	window policy.Micros
-	first  map[string]policy.Micros
+	window    policy.Micros
+	firstSeen map[string]policy.Micros
 }
 
-// NewMemory makes a group's memory, in which an op stays for window from its first arrival.
+// NewDedupMemory returns a memory that keeps each op for the given window after its first arrival.
 func NewDedupMemory(window policy.Micros) *DedupMemory {
-	return &DedupMemory{window: window, first: make(map[string]policy.Micros)}
+	return &DedupMemory{window: window, firstSeen: make(map[string]policy.Micros)}
 }
 
-// Repeat says that the op is a repeat, to be answered and not run again. The first is remembered; one tick past its
-// window it would run again.
+// CheckAndRemember reports whether an op is a duplicate, to be answered without running it again. A first arrival is
+// remembered. One tick after its window the op counts as new.
 func (m *DedupMemory) CheckAndRemember(now policy.Micros, key string) bool {
-	if first, known := m.first[key]; known && now-first <= m.window {
+	if seenAt, seen := m.firstSeen[key]; seen && now-seenAt <= m.window {
 		return true
 	}
-	m.first[key] = now
+	m.firstSeen[key] = now
 	return false
 }
 
-// Forget takes back what was remembered of an op that never ran.
-func (m *DedupMemory) Forget(key string) { delete(m.first, key) }
+// Forget removes an op that never ran, so that a repeat of it is not dropped.
+func (m *DedupMemory) Forget(key string) { delete(m.firstSeen, key) }
--- a/internal/standin/registry/service.go
+++ b/internal/standin/registry/service.go
@@ -13,83 +13,84 @@
 	"canvasrouter/policy"
 )
 
-// beat is how often an empty line comes on a watch while nothing changes.
-const beat = 2 * time.Second
+// keepaliveInterval is the time between the empty lines on a watch while nothing changes.
+const keepaliveInterval = 2 * time.Second
 
-// Words are what the service needs to write an entry, and whom it tells of what it wrote.
+// Options tell a Service how to encode entries, and whom to notify of each list that it sends.
 type Options struct {
 	Zones        []string
 	MachineTypes []string
 	Addr         func(server int) string
-	OnSent       func(node int, entries []Entry, whole bool)
+	OnSent       func(node int, entries []Entry, full bool) // called after each list sent to a node
 }
 
-// Service is a registry on loopback sockets, with a listener for each node, so that it knows whom it tells what.
+// Service is a registry on loopback sockets. Each node has a listener of its own, so that the service knows which node
+// it sends a list to.
 type Service struct {
-	words   Options
-	mu      sync.Mutex
-	catalog *Catalog
-	changed chan struct{} // closed and made anew at each change
-	broken  chan struct{} // closed when the registry goes down
-	down    bool
-	delay   time.Duration // of each change and call
-	servers []*http.Server
-	calls   atomic.Int64
-	bytes   atomic.Int64
+	options  Options
+	mu       sync.Mutex
+	catalog  *Catalog
+	changed  chan struct{} // closed and replaced at each change
+	wentDown chan struct{} // closed and replaced when the registry goes down
+	down     bool
+	delay    time.Duration // before each answer to a call and each change on a watch
+	servers  []*http.Server
+	calls    atomic.Int64
+	bytes    atomic.Int64
 }
 
-// Counts are the calls that have come so far, and the bytes of lists and empty lines written.
+// Counts returns the number of calls so far and the bytes of lists and empty lines written.
 func (s *Service) Counts() (calls, bytes int64) { return s.calls.Load(), s.bytes.Load() }
 
-// NewService makes a service that tells a catalog, each change later by delay.
-func NewService(catalog *Catalog, delay time.Duration, words Options) *Service {
-	return &Service{words: words, catalog: catalog, delay: delay, changed: make(chan struct{}), broken: make(chan struct{})}
+// NewService returns a service that offers a catalog. Calls and changes are answered after the given delay.
+func NewService(catalog *Catalog, delay time.Duration, options Options) *Service {
+	return &Service{options: options, catalog: catalog, delay: delay, changed: make(chan struct{}), wentDown: make(chan struct{})}
 }
 
-// Listen opens a node's own address.
+// Listen opens a listener for one node and returns its address.
 func (s *Service) Listen(node int) (addr string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", func(w http.ResponseWriter, r *http.Request) { s.serve(node, w, r) })
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: beat}
+	mux.HandleFunc("GET /api/targets", func(w http.ResponseWriter, r *http.Request) { s.serveTargets(node, w, r) })
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: keepaliveInterval}
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
 	s.mu.Unlock()
-	go server.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener)
+	return listener.Addr().String(), nil
 }
 
-// Change changes the catalog and wakes those who watch.
-func (s *Service) Update(do func(*Catalog)) {
+// Update changes the catalog and wakes the watches.
+func (s *Service) Update(change func(*Catalog)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	do(s.catalog)
+	change(s.catalog)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Down breaks watches and refuses calls, or ends that.
+// SetDown takes the registry down, which breaks watches and refuses calls, or brings it back.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if down && !s.down {
-		close(s.broken)
-		s.broken = make(chan struct{})
+		close(s.wentDown)
+		s.wentDown = make(chan struct{})
 	}
 	s.down = down
 }
 
-// Slow sets by how much calls and changes come later.
+// SetDelay sets the delay of answers and changes.
 func (s *Service) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
 }
 
-// Close ends the service.
+// Close closes all listeners and connections.
 func (s *Service) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,90 +99,94 @@
 	}
 }
 
-type document struct {
-	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"`
-	Instances  []instance `json:"instances"`
+// listDocument is the JSON form of a list or of a set of changes.
+type listDocument struct {
+	Generation uint64         `json:"generation"`
+	Reset      bool           `json:"reset"`
+	Instances  []listInstance `json:"instances"`
 }
 
-type instance struct {
-	ID        string  `json:"instanceId"`
-	Addr      string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   float64 `json:"startedAtMs"`
+// listInstance is the JSON form of one server.
+type listInstance struct {
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs float64 `json:"startedAtMs"`
 }
 
+// lifecycles are the names of server states in the registry's format.
 var lifecycles = map[policy.ServerState]string{policy.Ready: "active", policy.Draining: "leaving", policy.Gone: "left"}
 
-// ID is a server's text id.
+// InstanceID returns the ID under which a server is listed.
 func InstanceID(server int) string { return "s-" + strconv.Itoa(server) }
 
-// Line writes a list in the platform's form.
-func (w *Options) EncodeList(generation uint64, entries []Entry, whole bool) []byte {
-	d := document{Generation: generation, Reset: whole, Instances: []instance{}}
+// EncodeList encodes a list in the JSON format of the platform's registry.
+func (o *Options) EncodeList(generation uint64, entries []Entry, full bool) []byte {
+	document := listDocument{Generation: generation, Reset: full, Instances: []listInstance{}}
 	for _, e := range entries {
-		d.Instances = append(d.Instances, instance{ID: InstanceID(e.Server), Addr: w.Addr(e.Server), Zone: w.Zones[e.Zone],
-			Kind: w.MachineTypes[e.MachineType], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
-			Started: float64(e.StartedAt) / 1000})
+		document.Instances = append(document.Instances, listInstance{ID: InstanceID(e.Server), Addr: o.Addr(e.Server), Zone: o.Zones[e.Zone],
+			MachineType: o.MachineTypes[e.MachineType], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
+			StartedAtMs: float64(e.StartedAt) / 1000})
 	}
-	raw, err := json.Marshal(d)
+	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // numbers and words can all be written
+		panic(err) // numbers and strings always encode
 	}
 	return raw
 }
 
-func (s *Service) serve(node int, w http.ResponseWriter, r *http.Request) {
+// serveTargets answers a call for the list, or a watch, of one node.
+func (s *Service) serveTargets(node int, w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	s.mu.Lock()
-	down, broken, delay := s.down, s.broken, s.delay
+	down, wentDown, delay := s.down, s.wentDown, s.delay
 	s.mu.Unlock()
 	if down {
 		http.Error(w, "registry is down", http.StatusServiceUnavailable)
 		return
 	}
 	watch := r.URL.Query().Get("watch") == "1"
-	control := http.NewResponseController(w)
-	idle := time.NewTicker(beat)
-	defer idle.Stop()
+	controller := http.NewResponseController(w)
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	for first := true; ; first = false {
-		if !wait(r.Context(), broken, delay) {
+		if !waitUninterrupted(r.Context(), wentDown, delay) {
 			panic(http.ErrAbortHandler)
 		}
 		s.mu.Lock()
-		entries, whole := s.catalog.ChangesSince(from)
+		entries, full := s.catalog.ChangesSince(from)
 		if !watch {
-			entries, whole = s.catalog.ChangesSince(0)
+			entries, full = s.catalog.ChangesSince(0)
 		}
-		news := first || s.catalog.Generation() != from
+		hasUpdate := first || s.catalog.Generation() != from
 		from = s.catalog.Generation()
 		changed := s.changed
 		delay = s.delay
 		s.mu.Unlock()
-		if news {
-			n, err := w.Write(append(s.words.EncodeList(from, entries, whole), '\n'))
+		if hasUpdate {
+			n, err := w.Write(append(s.options.EncodeList(from, entries, full), '\n'))
 			s.bytes.Add(int64(n))
-			if err != nil || control.Flush() != nil {
+			if err != nil || controller.Flush() != nil {
 				return
 			}
-			s.words.OnSent(node, entries, whole)
+			s.options.OnSent(node, entries, full)
 		}
 		for waiting := watch; waiting; {
 			select {
 			case <-r.Context().Done():
 				return
-			case <-broken:
-				panic(http.ErrAbortHandler) // a watch ends without a word
+			case <-wentDown:
+				panic(http.ErrAbortHandler) // a watch breaks off without an orderly end
 			case <-changed:
 				waiting = false
-			case <-idle.C:
+			case <-keepalive.C:
 				s.bytes.Add(1)
-				if _, err := w.Write([]byte("\n")); err != nil || control.Flush() != nil {
+				if _, err := w.Write([]byte("\n")); err != nil || controller.Flush() != nil {
 					return
 				}
 			}
@@ -192,12 +197,12 @@
 	}
 }
 
-// wait says whether a span passed with nothing coming between.
-func wait(ctx context.Context, broken <-chan struct{}, span time.Duration) bool {
+// waitUninterrupted waits and reports whether the whole delay passed before the registry went down or ctx ended.
+func waitUninterrupted(ctx context.Context, wentDown <-chan struct{}, delay time.Duration) bool {
 	select {
-	case <-time.After(span):
+	case <-time.After(delay):
 		return true
-	case <-broken:
+	case <-wentDown:
 	case <-ctx.Done():
 	}
 	return false
