--- a/policy/list.go
+++ b/policy/list.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// subscription is the subscription to changes of the list of servers.
+// subscription schedules the calls that subscribe to changes of the list of servers.
 type subscription struct {
 	RegistryRule
-	nextCallAt Micros // time of the next call to the registry; 0 while subscribed
+	nextCallAt Micros // time of the next call to the registry; 0: none is scheduled
 	retryDelay Micros // delay after the next failure, before jitter
 }
 
-// scheduleNextCall sets the time of the next call to the registry after a list, or a failure, has come. All nodes
-// may start, or lose the registry, at the same moment, and the registry is one small service: calls are
+// scheduleNextCall sets the time of the next call to the registry after a list, or a failure, has come. All
+// nodes may start, or lose the registry, at the same moment, and the registry is one small service: calls are
 // therefore spread at random and back off after failures.
 func (s *subscription) scheduleNextCall(now Micros, form ListForm, rng *rand.Rand) {
 	switch {
@@ -32,8 +32,8 @@
 	}
 }
 
-// applyList takes over a list of servers, or changes to it, and rebuilds the ring and the subset. Servers that a
-// complete list leaves out are gone.
+// applyList takes over a list of servers, or changes to it, and rebuilds the ring and the subset. Servers
+// that a complete list leaves out are marked as gone.
 func (n *Node) applyList(input *Input) {
 	n.subscription.scheduleNextCall(n.now, input.Form, n.rng)
 	if input.Form == ListFull || input.Form == ListCached {
@@ -52,7 +52,8 @@
 			n.serverSlots[entry.Server] = slot
 		}
 		server := &n.servers[slot]
-		// An outdated list may come again. Without the later of both starts, a cold server would count as warm.
+		// An outdated list may come again. If the later of both starts were not kept, a cold server would count
+		// as warm.
 		if found {
 			entry.StartedAt = max(entry.StartedAt, server.StartedAt)
 		}
@@ -81,7 +82,7 @@
 	servers := n.servers
 	slices.SortFunc(n.ring, func(a, b int32) int { return cmp.Compare(servers[a].Server, servers[b].Server) })
 	n.chooseSubset()
-	if input.Form == ListCached {
+	if input.Form == ListCached { // the first list, which starts the control ticks
 		n.controlTick()
 	}
 }
@@ -98,14 +99,15 @@
 	return int32(len(n.servers) - 1)
 }
 
-// chooseSubset selects the servers in this node's rotation by deterministic subsetting: consecutive servers of the
-// ring, with the starts of all nodes' subsets spread evenly. If each node used all servers of a large fleet, a node
-// would learn too little about each server, and the connections of all nodes would fill the servers' tables.
+// chooseSubset selects the servers in this node's rotation by deterministic subsetting: consecutive servers
+// of the ring, with the starts of all nodes' subsets spread evenly. If each node used all servers of a large
+// fleet, a node would learn too little about each server, and the connections of all nodes would fill the
+// servers' connection tables.
 //
-// Servers that are down are passed over for the next ones in the ring. Where nodes send each other peer messages
-// this happens only if the whole subset is down: the node gets no messages about servers outside its subset, and
-// the ring neighbours of failed servers would be congested. Otherwise, where a push to another zone costs benefit,
-// the servers of the own zone form a second subset.
+// Servers that are down are passed over for the next ones in the ring. Where nodes send each other peer
+// messages this happens only if the whole subset is down: a node gets no messages about servers outside its
+// subset, so the next servers in the ring would be congested. Without peer messages, where a push to another
+// zone costs benefit, servers of the own zone form a second subset.
 func (n *Node) chooseSubset() {
 	size := max(subsetSize, n.limits.MaxPushes)
 	ringSize := len(n.ring)
--- a/policy/op.go
+++ b/policy/op.go
@@ -13,7 +13,7 @@
 	opArriving  opState = iota // no push yet
 	opPushed                   // a push is in flight
 	opStreaming                // the answer has begun and belongs to the client
-	opAnswered                 // answered; pushes may still be in flight
+	opAnswered                 // answered, or abandoned by the client; pushes may still be in flight
 )
 
 // opEvent is an event in the state machine of an op.
@@ -21,7 +21,7 @@
 
 const (
 	eventArrived     opEvent = iota // the op has come
-	eventAnswered                   // a push ended with the op's answer, or the op was settled before
+	eventAnswered                   // a push ended with the op's answer, or after the op had it
 	eventPushFailed                 // a push ended without an answer for the client
 	eventStreamBegan                // the answer has begun
 	eventDeadline                   // the op must be answered now
@@ -31,8 +31,8 @@
 // maxPushesPerOp is the number of pushes that a pendingOp has space for.
 const maxPushesPerOp = 8
 
-// pendingOp is an op from its arrival until it is answered and its last push has ended. It keeps its slot for that
-// time.
+// pendingOp is an op from its arrival until it is answered, or abandoned by the client, and its last push has
+// ended. It keeps its slot for that time.
 type pendingOp struct {
 	id              OpID
 	category        CategoryID
@@ -43,13 +43,13 @@
 	inFlight        uint8                  // pushes not yet ended
 	slot            int32                  // index in Node.ops
 	usefulUntil     Micros                 // an answer after this time has no benefit
-	answerDeadline  Micros                 // the op is nacked or dead-lettered after this time
-	idleStep        int                    // how long the last push's server had been idle: an index of timeoutShareByIdleStep
+	answerDeadline  Micros                 // an op without an answer is nacked or dead-lettered after this
+	idleStep        int                    // index of timeoutShareByIdleStep for the last push
 	mayHaveRunSince Micros                 // send time of the first push that may have run; 0: none
 	mayHaveRunZone  ZoneID                 // zone of the server of that push
 	mayHaveRunCell  CellID                 // cell of the server of that push
 	overduePushes   uint8                  // a bit for each push that counted as slow while it was in flight
-	pushServers     [maxPushesPerOp]int32  // slot of the server of each push in flight, or -1
+	pushServers     [maxPushesPerOp]int32  // slot of the server of each push; -1 once the push has ended
 	pushSentAt      [maxPushesPerOp]Micros // send time of each push
 }
 
@@ -75,8 +75,8 @@
 	{opStreaming, eventAbandoned, (*Node).cancelPushes, opAnswered},
 }
 
-// handleOpEvent applies the first transition whose action succeeds. It frees the op's slot once the op is answered
-// and its last push has ended.
+// handleOpEvent applies the first transition whose action succeeds. It frees the op's slot once the op is
+// answered and its last push has ended.
 func (n *Node) handleOpEvent(op *pendingOp, event opEvent) {
 	for i := range transitions {
 		transition := &transitions[i]
@@ -92,8 +92,8 @@
 	}
 }
 
-// addOp gives an arriving op a slot, works out its limits and deadlines, and counts it as offered. The returned
-// pointer is valid until the next op arrives.
+// addOp gives an arriving op a slot, works out its limits and deadlines, and counts it as offered. The
+// returned pointer is valid until the next op arrives.
 func (n *Node) addOp(input *Input) *pendingOp {
 	if len(n.freeOpSlots) == 0 {
 		n.freeOpSlots = append(n.freeOpSlots, int32(len(n.ops)))
@@ -107,10 +107,12 @@
 	n.opSlots[input.Op] = slot
 	op.benefitLevel, _ = slices.BinarySearch(n.benefitLevels, category.Benefit)
 	n.offeredRate.add(n.now)
-	n.peerMessageBudget = min(8*peerMessagesPerOp, n.peerMessageBudget+peerMessagesPerOp*indicator(!input.ClientRetry))
-	// Where no category has any benefit, the divisor is 1: a share of the highest benefit would be no number.
+	n.peerMessageBudget = min(8*peerMessagesPerOp,
+		n.peerMessageBudget+peerMessagesPerOp*indicator(!input.ClientRetry))
+	// Where no category has any benefit, the divisor is 1: a share of the highest benefit would be 0/0.
 	op.allowedPushes = uint8(1 + math.Ceil(
 		float64(n.limits.MaxPushes-1)*category.Benefit/cmp.Or(n.benefitLevels[len(n.benefitLevels)-1], 1)))
+	// The timer for answerDeadline fires one tick after it, at least one tick before the client gives up.
 	op.answerDeadline = input.Deadline - 2*n.topology.ClockTick
 	op.usefulUntil = min(n.now+category.TargetLatency-2*n.topology.ClockTick, op.answerDeadline)
 	if category.LateBenefit > 0 {
@@ -121,8 +123,8 @@
 	return op
 }
 
-// tryNack answers the op with a nack, which promises that a retry by the client does no harm. It fails where that
-// promise cannot be given.
+// tryNack answers the op with a nack, which promises that a retry by the client does no harm. It fails where
+// that promise cannot be given.
 func (n *Node) tryNack(op *pendingOp) bool {
 	if (op.mayHaveRunSince > 0 || op.inFlight > 0) && !n.categories[op.category].safeToRetry() {
 		return false
@@ -135,14 +137,14 @@
 	return n.cancelPushes(op)
 }
 
-// deadLetter answers the op without any promise.
+// deadLetter answers that the op failed, without the promise of a nack. It always succeeds.
 func (n *Node) deadLetter(op *pendingOp) bool {
 	n.emit(Effect{Kind: DeadLetter, Op: op.id})
 	return n.cancelPushes(op)
 }
 
-// cancelPushes cancels the op's pushes in flight, as nobody waits for their answers, if cancelling is allowed.
-// It always succeeds.
+// cancelPushes cancels the op's pushes in flight, as nobody waits for their answers, if cancelling is
+// allowed. It always succeeds.
 func (n *Node) cancelPushes(op *pendingOp) bool {
 	for push := uint8(0); push < op.pushCount && n.limits.MayCancel && op.inFlight > 0; push++ {
 		if op.pushServers[push] >= 0 {
--- a/policy/peer_message.go
+++ b/policy/peer_message.go
@@ -44,7 +44,8 @@
 	return encoded
 }
 
-// decodePeerMessage decodes a received message. A message of another version, length or event is not understood.
+// decodePeerMessage decodes a received message. A message of another version or length, or with an unknown
+// event, is not understood.
 func decodePeerMessage(encoded []byte) (message peerMessage, understood bool) {
 	if len(encoded) != peerMessageLength || encoded[0]>>6 != peerMessageVersion ||
 		peerEvent(encoded[0]>>4&3) >= peerEventCount {
@@ -58,6 +59,6 @@
 	return message, true
 }
 
-// foldServerID shortens a server's id to the 16 bits that a message has for it. Two servers of a subset may fold to
-// the same value; a message then counts for one of them.
+// foldServerID shortens a server's id to the 16 bits that a message has for it. Two servers of a subset may
+// fold to the same value; a message then counts for one of them.
 func foldServerID(id ServerID) uint16 { return uint16(id) ^ uint16(id>>16) ^ uint16(id>>32) }
--- a/policy/push.go
+++ b/policy/push.go
@@ -13,20 +13,22 @@
 // provesNotRun marks the outcomes which prove that the server did not run the op.
 var provesNotRun = [...]bool{Full: true, ConnectFailed: true, Moot: true}
 
-// tryPush pushes the op to a server, for the first time or again, if its category, its benefit, the retry budget
-// and the time left allow that and a server admits it.
+// tryPush pushes the op to a server, for the first time or again, if its category, its benefit, the retry
+// budget and the time left allow that and a server admits it.
 func (n *Node) tryPush(op *pendingOp) bool {
 	category := &n.categories[op.category]
 	latency := &n.latencies[op.category]
-	// The bound of half the target latency matters after a time in which all answers were lost: latencies learned
-	// from timeouts alone would say that each op comes too late, and no push could ever correct them.
+	// The bound of half the target latency matters after a time in which all answers were lost: latencies
+	// learned from timeouts alone would say that each op comes too late, and no push could ever correct them.
 	minLatency := min(Micros(latency.mean-latency.deviation), category.TargetLatency/2)
 	if op.pushCount >= op.allowedPushes || n.now+max(0, minLatency) > op.usefulUntil {
 		return false
 	}
-	// Further pushes that add work would feed the overload that caused them.
+	// A further push of an op that may have run adds work. Without a budget such pushes would feed the overload
+	// that caused them.
 	if op.mayHaveRunSince > 0 && (n.retryBudget < 1 || category.Delivery == AtMostOnce ||
-		category.Delivery == Deduplicated && n.now >= op.mayHaveRunSince+category.DedupWindow-n.topology.ClockTick) {
+		category.Delivery == Deduplicated &&
+			n.now >= op.mayHaveRunSince+category.DedupWindow-n.topology.ClockTick) {
 		return false
 	}
 	serverSlot := n.selectServer(op)
@@ -45,13 +47,16 @@
 		n.retryBudget = min(1/retryBudgetRatio, n.retryBudget+retryBudgetRatio)
 		n.emit(Effect{Kind: SetTimer, TimerAt: op.answerDeadline + n.topology.ClockTick, Token: TimerToken(op.id)})
 	}
-	// An idle connection may be dropped on its way without notice, and what is then sent on it is lost without an
-	// error. Idle connections are closed before the push if more than a third of the pushes that follow such an
-	// idle time are lost, and more than three times the share lost without idle time.
-	op.idleStep = min(len(n.timeoutShareByIdleStep)-1, bits.Len64(uint64((n.now-server.lastPushEndAt)/controlInterval)))
-	if server.inFlight == 0 && n.timeoutShareByIdleStep[op.idleStep] > max(1.0/3, 3*n.timeoutShareByIdleStep[0]) {
+	// An idle connection may be dropped on its way without notice, and what is then sent on it is lost without
+	// an error. Idle connections are closed before the push if more than a third of the pushes that follow such
+	// an idle time are lost, and more than three times the share lost without idle time. Step 0 ends at an
+	// idle time of controlInterval, each further step at twice the end of the one before; the last has no end.
+	op.idleStep = min(len(n.timeoutShareByIdleStep)-1,
+		bits.Len64(uint64((n.now-server.lastPushEndAt)/controlInterval)))
+	if server.inFlight == 0 &&
+		n.timeoutShareByIdleStep[op.idleStep] > max(1.0/3, 3*n.timeoutShareByIdleStep[0]) {
 		n.emit(Effect{Kind: CloseIdle, Server: server.Server})
-		// Let the share decay: otherwise a fault that is over would cost connections for ever.
+		// Let the share decay: otherwise a fault that is over would cost connections forever.
 		updateMean(&n.timeoutShareByIdleStep[op.idleStep], 0, 4*shareSamples)
 		op.idleStep = 0
 	}
@@ -67,7 +72,8 @@
 	return true
 }
 
-// handlePushEnd updates the statistics of the server and the category after a push has ended, then decides on the op.
+// handlePushEnd updates the statistics of the server and the category after a push has ended, then decides
+// what becomes of the op.
 func (n *Node) handlePushEnd(input *Input) {
 	slot, found := n.opSlots[input.Op]
 	if !found || input.Push >= PushNumber(n.ops[slot].pushCount) || n.ops[slot].pushServers[input.Push] < 0 {
@@ -116,14 +122,15 @@
 		updateMean(&server.errorShare, indicator(input.Outcome == Errored), shareSamples)
 		updateMean(&n.errorShare, indicator(input.Outcome == Errored), 4*shareSamples)
 	}
-	evidence := n.classifyEnd(server, op, input)
-	if evidence&serverFaultEvidence > 0 {
-		// The server leaves the rotation, each time twice as long, at most 32 dial timeouts; then one push tries it.
+	endEvidence := n.classifyEnd(server, op, input)
+	if endEvidence&serverFaultEvidence > 0 {
+		// The server leaves the rotation, for twice as long after each failure in a row, at most 32 dial
+		// timeouts; then one push tries it.
 		server.consecutiveFailures = min(server.consecutiveFailures+1, 5)
 		server.downUntil = n.now + n.limits.DialTimeout<<server.consecutiveFailures
 		n.chooseSubset()
 	}
-	if evidence&overloadEvidence > 0 && !wasOverdue {
+	if endEvidence&overloadEvidence > 0 && !wasOverdue {
 		n.recordOverloadMark(server)
 	}
 	event := eventAnswered
@@ -133,7 +140,8 @@
 	n.handleOpEvent(op, event)
 }
 
-// classifyEnd returns what the end of a push is evidence of. No other code decides that.
+// classifyEnd returns what the end of a push is evidence of. An ack is evidence of nothing here:
+// recordSlowness judges its latency.
 func (n *Node) classifyEnd(server *knownServer, op *pendingOp, input *Input) evidence {
 	switch input.Outcome {
 	case Full, TimedOut:
--- a/policy/server.go
+++ b/policy/server.go
@@ -10,7 +10,7 @@
 	relativeLatency     float64      // recent latency, as a multiple of the categories' means
 	errorShare          float64      // share of recent answers that are errors
 	consecutiveFailures int          // times in a row that the server has left the rotation
-	lastAnswerAt        Micros       // last answer, of any kind, that this node knows of
+	lastAnswerAt        Micros       // last ack or error that this node knows of
 	lastPushEndAt       Micros       // last end of a push
 	downUntil           Micros       // the server gets no push before this time
 	concurrencyLimit    float64      // pushes that the server may hold
@@ -23,10 +23,10 @@
 	coldTokens          tokenBucket  // while the server is cold: this node's share of its capacity, in pushes
 }
 
-// adjustConcurrencyLimit adapts the number of pushes that the server may hold after one of them has ended. The
-// limit rises while answers are quick and pushes have reached it: it doubles per latency until the first
-// congestion and grows slowly after that. It falls while the server is congested. Without a limit, a server
-// that does less work the more pushes it holds would be lost for a long time.
+// adjustConcurrencyLimit adapts the number of pushes that the server may hold after one of them was acked or
+// timed out. The limit rises while answers are quick and pushes have reached it: it doubles per latency until
+// the first congestion and grows slowly after that. It falls while the server is congested. Without a limit,
+// a server that does less work the more pushes it holds would be unavailable for a long time.
 func (s *knownServer) adjustConcurrencyLimit(pushSentAt Micros, latencyRatio float64) {
 	updateMean(&s.congestion, latencyRatio, latencySamples)
 	switch {
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -26,22 +26,24 @@
 	r.perSecond = r.current(now) + float64(Second)/float64(rateMemory)
 }
 
-// biasCorrected returns the rate without the bias towards 0 that a decaying rate has soon after its first event.
+// biasCorrected returns the rate without the bias towards 0 that a decaying rate has soon after its first
+// event.
 func (r *decayingRate) biasCorrected(now Micros) float64 {
-	return r.current(now) / (1 - math.Exp(-float64(max(controlInterval, now-r.countingSince))/float64(rateMemory)))
+	return r.current(now) /
+		(1 - math.Exp(-float64(max(controlInterval, now-r.countingSince))/float64(rateMemory)))
 }
 
-// latencyStats holds the recent latencies of a category: mean, mean deviation, and as baseline a mean over a longer
-// time in which the servers were not under control.
+// latencyStats holds the recent latencies of a category: mean, mean deviation, and as baseline a mean over
+// more answers, all from servers that were not under control.
 type latencyStats struct {
 	mean      float64
 	deviation float64
 	baseline  float64
 }
 
-// observe adds the latency of a push. A timeout counts for at most the mean plus 5/4 of the deviation: where a tenth of
-// the answers never come, timeouts counted in full would lengthen the next timeouts until no time is left for another
-// push. Where all answers are late, the timeouts still grow.
+// observe adds the latency of a push. A timeout counts for at most the mean plus 5/4 of the deviation: where
+// a tenth of the answers never come, timeouts counted in full would lengthen the next timeouts until no time
+// is left for another push. Where all answers are late, the timeouts still grow.
 func (s *latencyStats) observe(latency Micros, outcome Outcome) {
 	sample := float64(latency)
 	if outcome == TimedOut {
@@ -51,7 +53,8 @@
 	updateMean(&s.mean, sample, shareSamples)
 }
 
-// updateMean moves an exponentially weighted mean over about the given number of samples towards a new sample.
+// updateMean moves an exponentially weighted mean over about the given number of samples towards a new
+// sample.
 func updateMean(mean *float64, sample, samples float64) { *mean += (sample - *mean) / samples }
 
 // indicator returns 1 if the condition holds, else 0.
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// throttle is the overload control of one server, or of all servers together where the node has little traffic
-// (clause 8.2).
+// throttle is the overload control of one server, or of all servers together where the node has little
+// traffic (clause 8.2).
 type throttle struct {
 	name           string       // of the server, in log lines
 	markRate       decayingRate // overload marks
@@ -41,7 +41,8 @@
 	t.activeSince = now
 	t.offered = 0
 	t.rejected = 0
-	t.leakAmount = max(t.acceptedRate.biasCorrected(now), 2*targetMarkRate) * float64(t.leakInterval) / float64(Second)
+	t.leakAmount = max(t.acceptedRate.biasCorrected(now), 2*targetMarkRate) *
+		float64(t.leakInterval) / float64(Second)
 	t.maxLeakAmount = t.leakAmount * maxRateFactor
 	t.minLeakAmount = t.leakAmount * minRateFactor
 	return fmt.Sprintf("control of %s starts, %.1f/s", t.name, t.acceptedRate.perSecond)
@@ -70,10 +71,10 @@
 	return false
 }
 
-// adjustRate changes LeakAmount, the faster the further the mark rate is from its target, and moves the cutoff
-// level once LeakAmount has reached its bound (8.2.3, 8.2.5). It ends control after terminationPendingPeriod
-// without an overload mark or a rejection (8.2.4). drained tells that the queue behind the marks is gone.
-// It returns the text of a log line, or an empty string.
+// adjustRate changes LeakAmount, the faster the further the mark rate is from its target, and moves the
+// cutoff level once LeakAmount has reached its bound (8.2.3, 8.2.5). It ends control after
+// terminationPendingPeriod without an overload mark or a rejection (8.2.4). drained tells that the queue
+// behind the marks is gone. It returns the text of a log line, or an empty string.
 func (t *throttle) adjustRate(now Micros, levelCount int, drained bool) (log string) {
 	if !t.active {
 		return ""
@@ -108,8 +109,9 @@
 	return ""
 }
 
-// recordSlowness counts an answer as slow or not. A slow answer is an overload mark while more than maxSlowShare of
-// recent answers are slow.
+// recordSlowness counts an answer as slow or not; a push that becomes overdue counts as a slow answer. A slow
+// answer is an overload mark while more than maxSlowShare of recent answers are slow, those of the server or,
+// at low traffic, of all servers.
 func (n *Node) recordSlowness(server *knownServer, slow bool) {
 	updateMean(&server.slowShare, indicator(slow), shareSamples)
 	updateMean(&n.allServers.slowShare, indicator(slow), shareSamples)
@@ -131,10 +133,10 @@
 	}
 }
 
-// hasLowTraffic reports whether the servers get too few pushes from this node for the overload marks of one server
-// alone to tell anything. Without the control of all servers, the marks of each of many such nodes would stay below the
-// target rate, and none would throttle. Below the first tier the bound is lower, as a nack there discards work already
-// done.
+// hasLowTraffic reports whether the servers get too few pushes from this node for the overload marks of one
+// server alone to be significant. Without the control of all servers, the marks of each of many such nodes
+// would stay below the target rate, and none would throttle. Below the first tier the bound is lower, as a
+// nack there discards work already done.
 func (n *Node) hasLowTraffic() bool {
 	maxAcceptedPerServer := 3 * targetMarkRate
 	if n.topology.Tier == 0 {
@@ -143,9 +145,9 @@
 	return n.allServers.acceptedRate.biasCorrected(n.now) < maxAcceptedPerServer*n.upServers
 }
 
-// slowThreshold returns the latency past which an answer is slow: two thirds of the tier's part of target latency.
-// Lower tiers have a smaller part, and one part is kept back where another push may follow. The threshold is below
-// the target because servers are congested before their answers are late.
+// slowThreshold returns the latency past which an answer is slow: two thirds of the tier's part of target
+// latency. Lower tiers have a smaller part, and one part is kept back where another push may follow. The
+// threshold is below the target because servers are congested before their answers are late.
 func (n *Node) slowThreshold(id CategoryID) Micros {
 	category := &n.categories[id]
 	parts := n.topology.TierCount + int(indicator(category.Delivery != AtMostOnce))
--- a/policy/types.go
+++ b/policy/types.go
@@ -9,7 +9,8 @@
 	Second             = 1000 * Millisecond
 )
 
-// Each kind of identifier has a type of its own, so that they cannot be mixed up. None carries further information.
+// Each kind of identifier has a type of its own, so that they cannot be mixed up. None carries further
+// information.
 type (
 	// OpID identifies an op among the pending ops of a node.
 	OpID uint32
@@ -52,7 +53,7 @@
 // Category describes one kind of op.
 type Category struct {
 	Benefit       float64 // what an answer within the target latency is worth
-	LateBenefit   float64 // share of the benefit that is left of an answer past the target latency
+	LateBenefit   float64 // share of the benefit that an answer past the target latency still has
 	TargetLatency Micros
 	TTL           Micros // time to live of an op, over all its tries
 	Delivery      DeliverySemantics
@@ -60,7 +61,8 @@
 	DedupWindow   Micros // how long the group remembers an op
 }
 
-// Topology gives this node's position: the tier that it sends to, the nodes that send to the same tier, its zone.
+// Topology gives this node's position: the tier that it sends to, the nodes that send to the same tier, and
+// its zone.
 type Topology struct {
 	Tier          int // from 0, the tier next to the clients
 	TierCount     int
@@ -69,7 +71,7 @@
 	Zone          ZoneID
 	CrossZoneCost float64 // points of benefit that a push to another zone costs; 0: none
 	PeerMessaging bool    // nodes may send each other peer messages
-	ClockTick     Micros  // shortest time between the clocks of two inputs
+	ClockTick     Micros  // granularity of the clock that Decider.Step gets
 }
 
 // PushLimits holds the limits on pushes.
@@ -104,8 +106,8 @@
 	Gone                        // has left
 )
 
-// ListEntry is the entry of a server in the list. In terms of xDS it is an endpoint, and Cell is its locality's
-// cluster.
+// ListEntry is the entry of a server in the list. In terms of xDS it is an endpoint, and Cell is its
+// locality's cluster.
 type ListEntry struct {
 	Server      ServerID
 	StartedAt   Micros // 0: long ago
@@ -122,9 +124,9 @@
 const (
 	ListChanges    ListForm = iota // the servers that have changed
 	ListFull                       // all servers
-	ListCached                     // all servers, but outdated: the first list that a node gets, and no other
+	ListCached                     // all servers, possibly outdated: the form of a node's first list only
 	ListFailed                     // none: a call to the registry failed, or the subscription broke
-	ListReweighted                 // changes of weights by outlier detection: tells nothing about the subscription
+	ListReweighted                 // weights changed by outlier detection; says nothing about subscription
 )
 
 // Outcome is how a push ended.
@@ -143,7 +145,8 @@
 
 // String returns the name of the outcome as logs have it.
 func (o Outcome) String() string {
-	return [...]string{"acked", "errored", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}[o]
+	return [...]string{"acked", "errored", "full", "timed out",
+		"connect failed", "reset", "cancelled", "moot"}[o]
 }
 
 // InputKind is the kind of an Input. The comment on each constant lists the fields that are set besides Kind.
@@ -179,7 +182,8 @@
 	Message     []byte      // read during the call only
 }
 
-// EffectKind is the kind of an Effect. The comment on each constant lists the fields that are set besides Kind.
+// EffectKind is the kind of an Effect. The comment on each constant lists the fields that are set besides
+// Kind.
 type EffectKind uint8
 
 const (
@@ -208,9 +212,9 @@
 	Message    [peerMessageLength]byte
 }
 
-// Decider is the interface that protocol adapters call, whatever the protocol: the simulator's wire format, an
-// external processor that is called per op, or HL7 over MLLP. An adapter turns its frames into Inputs and carries
-// out the Effects. The returned slice is valid until the next call.
+// Decider is the interface that protocol adapters call, whatever the protocol: the simulator's wire format,
+// an external processor that is called per op, or HL7 over MLLP. An adapter turns its frames into Inputs and
+// carries out the Effects. The returned slice is valid until the next call.
 type Decider interface {
 	Step(now Micros, input *Input) []Effect
 }
