--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -42,7 +42,7 @@
 }
 
 func (m *membersCommand) measure(ctx context.Context, nodes int) (err error) {
-	s, err := lab.Find(experiments.Files, "fleet-steady")
+	s, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 	if err != nil {
 		return err
 	}
--- a/cmd/canvaslab/scale.go
+++ b/cmd/canvaslab/scale.go
@@ -107,7 +107,7 @@
 	}
 	var c scale.Cluster
 	if kind == scale.Real {
-		experiment, err := lab.Find(experiments.Files, "fleet-steady")
+		experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 		if err != nil {
 			return p, err
 		}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -16,14 +16,14 @@
 )
 
 // SamplesEnv names the file that a node of the laboratory writes its throttles to.
-const SamplesEnv = "CANVASLAB_THROTTLES"
+const ThrottleFileEnv = "CANVASLAB_THROTTLES"
 
 // Sample is one line of that file.
-type Sample struct {
-	At     policy.Micros `json:"at"`
-	Server string        `json:"server"`
-	Rate   float64       `json:"rate"`
-	Cut    int           `json:"cut"`
+type ThrottleSample struct {
+	At          policy.Micros `json:"at"`
+	Server      string        `json:"server"`
+	Rate        float64       `json:"rate"`
+	CutoffLevel int           `json:"cut"`
 }
 
 // sampleEvery is how often a node writes down its throttles.
@@ -39,7 +39,7 @@
 	return serve.Main(serve.Options{
 		Decider: func(c *config.Config) (policy.Decider, error) {
 			d, module, err := trial.New(name, fault, c.Rules, c.Seed)
-			file := os.Getenv(SamplesEnv)
+			file := os.Getenv(ThrottleFileEnv)
 			if err != nil || module == nil || file == "" {
 				return d, err
 			}
@@ -70,7 +70,7 @@
 			if server == 0 {
 				name = "all"
 			}
-			s.lines.Encode(Sample{At: now, Server: name, Rate: rate, Cut: cut})
+			s.lines.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cut})
 		})
 	}
 	return s.Decider.Step(now, in)
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -35,22 +35,22 @@
 
 // Options say what is played.
 type Options struct {
-	Scenario *scenario.Scenario
-	Program  Program
-	Seed     uint64
-	Length   policy.Micros // of the load
-	Arrivals []load.Arrival
-	Listen   string // of the first node; left out: any free address
-	Logs     string // a directory for the nodes' logs, at level info; left out: only last lines are kept
-	Tick     func(now policy.Micros, a *ledger.Account)
+	Scenario     *scenario.Scenario
+	Program      Program
+	Seed         uint64
+	LoadDuration policy.Micros // of the load
+	Arrivals     []load.Arrival
+	ListenAddr   string // of the first node; left out: any free address
+	LogDir       string // a directory for the nodes' logs, at level info; left out: only last lines are kept
+	OnSecond     func(now policy.Micros, a *ledger.Account)
 }
 
 const (
-	watch     = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sendLate  = 10 * policy.Millisecond  // a send later than this has missed its schedule
-	mostLate  = 0.01                     // share of missed sends that makes a run void
-	lastServe = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
-	Span      = 500 * policy.Millisecond // of the report's buckets
+	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
+	sendLate       = 10 * policy.Millisecond  // a send later than this has missed its schedule
+	mostLate       = 0.01                     // share of missed sends that makes a run void
+	lastServe      = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
+	BucketDuration = 500 * policy.Millisecond // of the report's buckets
 )
 
 type run struct {
@@ -105,7 +105,7 @@
 	for _, n := range r.nodes {
 		n.door.drop(r.account)
 	}
-	result := r.account.Finish(r.begin + min(o.Length, r.now()-r.begin))
+	result := r.account.Finish(r.begin + min(o.LoadDuration, r.now()-r.begin))
 	result.Partial = partial
 	result.Between = r.traffic()
 	late, _ := r.lag.End()
@@ -213,7 +213,7 @@
 	r := &run{Options: o, clock: node.NewClock(), plan: o.Scenario.Plan(stream.New(o.Seed, "troubles")),
 		failed: make(chan error, 1), asked: make(map[ledger.TryID]question), memories: make(scenario.Memories),
 		twins: make(map[int]*balancer)}
-	r.account = ledger.New(o.Scenario, r.now(), Span, false)
+	r.account = ledger.New(o.Scenario, r.now(), BucketDuration, false)
 	var err error
 	if r.ports, err = newPorts(); err != nil {
 		return nil, err
@@ -275,7 +275,7 @@
 			if err != nil {
 				return err
 			}
-			listen := r.Listen
+			listen := r.ListenAddr
 			if listen == "" || i > 0 {
 				listen = r.ports.addr()
 			}
@@ -386,7 +386,7 @@
 	steps.Go(func() { r.troubles(ctx, &steps) })
 	ticks, stopTicks := context.WithCancel(ctx)
 	steps.Go(func() { r.look(ticks) })
-	if r.Tick != nil {
+	if r.OnSecond != nil {
 		go r.tick(ticks)
 	}
 	generated := make(chan struct{})
@@ -476,7 +476,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.Tick(r.now()-r.begin, r.account)
+			r.OnSecond(r.now()-r.begin, r.account)
 		case <-ctx.Done():
 			return
 		}
@@ -549,9 +549,9 @@
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		var s labnode.Sample
+		var s labnode.ThrottleSample
 		if json.Unmarshal(lines.Bytes(), &s) == nil { // the last line of a node that was killed may be half
-			r.account.Sample(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, Cut: s.Cut})
+			r.account.Sample(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, Cut: s.CutoffLevel})
 		}
 	}
 }
--- a/internal/lab/live/troubles.go
+++ b/internal/lab/live/troubles.go
@@ -22,7 +22,7 @@
 func (r *run) troubles(ctx context.Context, beside *sync.WaitGroup) {
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
-		if step.At >= r.Length {
+		if step.At >= r.LoadDuration {
 			return
 		}
 		select {
