--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -17,64 +17,64 @@
 )
 
 type compareCommand struct {
-	A      string `arg:"" help:"A policy, a node's program, or an experiment's file (other settings)."`
-	B      string `arg:"" help:"The other."`
-	On     string `help:"The experiment, where A and B are no files of one." default:"overload"`
-	Runs   int    `help:"Seeds, each played with both." default:"5"`
-	choice `embed:""`
+	A          string `arg:"" help:"A policy, a node's program, or an experiment's file (other settings)."`
+	B          string `arg:"" help:"The other."`
+	Experiment string `name:"on" help:"The experiment, where A and B are no files of one." default:"overload"`
+	Runs       int    `help:"Seeds, each played with both." default:"5"`
+	runFlags   `embed:""`
 }
 
 // side makes one side's run out of its word.
-func (c *compareCommand) side(word string, seed uint64) (lab.RunOptions, error) {
-	run := lab.RunOptions{Experiment: c.On, Short: c.Short, Seed: seed, Driver: c.Driver, SelfPath: self()}
+func (c *compareCommand) optionsFor(operand string, seed uint64) (lab.RunOptions, error) {
+	options := lab.RunOptions{Experiment: c.Experiment, Short: c.Short, Seed: seed, Driver: c.Driver, SelfPath: selfPath()}
 	switch {
-	case slices.Contains(trial.Policies, word):
-		run.Policy = word
-	case strings.HasSuffix(word, ".toml"):
-		run.Experiment = word
+	case slices.Contains(trial.Policies, operand):
+		options.Policy = operand
+	case strings.HasSuffix(operand, ".toml"):
+		options.Experiment = operand
 	default:
-		if _, err := os.Stat(word); err != nil {
-			return run, fmt.Errorf("%q is no policy (%s), no program and no experiment", word, strings.Join(trial.Policies, ", "))
+		if _, err := os.Stat(operand); err != nil {
+			return options, fmt.Errorf("%q is no policy (%s), no program and no experiment", operand, strings.Join(trial.Policies, ", "))
 		}
-		run.NodeProgram = filepath.Clean(word)
+		options.NodeProgram = filepath.Clean(operand)
 	}
-	return run, nil
+	return options, nil
 }
 
 func (c *compareCommand) Run(ctx context.Context) error {
 	if c.Runs < 1 {
 		return fmt.Errorf("--runs %d is not above 0", c.Runs)
 	}
-	for _, word := range []string{c.A, c.B} { // before the first run, and not between two
-		if _, err := c.side(word, c.Seed); err != nil {
+	for _, operand := range []string{c.A, c.B} { // before the first run, and not between two
+		if _, err := c.optionsFor(operand, c.Seed); err != nil {
 			return err
 		}
 	}
 	var results [2][]*ledger.Result
-	for n := range c.Runs {
+	for pair := range c.Runs {
 		order := []int{0, 1}
-		if n%2 == 1 { // in turn, so that a machine that grows slower favours neither
+		if pair%2 == 1 { // in turn, so that a machine that grows slower favours neither
 			order = []int{1, 0}
 		}
-		for _, at := range order {
-			run, err := c.side([]string{c.A, c.B}[at], c.Seed+uint64(n))
+		for _, side := range order {
+			options, err := c.optionsFor([]string{c.A, c.B}[side], c.Seed+uint64(pair))
 			if err != nil {
 				return err
 			}
-			result, _, err := play(ctx, run)
+			result, _, err := runExperiment(ctx, options)
 			if err != nil {
 				return err
 			}
 			if result.Partial {
-				return fmt.Errorf("interrupted after %d of %d pairs", n, c.Runs)
+				return fmt.Errorf("interrupted after %d of %d pairs", pair, c.Runs)
 			}
-			results[at] = append(results[at], result)
+			results[side] = append(results[side], result)
 		}
 	}
 	fmt.Printf("%-16s %10s %10s %10s %10s\n", "", "A", "B", "B-A", "noise")
-	for _, f := range []struct {
-		name string
-		of   func(*ledger.Result) float64
+	for _, metric := range []struct {
+		name  string
+		value func(*ledger.Result) float64
 	}{
 		{"served_benefit", func(r *ledger.Result) float64 { return r.ServedBenefit }},
 		{"p50_ms", func(r *ledger.Result) float64 { return r.P50Ms }},
@@ -84,30 +84,30 @@
 		{"broken_rules", func(r *ledger.Result) float64 { return float64(len(r.BrokenRules)) }},
 	} {
 		var a, b, diff []float64
-		for n := range results[0] {
-			a, b = append(a, f.of(results[0][n])), append(b, f.of(results[1][n]))
-			diff = append(diff, b[n]-a[n])
+		for pair := range results[0] {
+			a, b = append(a, metric.value(results[0][pair])), append(b, metric.value(results[1][pair]))
+			diff = append(diff, b[pair]-a[pair])
 		}
 		noise := "-"
 		if c.Runs > 1 { // standard error of the mean of the pairs' differences
 			noise = fmt.Sprintf("±%.4f", stat.StdDev(diff, nil)/math.Sqrt(float64(c.Runs)))
 		}
-		fmt.Printf("%-16s %10.4f %10.4f %+10.4f %10s\n", f.name, stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil), noise)
+		fmt.Printf("%-16s %10.4f %10.4f %+10.4f %10s\n", metric.name, stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil), noise)
 	}
 	fmt.Printf("A %s, B %s; %d seeds from %d, each played with both in turn; noise is one standard error\n", c.A, c.B, c.Runs, c.Seed)
 	return nil
 }
 
 type tableCommand struct {
-	Names  []string `arg:"" optional:"" help:"Experiments; all if left out."`
-	Runs   int      `help:"Seeds of each." default:"1"`
-	choice `embed:""`
+	Names    []string `arg:"" optional:"" help:"Experiments; all if left out."`
+	Runs     int      `help:"Seeds of each." default:"1"`
+	runFlags `embed:""`
 }
 
 // Run prints served benefit and broken rules of each experiment by each policy, on the same seeds.
 func (t *tableCommand) Run(ctx context.Context) (err error) {
 	if len(t.Names) == 0 {
-		if t.Names, err = every(); err != nil {
+		if t.Names, err = builtinExperiments(); err != nil {
 			return err
 		}
 	}
@@ -118,8 +118,8 @@
 		for _, p := range trial.Policies {
 			served, broken := 0.0, map[string]bool{}
 			for n := range t.Runs {
-				r, _, err := play(ctx, lab.RunOptions{Experiment: name, Short: t.Short, Seed: t.Seed + uint64(n), Driver: t.Driver,
-					Policy: p, SelfPath: self()})
+				r, _, err := runExperiment(ctx, lab.RunOptions{Experiment: name, Short: t.Short, Seed: t.Seed + uint64(n), Driver: t.Driver,
+					Policy: p, SelfPath: selfPath()})
 				if err != nil {
 					return err
 				}
--- a/cmd/canvaslab/count.go
+++ b/cmd/canvaslab/count.go
@@ -10,35 +10,35 @@
 )
 
 type countCommand struct {
-	Dir  string        `arg:"" help:"A folder with a log file of each node, at level debug (NODE_LOG_LEVEL) for all that can be counted."`
-	Span time.Duration `help:"Of a column." default:"2s"`
-	Warm time.Duration `help:"A server that started less than this ago is cold." default:"8s"`
+	Dir            string        `arg:"" help:"A folder with a log file of each node, at level debug (NODE_LOG_LEVEL) for all that can be counted."`
+	WindowDuration time.Duration `name:"span" help:"Of a column." default:"2s"`
+	WarmUpTime     time.Duration `name:"warm" help:"A server that started less than this ago is cold." default:"8s"`
 }
 
 // Run counts over all nodes of a fleet.
 func (c *countCommand) Run() error {
-	if c.Span <= 0 {
-		return fmt.Errorf("--span %v is not above 0", c.Span)
+	if c.WindowDuration <= 0 {
+		return fmt.Errorf("--span %v is not above 0", c.WindowDuration)
 	}
 	files, err := filepath.Glob(filepath.Join(c.Dir, "*"))
 	if err != nil || len(files) == 0 {
 		return fmt.Errorf("no log files in %s", c.Dir)
 	}
-	fleet := fleetlog.New(c.Span, c.Warm)
+	counter := fleetlog.New(c.WindowDuration, c.WarmUpTime)
 	for _, name := range files {
-		if err := read(fleet, name); err != nil {
+		if err := readLogFile(counter, name); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	fleet.Count()
-	return fleet.WriteTable(os.Stdout)
+	counter.Count()
+	return counter.WriteTable(os.Stdout)
 }
 
-func read(fleet *fleetlog.Counter, name string) error {
+func readLogFile(counter *fleetlog.Counter, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return fleet.ReadLog(file)
+	return counter.ReadLog(file)
 }
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -69,7 +69,7 @@
 }
 
 // self is this program, which the nodes are processes of.
-func self() string {
+func selfPath() string {
 	path, err := os.Executable()
 	if err != nil {
 		return os.Args[0]
@@ -78,31 +78,31 @@
 }
 
 type listCommand struct {
-	Troubles bool `help:"The kinds of trouble."`
-	Between  bool `help:"The kinds of fault between nodes."`
-	Faults   bool `help:"The faults for --break, and the rule that each breaks."`
+	Disturbances bool `name:"troubles" help:"The kinds of trouble."`
+	PeerFaults   bool `name:"between" help:"The kinds of fault between nodes."`
+	Faults       bool `help:"The faults for --break, and the rule that each breaks."`
 }
 
 func (l *listCommand) Run() error {
-	show := func(of map[string]string) {
-		names := make([]string, 0, len(of))
-		for name := range of {
+	show := func(entries map[string]string) {
+		names := make([]string, 0, len(entries))
+		for name := range entries {
 			names = append(names, name)
 		}
 		sort.Strings(names)
 		for _, name := range names {
-			fmt.Printf("%-16s %s\n", name, of[name])
+			fmt.Printf("%-16s %s\n", name, entries[name])
 		}
 	}
 	switch {
-	case l.Troubles:
+	case l.Disturbances:
 		show(scenario.TroubleKinds)
-	case l.Between:
+	case l.PeerFaults:
 		show(scenario.BetweenKinds)
 	case l.Faults:
 		show(trial.Faults)
 	default:
-		all, err := every()
+		all, err := builtinExperiments()
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 }
 
 // every gives the names of the experiments that come with the program.
-func every() (names []string, err error) {
+func builtinExperiments() (names []string, err error) {
 	files, err := fs.Glob(experiments.Files, "*.toml")
 	for _, file := range files {
 		names = append(names, strings.TrimSuffix(file, ".toml"))
@@ -127,35 +127,35 @@
 }
 
 // choice are the flags that runs share.
-type choice struct {
+type runFlags struct {
 	Short  bool   `help:"A load of a few seconds; only the rules are judged."`
 	Seed   uint64 `help:"Of all chance." default:"1"`
 	Driver string `help:"live (sockets) or sim (simulated time) in place of the experiment's own." enum:",live,sim" default:""`
 }
 
 type runCommand struct {
-	Name   string `arg:"" help:"An experiment of the list, or a file that ends in .toml."`
-	choice `embed:""`
-	Policy string `help:"In the module's place: random, round-robin or least-request, to compare." default:""`
-	Break  string `help:"Break a rule on purpose; the run succeeds if the ledger sees it." placeholder:"FAULT"`
-	Node   string `help:"Another program to be the nodes: another build." type:"existingfile" placeholder:"PATH"`
-	Trace  string `help:"Arrivals in place of the experiment's load." type:"existingfile" placeholder:"FILE"`
-	JSON   string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
-	Report string `help:"Write a page with plots, baselines beside it." placeholder:"DIR"`
-	Bare   bool   `help:"Leave the baselines out of the report."`
-	Listen string `help:"Address of the first node." placeholder:"ADDR"`
-	Logs   string `help:"Keep the nodes' logs here, at level info." type:"existingdir" placeholder:"DIR"`
-	Nodes  int    `help:"Nodes of the first tier in place of the experiment's." placeholder:"N"`
-	Alone  bool   `help:"Nodes don't hear each other, whatever the experiment says."`
+	Name           string `arg:"" help:"An experiment of the list, or a file that ends in .toml."`
+	runFlags       `embed:""`
+	Policy         string `help:"In the module's place: random, round-robin or least-request, to compare." default:""`
+	InjectedFault  string `name:"break" help:"Break a rule on purpose; the run succeeds if the ledger sees it." placeholder:"FAULT"`
+	Node           string `help:"Another program to be the nodes: another build." type:"existingfile" placeholder:"PATH"`
+	Trace          string `help:"Arrivals in place of the experiment's load." type:"existingfile" placeholder:"FILE"`
+	JSON           string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
+	Report         string `help:"Write a page with plots, baselines beside it." placeholder:"DIR"`
+	NoBaselines    bool   `name:"bare" help:"Leave the baselines out of the report."`
+	Listen         string `help:"Address of the first node." placeholder:"ADDR"`
+	Logs           string `help:"Keep the nodes' logs here, at level info." type:"existingdir" placeholder:"DIR"`
+	Nodes          int    `help:"Nodes of the first tier in place of the experiment's." placeholder:"N"`
+	NoPeerMessages bool   `name:"alone" help:"Nodes don't hear each other, whatever the experiment says."`
 }
 
-func (r *runCommand) wanted() lab.RunOptions {
-	return lab.RunOptions{Experiment: r.Name, Short: r.Short, Seed: r.Seed, Driver: r.Driver, Policy: r.Policy, InjectedFault: r.Break,
-		NodeProgram: r.Node, TraceFile: r.Trace, ListenAddr: r.Listen, LogDir: r.Logs, NodeCount: r.Nodes, NoPeerMessages: r.Alone, SelfPath: self()}
+func (r *runCommand) options() lab.RunOptions {
+	return lab.RunOptions{Experiment: r.Name, Short: r.Short, Seed: r.Seed, Driver: r.Driver, Policy: r.Policy, InjectedFault: r.InjectedFault,
+		NodeProgram: r.Node, TraceFile: r.Trace, ListenAddr: r.Listen, LogDir: r.Logs, NodeCount: r.Nodes, NoPeerMessages: r.NoPeerMessages, SelfPath: selfPath()}
 }
 
 func (r *runCommand) Run(ctx context.Context) error {
-	result, s, err := play(ctx, r.wanted())
+	result, s, err := runExperiment(ctx, r.options())
 	if err != nil {
 		return err
 	}
@@ -167,12 +167,12 @@
 	if r.Report != "" {
 		all := []*ledger.Result{result}
 		for _, other := range trial.Policies {
-			if r.Bare || r.Break != "" || r.Node != "" || other == result.Policy || ctx.Err() != nil {
+			if r.NoBaselines || r.InjectedFault != "" || r.Node != "" || other == result.Policy || ctx.Err() != nil {
 				continue
 			}
-			c := r.wanted()
+			c := r.options()
 			c.Policy = other
-			baseline, _, err := play(ctx, c)
+			baseline, _, err := runExperiment(ctx, c)
 			if err != nil {
 				return err
 			}
@@ -184,7 +184,7 @@
 		}
 		fmt.Println("report:", page)
 	}
-	summary(os.Stdout, result)
+	printSummary(os.Stdout, result)
 	if len(result.Failures) > 0 {
 		return errNotMet
 	}
@@ -200,16 +200,16 @@
 }
 
 // play reads and plays, with progress: one line that is written over on a terminal, one a second elsewhere.
-func play(ctx context.Context, c lab.RunOptions) (*ledger.Result, *scenario.Scenario, error) {
-	s, err := lab.ReadExperiment(experiments.Files, c.Experiment)
+func runExperiment(ctx context.Context, options lab.RunOptions) (*ledger.Result, *scenario.Scenario, error) {
+	s, err := lab.ReadExperiment(experiments.Files, options.Experiment)
 	if err != nil {
 		return nil, nil, err
 	}
-	whole := *s
+	original := *s
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	result, err := lab.Run(ctx, s, c, func(now policy.Micros, a *ledger.Account) {
+	result, err := lab.Run(ctx, s, options, func(now policy.Micros, a *ledger.Account) {
 		p := a.Progress()
-		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", whole.Name, float64(now)/1e6, p.Offered,
+		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", original.Name, float64(now)/1e6, p.Offered,
 			p.Served, p.Nacked, p.Open)
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%s", line)
@@ -220,11 +220,11 @@
 	if terminal {
 		fmt.Fprint(os.Stderr, "\r\x1b[K")
 	}
-	return result, &whole, err
+	return result, &original, err
 }
 
 // summary prints what a run came to.
-func summary(w *os.File, r *ledger.Result) {
+func printSummary(w *os.File, r *ledger.Result) {
 	partial := ""
 	if r.Partial {
 		partial = ", cut short: what follows is partial"
@@ -260,20 +260,20 @@
 }
 
 type recordCommand struct {
-	Name   string `arg:"" help:"The experiment whose load it is, or whose categories the traffic has."`
-	File   string `arg:"" help:"The trace to write."`
-	Short  bool   `help:"The short load."`
-	Seed   uint64 `help:"Of all chance." default:"1"`
-	Listen string `help:"Take real traffic here and pass it on, recording its arrivals, until interrupted." placeholder:"ADDR"`
-	To     string `help:"Where recorded traffic goes on to: a node's address." placeholder:"ADDR"`
+	Name      string `arg:"" help:"The experiment whose load it is, or whose categories the traffic has."`
+	File      string `arg:"" help:"The trace to write."`
+	Short     bool   `help:"The short load."`
+	Seed      uint64 `help:"Of all chance." default:"1"`
+	Listen    string `help:"Take real traffic here and pass it on, recording its arrivals, until interrupted." placeholder:"ADDR"`
+	ForwardTo string `name:"to" help:"Where recorded traffic goes on to: a node's address." placeholder:"ADDR"`
 }
 
 func (r *recordCommand) Run(ctx context.Context) error {
-	s, err := lab.ReadExperiment(experiments.Files, r.Name)
+	experiment, err := lab.ReadExperiment(experiments.Files, r.Name)
 	if err != nil {
 		return err
 	}
-	if (r.Listen == "") != (r.To == "") {
+	if (r.Listen == "") != (r.ForwardTo == "") {
 		return errors.New("--listen and --to go together")
 	}
 	file, err := os.Create(r.File)
@@ -281,17 +281,17 @@
 		return err
 	}
 	defer file.Close()
-	n := 0
+	count := 0
 	if r.Listen != "" {
-		fmt.Fprintf(os.Stderr, "recording what comes to %s and goes on to %s; interrupt to end\n", r.Listen, r.To)
-		n, err = lab.RecordTrace(ctx, s, r.Listen, r.To, file)
+		fmt.Fprintf(os.Stderr, "recording what comes to %s and goes on to %s; interrupt to end\n", r.Listen, r.ForwardTo)
+		count, err = lab.RecordTrace(ctx, experiment, r.Listen, r.ForwardTo, file)
 	} else {
-		length := s.Duration.Micros()
+		length := experiment.Duration.Micros()
 		if r.Short {
-			length = s.Short.Micros()
+			length = experiment.Short.Micros()
 		}
-		arrivals := load.Make(s, length, r.Seed)
-		n, err = len(arrivals), load.Write(file, arrivals)
+		arrivals := load.Make(experiment, length, r.Seed)
+		count, err = len(arrivals), load.Write(file, arrivals)
 	}
 	if err == nil {
 		err = file.Close()
@@ -299,19 +299,19 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d arrivals\n", r.File, n)
+	fmt.Printf("%s: %d arrivals\n", r.File, count)
 	return nil
 }
 
 type replayCommand struct {
-	File   string `arg:"" type:"existingfile" help:"The trace."`
-	On     string `help:"The experiment whose fleet and troubles it meets." default:"steady"`
-	choice `embed:""`
-	JSON   string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
+	File       string `arg:"" type:"existingfile" help:"The trace."`
+	Experiment string `name:"on" help:"The experiment whose fleet and troubles it meets." default:"steady"`
+	runFlags   `embed:""`
+	JSON       string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
 }
 
 func (r *replayCommand) Run(ctx context.Context) error {
-	run := runCommand{Name: r.On, choice: r.choice, Trace: r.File, JSON: r.JSON}
+	run := runCommand{Name: r.Experiment, runFlags: r.runFlags, Trace: r.File, JSON: r.JSON}
 	return run.Run(ctx)
 }
 
@@ -321,16 +321,16 @@
 }
 
 func (u *upCommand) Run(ctx context.Context) error {
-	s, err := lab.ReadExperiment(experiments.Files, u.Name)
+	experiment, err := lab.ReadExperiment(experiments.Files, u.Name)
 	if err != nil {
 		return err
 	}
-	err = live.Serve(ctx, live.Options{Scenario: s, Program: live.Program{Path: self(), Args: []string{"node"}, ExitsWithStdin: true},
+	err = live.Serve(ctx, live.Options{Scenario: experiment, Program: live.Program{Path: selfPath(), Args: []string{"node"}, ExitsWithStdin: true},
 		Seed: 1, ListenAddr: u.Listen}, func(nodes []string) {
-		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(s.Machines()))
-		for _, c := range s.Categories {
-			if c.Repeat == "redeliverable" {
-				fmt.Printf("  curl -i -H 'X-Txn: 1' -H 'X-Remaining-Ms: 900' %s/%s\n", nodes[0], c.Name)
+		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(experiment.Machines()))
+		for _, category := range experiment.Categories {
+			if category.Repeat == "redeliverable" {
+				fmt.Printf("  curl -i -H 'X-Txn: 1' -H 'X-Remaining-Ms: 900' %s/%s\n", nodes[0], category.Name)
 			}
 		}
 	})
@@ -339,11 +339,11 @@
 
 // nodeCommand is a node of an experiment.
 type nodeCommand struct {
-	Policy string `default:""`
-	Break  string `default:""`
+	Policy        string `default:""`
+	InjectedFault string `name:"break" default:""`
 }
 
 func (n *nodeCommand) Run() error {
-	os.Exit(labnode.Main(n.Policy, n.Break))
+	os.Exit(labnode.Main(n.Policy, n.InjectedFault))
 	return nil
 }
--- a/cmd/canvaslab/main_test.go
+++ b/cmd/canvaslab/main_test.go
@@ -15,10 +15,10 @@
 )
 
 // asLab makes the test's own program canvaslab; its nodes are processes of the same.
-const asLab = "CANVASLAB_TEST_AS_LAB"
+const runAsCanvaslabEnv = "CANVASLAB_TEST_AS_LAB"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asLab) != "" {
+	if os.Getenv(runAsCanvaslabEnv) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -26,7 +26,7 @@
 }
 
 // canvaslab runs the program with arguments.
-func canvaslab(t *testing.T, args ...string) (out, problems string, code int) {
+func runCanvaslab(t *testing.T, args ...string) (out, errors string, code int) {
 	t.Helper()
 	cmd := command(args...)
 	var o, e bytes.Buffer
@@ -42,14 +42,14 @@
 
 func command(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asLab+"=1")
+	cmd.Env = append(os.Environ(), runAsCanvaslabEnv+"=1")
 	return cmd
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandOutputAndExitCodes(t *testing.T) {
 	dir := t.TempDir()
-	at := func(name string) string { return filepath.Join(dir, name) }
-	bad := at("bad.toml")
+	inDir := func(name string) string { return filepath.Join(dir, name) }
+	bad := inDir("bad.toml")
 	os.WriteFile(bad, []byte("name = \"x\"\nspeed = 1\n"), 0o600)
 	for _, c := range []struct {
 		args []string
@@ -59,42 +59,42 @@
 		{[]string{"list"}, 0, "rolling-deploy"},
 		{[]string{"list", "--troubles"}, 0, "registry-stale"},
 		{[]string{"list", "--faults"}, 0, "late-answer      answer"},
-		{[]string{"run", "steady", "--driver", "sim", "--short", "--json", at("a.json")}, 0, "the four rules hold"},
-		{[]string{"run", "steady", "--driver", "sim", "--short", "--json", at("b.json")}, 0, "again: canvaslab run steady --short --seed 1 --driver sim"},
+		{[]string{"run", "steady", "--driver", "sim", "--short", "--json", inDir("a.json")}, 0, "the four rules hold"},
+		{[]string{"run", "steady", "--driver", "sim", "--short", "--json", inDir("b.json")}, 0, "again: canvaslab run steady --short --seed 1 --driver sim"},
 		{[]string{"run", "steady", "--driver", "sim", "--short", "--break", "lost-answer"}, 0, "broken rules: answer"},
 		{[]string{"run", "steady", "--driver", "sim", "--short", "--break", "drained-send"}, 1, "the ledger did not see it"},
 		{[]string{"run", "steady", "--driver", "sim", "--break", "rust"}, 2, `fault "rust" is not one of`},
 		{[]string{"run", "nothing"}, 2, `no experiment "nothing"`},
 		{[]string{"run", bad}, 2, "bad.toml: line 2, column 1: key speed: "},
-		{[]string{"run", "steady", "--driver", "sim", "--short", "--report", at("r")}, 0, "index.html"},
-		{[]string{"record", "steady", at("t.jsonl"), "--short"}, 0, "arrivals"},
-		{[]string{"record", "steady", at("u.jsonl"), "--listen", "127.0.0.1:1"}, 2, "--listen and --to go together"},
-		{[]string{"replay", at("t.jsonl"), "--on", "sinkhole", "--driver", "sim"}, 0, "the four rules hold"},
+		{[]string{"run", "steady", "--driver", "sim", "--short", "--report", inDir("r")}, 0, "index.html"},
+		{[]string{"record", "steady", inDir("t.jsonl"), "--short"}, 0, "arrivals"},
+		{[]string{"record", "steady", inDir("u.jsonl"), "--listen", "127.0.0.1:1"}, 2, "--listen and --to go together"},
+		{[]string{"replay", inDir("t.jsonl"), "--on", "sinkhole", "--driver", "sim"}, 0, "the four rules hold"},
 		{[]string{"compare", "module", "random", "--on", "all-slow", "--driver", "sim", "--runs", "2"}, 0, "served_benefit"},
 		{[]string{"compare", "module", "luck"}, 2, `"luck" is no policy`},
 		{[]string{"table", "steady", "sinkhole", "--driver", "sim", "--short"}, 0, "| sinkhole | sim |"},
 		{[]string{"run", "steady", "--short", "--node", "/bin/false"}, 2, "did not start"},
 	} {
-		out, problems, code := canvaslab(t, c.args...)
-		if code != c.code || !strings.Contains(out+problems, c.want) {
-			t.Errorf("%v: exit %d, %s%s", c.args, code, out, problems)
+		out, errors, code := runCanvaslab(t, c.args...)
+		if code != c.code || !strings.Contains(out+errors, c.want) {
+			t.Errorf("%v: exit %d, %s%s", c.args, code, out, errors)
 		}
-		if code == 2 && strings.Count(problems, "\n") != 1 {
-			t.Errorf("%v: not one line: %q", c.args, problems)
+		if code == 2 && strings.Count(errors, "\n") != 1 {
+			t.Errorf("%v: not one line: %q", c.args, errors)
 		}
 	}
-	a, _ := os.ReadFile(at("a.json"))
-	b, _ := os.ReadFile(at("b.json"))
+	a, _ := os.ReadFile(inDir("a.json"))
+	b, _ := os.ReadFile(inDir("b.json"))
 	if len(a) == 0 || !bytes.Equal(a, b) {
 		t.Error("the same seed gave other bytes")
 	}
 }
 
 // Ctrl-C leaves a readable partial result and report, and no process.
-func TestInterrupt(t *testing.T) {
+func TestInterruptLeavesPartialResult(t *testing.T) {
 	dir := t.TempDir()
-	json1 := filepath.Join(dir, "r.json")
-	cmd := command("run", "steady", "--json", json1, "--report", filepath.Join(dir, "report"))
+	resultFile := filepath.Join(dir, "r.json")
+	cmd := command("run", "steady", "--json", resultFile, "--report", filepath.Join(dir, "report"))
 	progress, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	cmd.Process.Signal(syscall.SIGINT)
 	cmd.Wait()
 	var r ledger.Result
-	raw, _ := os.ReadFile(json1)
+	raw, _ := os.ReadFile(resultFile)
 	if err := json.Unmarshal(raw, &r); err != nil || !r.Partial || r.Served == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("%v: %+v", err, r)
 	}
--- a/cmd/canvaslab/scale.go
+++ b/cmd/canvaslab/scale.go
@@ -15,125 +15,125 @@
 )
 
 type scaleCommand struct {
-	Role   string        `arg:"" help:"What is measured: members, judgements, view, changes, list, start or path." enum:"members,judgements,view,changes,list,start,path"`
-	Nodes  []int         `help:"Sizes, one after another." default:"25,50,100"`
-	Plays  int           `help:"Plays of each size." default:"3"`
-	First  int           `help:"Number of the first play: records keep one of each size and number." default:"1"`
-	Node   string        `help:"The node's program: then nodes are processes of it. Left out they are hollow, many in this process." type:"existingfile" placeholder:"PATH"`
-	Called int           `help:"Services that a node calls, of eight servers each." default:"5"`
-	Calm   time.Duration `help:"How long each phase is counted; calm of members a minute at the least." default:"10s"`
-	Slow   int           `help:"All clocks of hollow nodes that hear each other, by this factor; figures are told for a second of that clock." default:"1"`
-	Seed   uint64        `help:"Of all chance." default:"1"`
-	Out    string        `help:"Directory of the records." default:"docs/capacity" placeholder:"DIR"`
+	Role            string        `arg:"" help:"What is measured: members, judgements, view, changes, list, start or path." enum:"members,judgements,view,changes,list,start,path"`
+	Nodes           []int         `help:"Sizes, one after another." default:"25,50,100"`
+	Runs            int           `name:"plays" help:"Plays of each size." default:"3"`
+	FirstRun        int           `name:"first" help:"Number of the first play: records keep one of each size and number." default:"1"`
+	Node            string        `help:"The node's program: then nodes are processes of it. Left out they are hollow, many in this process." type:"existingfile" placeholder:"PATH"`
+	ServicesPerNode int           `name:"called" help:"Services that a node calls, of eight servers each." default:"5"`
+	PhaseDuration   time.Duration `name:"calm" help:"How long each phase is counted; calm of members a minute at the least." default:"10s"`
+	ClockSlowdown   int           `name:"slow" help:"All clocks of hollow nodes that hear each other, by this factor; figures are told for a second of that clock." default:"1"`
+	Seed            uint64        `help:"Of all chance." default:"1"`
+	RecordDir       string        `name:"out" help:"Directory of the records." default:"docs/capacity" placeholder:"DIR"`
 }
 
 // most nodes of a kind: a few hundred processes, and a thousand hollow nodes in half of a machine's memory.
 const (
-	mostReal   = 300
-	mostHollow = 1000
+	maxProcessNodes   = 300
+	maxInProcessNodes = 1000
 	// mostSlow keeps the relay's own waits, which are of real time, above those that are slowed.
-	mostSlow = 10
+	maxClockSlowdown = 10
 )
 
 // Run plays each size, writes down what smaller ones predict before it, and keeps what was measured.
 func (s *scaleCommand) Run(ctx context.Context) error {
-	kind, most := scale.Hollow, mostHollow
+	kind, maxNodes := scale.Hollow, maxInProcessNodes
 	if s.Node != "" {
-		kind, most = scale.Real, mostReal
+		kind, maxNodes = scale.Real, maxProcessNodes
 	}
 	if s.Role == "path" {
-		most = 20
+		maxNodes = 20
 	}
-	if err := scale.ParseSizes(s.Nodes, most); err != nil {
+	if err := scale.ParseSizes(s.Nodes, maxNodes); err != nil {
 		return err
 	}
-	if s.Plays < 1 || s.Plays > 10 || s.First < 1 || s.Calm < time.Second || s.Calm > time.Minute || s.Called < 1 {
+	if s.Runs < 1 || s.Runs > 10 || s.FirstRun < 1 || s.PhaseDuration < time.Second || s.PhaseDuration > time.Minute || s.ServicesPerNode < 1 {
 		return errors.New("--plays is from 1 to 10, --first and --called at least 1, --calm from 1s to 1m")
 	}
-	if slowed := s.Role == "members" || s.Role == "judgements" || s.Role == "view"; s.Slow < 1 || s.Slow > mostSlow || s.Slow > 1 && (!slowed || kind == scale.Real) {
-		return fmt.Errorf("--slow is from 1 to %d, for hollow members, judgements and view alone", mostSlow)
+	if slowable := s.Role == "members" || s.Role == "judgements" || s.Role == "view"; s.ClockSlowdown < 1 || s.ClockSlowdown > maxClockSlowdown || s.ClockSlowdown > 1 && (!slowable || kind == scale.Real) {
+		return fmt.Errorf("--slow is from 1 to %d, for hollow members, judgements and view alone", maxClockSlowdown)
 	}
 	name := s.Role
-	if s.Called != 5 {
-		name = fmt.Sprintf("%s%d", s.Role, s.Called)
+	if s.ServicesPerNode != 5 {
+		name = fmt.Sprintf("%s%d", s.Role, s.ServicesPerNode)
 	}
-	record, err := scale.Load(s.Out, name, kind)
+	record, err := scale.Load(s.RecordDir, name, kind)
 	if err != nil {
 		return err
 	}
-	record.Command = "canvaslab scale " + strings.Join(strings.Fields(fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Plays, s.Called, s.Calm)), " ")
+	record.Command = "canvaslab scale " + strings.Join(strings.Fields(fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Runs, s.ServicesPerNode, s.PhaseDuration)), " ")
 	if kind == scale.Real {
 		record.Command += " --node bin/canvasrouter"
 	}
 	record.Cores = runtime.NumCPU()
-	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d plays each: %s\n", s.Role, kind, s.Nodes, s.Plays, scale.Bounds(kind, s.Nodes))
+	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d plays each: %s\n", s.Role, kind, s.Nodes, s.Runs, scale.Bounds(kind, s.Nodes))
 	for _, nodes := range s.Nodes {
-		if p := record.Predict(nodes); p != nil {
-			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, p.From, p.Values)
-			if err := record.Save(s.Out); err != nil {
+		if point := record.Predict(nodes); point != nil {
+			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, point.From, point.Values)
+			if err := record.Save(s.RecordDir); err != nil {
 				return err
 			}
 		}
-		for play := range s.Plays {
-			p, err := s.play(ctx, nodes, kind, s.Seed+uint64(play+s.First))
+		for run := range s.Runs {
+			point, err := s.measure(ctx, nodes, kind, s.Seed+uint64(run+s.FirstRun))
 			if err != nil {
 				return fmt.Errorf("%s, %d nodes: %w", s.Role, nodes, err)
 			}
-			p.Play = play + s.First
-			record.Add(p)
-			if err := record.Save(s.Out); err != nil {
+			point.Play = run + s.FirstRun
+			record.Add(point)
+			if err := record.Save(s.RecordDir); err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "%d nodes, play %d: %v %s\n", nodes, p.Play, p.Values, p.Void)
+			fmt.Fprintf(os.Stderr, "%d nodes, play %d: %v %s\n", nodes, point.Play, point.Values, point.Void)
 		}
 	}
 	return nil
 }
 
-func (s *scaleCommand) play(ctx context.Context, nodes int, kind string, seed uint64) (p scale.Point, err error) {
-	tell := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+func (s *scaleCommand) measure(ctx context.Context, nodes int, kind string, seed uint64) (point scale.Point, err error) {
+	progress := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	switch s.Role {
 	case "list":
 		if kind == scale.Real {
-			return scale.ListReal(ctx, s.Node, nodes, s.Called, s.Calm, seed, tell)
+			return scale.ListReal(ctx, s.Node, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
 		}
-		return scale.List(ctx, nodes, s.Called, s.Calm, seed, tell)
+		return scale.List(ctx, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
 	case "changes":
-		return scale.Changes(ctx, s.Node, nodes, s.Calm, seed, tell)
+		return scale.Changes(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
 	case "start":
-		return scale.Starts(ctx, s.Node, nodes, seed, tell)
+		return scale.Starts(ctx, s.Node, nodes, seed, progress)
 	case "path":
-		return scale.Path(ctx, s.Node, nodes, s.Calm, seed, tell)
+		return scale.Path(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
 	}
-	var c scale.Cluster
+	var cluster scale.Cluster
 	if kind == scale.Real {
 		experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 		if err != nil {
-			return p, err
+			return point, err
 		}
-		c, err = scale.NewReal(s.Node, experiment, nodes, seed)
+		cluster, err = scale.NewReal(s.Node, experiment, nodes, seed)
 		if err != nil {
-			return p, err
+			return point, err
 		}
 	} else {
-		keep := time.Duration(0)
+		retention := time.Duration(0)
 		if s.Role == "members" {
-			keep = scale.KeepScaled
+			retention = scale.KeepScaled
 		}
-		if c, err = scale.NewHollow(nodes, s.Called, keep, s.Slow, seed); err != nil {
-			return p, err
+		if cluster, err = scale.NewHollow(nodes, s.ServicesPerNode, retention, s.ClockSlowdown, seed); err != nil {
+			return point, err
 		}
 	}
-	defer func() { err = errors.Join(err, c.Close()) }()
+	defer func() { err = errors.Join(err, cluster.Close()) }()
 	if s.Role == "judgements" {
-		of, hollow := c.(*scale.HollowCluster)
-		if !hollow {
-			return p, errors.New("judgements are measured with hollow nodes: leave --node out")
+		inProcess, isInProcess := cluster.(*scale.HollowCluster)
+		if !isInProcess {
+			return point, errors.New("judgements are measured with hollow nodes: leave --node out")
 		}
-		return scale.Judgements(ctx, of, s.Calm, tell)
+		return scale.Judgements(ctx, inProcess, s.PhaseDuration, progress)
 	}
 	if s.Role == "view" {
-		return scale.Views(ctx, c, tell)
+		return scale.Views(ctx, cluster, progress)
 	}
-	return scale.Members(ctx, c, s.Calm, tell)
+	return scale.Members(ctx, cluster, s.PhaseDuration, progress)
 }
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -53,8 +53,8 @@
 }
 
 // New makes a count in windows of span, where servers are cold for warm.
-func New(span, warm time.Duration) *Counter {
-	return &Counter{WindowDuration: span, WarmUpTime: warm, LinesByNode: make(map[string]int)}
+func New(window, warmUp time.Duration) *Counter {
+	return &Counter{WindowDuration: window, WarmUpTime: warmUp, LinesByNode: make(map[string]int)}
 }
 
 // Read takes in the log of one node. A line that is no JSON, or half of one, is counted and passed over; what stands
@@ -67,101 +67,101 @@
 		if len(bytes.TrimSpace(raw)) == 0 {
 			continue
 		}
-		var l LogLine
-		at := bytes.IndexByte(raw, '{')
-		if at < 0 || json.Unmarshal(raw[at:], &l) != nil || l.Time == 0 {
+		var line LogLine
+		jsonStart := bytes.IndexByte(raw, '{')
+		if jsonStart < 0 || json.Unmarshal(raw[jsonStart:], &line) != nil || line.Time == 0 {
 			f.UnreadableLines++
 			continue
 		}
-		f.LinesByNode[l.Node]++
-		f.lines = append(f.lines, l)
+		f.LinesByNode[line.Node]++
+		f.lines = append(f.lines, line)
 	}
 	return lines.Err()
 }
 
 // told is what a node was told of a server.
-type told struct {
-	state   policy.ServerState
-	started int64 // Unix milliseconds
+type listEntry struct {
+	state     policy.ServerState
+	startedMs int64 // Unix milliseconds
 }
 
 // Count puts all lines in order of time and counts them.
 func (f *Counter) Count() []*Window {
 	sort.SliceStable(f.lines, func(i, j int) bool { return f.lines[i].Time < f.lines[j].Time })
 	f.windows = nil
-	lists := make(map[[2]string]told)
+	lists := make(map[[2]string]listEntry)
 	for i := range f.lines {
-		l := &f.lines[i]
-		w := f.window(time.Duration(l.Time-f.lines[0].Time) * time.Millisecond)
-		key := [2]string{l.Node, l.Server}
+		line := &f.lines[i]
+		window := f.windowAt(time.Duration(line.Time-f.lines[0].Time) * time.Millisecond)
+		key := [2]string{line.Node, line.Server}
 		switch {
-		case l.Message == "entry" && l.State != nil && l.AgeMs != nil:
-			lists[key] = told{policy.ServerState(*l.State), l.Time - *l.AgeMs}
-		case l.Message == "push" && l.Push != nil:
-			w.Counts["pushes"]++
-			w.PushesByServer[l.Server]++
-			if *l.Push > 0 {
-				w.Counts["second pushes"]++
+		case line.Message == "entry" && line.State != nil && line.AgeMs != nil:
+			lists[key] = listEntry{policy.ServerState(*line.State), line.Time - *line.AgeMs}
+		case line.Message == "push" && line.Push != nil:
+			window.Counts["pushes"]++
+			window.PushesByServer[line.Server]++
+			if *line.Push > 0 {
+				window.Counts["second pushes"]++
 			}
-			t, known := lists[key]
+			entry, known := lists[key]
 			switch {
 			case !known:
-			case t.state == policy.Draining:
-				w.Counts["pushes to draining"]++
-			case t.state == policy.Gone:
-				w.Counts["pushes to gone"]++
-			case l.Time-t.started < f.WarmUpTime.Milliseconds():
-				w.Counts["pushes to cold"]++
+			case entry.state == policy.Draining:
+				window.Counts["pushes to draining"]++
+			case entry.state == policy.Gone:
+				window.Counts["pushes to gone"]++
+			case line.Time-entry.startedMs < f.WarmUpTime.Milliseconds():
+				window.Counts["pushes to cold"]++
 			}
-		case l.Message == "push ended":
-			w.Counts["ended "+l.Outcome]++
-		case l.Message == "dial":
-			w.Counts["dials"]++
-			if l.Error != "" {
-				w.Counts["dials failed"]++
+		case line.Message == "push ended":
+			window.Counts["ended "+line.Outcome]++
+		case line.Message == "dial":
+			window.Counts["dials"]++
+			if line.Error != "" {
+				window.Counts["dials failed"]++
 			} else {
-				w.DialsByServer[l.Server]++
+				window.DialsByServer[line.Server]++
 			}
-		case l.Message == "call":
-			w.Counts["list calls"]++
-		case l.Message == "watch of the list ended":
-			w.Counts["watches ended"]++
-		case l.Message == "broken line of the list; asking for the whole list":
-			w.Counts["broken lists"]++
-		case l.Message == "op":
-			w.Counts["ops"]++
-		case l.Message == "answer":
-			w.Counts["answers "+l.Verdict]++
-			if l.Pushes == 0 {
-				w.Counts[fmt.Sprintf("unsent of category %d", l.Category)]++
+		case line.Message == "call":
+			window.Counts["list calls"]++
+		case line.Message == "watch of the list ended":
+			window.Counts["watches ended"]++
+		case line.Message == "broken line of the list; asking for the whole list":
+			window.Counts["broken lists"]++
+		case line.Message == "op":
+			window.Counts["ops"]++
+		case line.Message == "answer":
+			window.Counts["answers "+line.Verdict]++
+			if line.Pushes == 0 {
+				window.Counts[fmt.Sprintf("unsent of category %d", line.Category)]++
 			}
-		case strings.HasPrefix(l.Message, "control of all servers starts"):
-			w.Counts["shared control starts"]++
-		case strings.HasPrefix(l.Message, "control of ") && strings.Contains(l.Message, " starts"):
-			w.Counts["control starts"]++
-		case strings.HasPrefix(l.Message, "control of ") && strings.Contains(l.Message, " ends"):
-			w.Counts["control ends"]++
-		case l.Message == "node starts":
-			w.Counts["node starts"]++
+		case strings.HasPrefix(line.Message, "control of all servers starts"):
+			window.Counts["shared control starts"]++
+		case strings.HasPrefix(line.Message, "control of ") && strings.Contains(line.Message, " starts"):
+			window.Counts["control starts"]++
+		case strings.HasPrefix(line.Message, "control of ") && strings.Contains(line.Message, " ends"):
+			window.Counts["control ends"]++
+		case line.Message == "node starts":
+			window.Counts["node starts"]++
 		}
 	}
 	return f.windows
 }
 
-func (f *Counter) window(at time.Duration) *Window {
-	for n := int(at / f.WindowDuration); len(f.windows) <= n; {
+func (f *Counter) windowAt(offset time.Duration) *Window {
+	for index := int(offset / f.WindowDuration); len(f.windows) <= index; {
 		f.windows = append(f.windows, &Window{Start: time.Duration(len(f.windows)) * f.WindowDuration, Counts: make(map[string]int),
 			PushesByServer: make(map[string]int), DialsByServer: make(map[string]int)})
 	}
-	return f.windows[int(at/f.WindowDuration)]
+	return f.windows[int(offset/f.WindowDuration)]
 }
 
 // Table writes the count in Markdown: a row for each kind, a column for each window; the last rows are the server with
 // most pushes and with most connections opened, and the mean over servers.
 func (f *Counter) WriteTable(w io.Writer) error {
 	kinds := make(map[string]bool)
-	for _, win := range f.windows {
-		for kind := range win.Counts {
+	for _, window := range f.windows {
+		for kind := range window.Counts {
 			kinds[kind] = true
 		}
 	}
@@ -170,41 +170,41 @@
 		names = append(names, kind)
 	}
 	sort.Strings(names)
-	var b strings.Builder
-	fmt.Fprintf(&b, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(f.LinesByNode), len(f.lines), f.UnreadableLines, f.WindowDuration)
-	for _, win := range f.windows {
-		fmt.Fprintf(&b, " %g s |", win.Start.Seconds())
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(f.LinesByNode), len(f.lines), f.UnreadableLines, f.WindowDuration)
+	for _, window := range f.windows {
+		fmt.Fprintf(&text, " %g s |", window.Start.Seconds())
 	}
-	b.WriteString("\n| --- |" + strings.Repeat(" --- |", len(f.windows)) + "\n")
-	row := func(name string, of func(*Window) string) {
-		b.WriteString("| " + name + " |")
-		for _, win := range f.windows {
-			b.WriteString(" " + of(win) + " |")
+	text.WriteString("\n| --- |" + strings.Repeat(" --- |", len(f.windows)) + "\n")
+	row := func(name string, value func(*Window) string) {
+		text.WriteString("| " + name + " |")
+		for _, window := range f.windows {
+			text.WriteString(" " + value(window) + " |")
 		}
-		b.WriteString("\n")
+		text.WriteString("\n")
 	}
 	for _, name := range names {
-		row(name, func(win *Window) string { return fmt.Sprint(win.Counts[name]) })
+		row(name, func(window *Window) string { return fmt.Sprint(window.Counts[name]) })
 	}
-	row("pushes a server, most", func(win *Window) string { return most(win.PushesByServer) })
-	row("pushes a server, mean", func(win *Window) string { return mean(win.PushesByServer) })
-	row("connections opened a server, most", func(win *Window) string { return most(win.DialsByServer) })
-	_, err := io.WriteString(w, b.String())
+	row("pushes a server, most", func(window *Window) string { return maximum(window.PushesByServer) })
+	row("pushes a server, mean", func(window *Window) string { return mean(window.PushesByServer) })
+	row("connections opened a server, most", func(window *Window) string { return maximum(window.DialsByServer) })
+	_, err := io.WriteString(w, text.String())
 	return err
 }
 
-func most(of map[string]int) string {
-	top := 0
-	for _, n := range of {
-		top = max(top, n)
+func maximum(counts map[string]int) string {
+	highest := 0
+	for _, n := range counts {
+		highest = max(highest, n)
 	}
-	return fmt.Sprint(top)
+	return fmt.Sprint(highest)
 }
 
-func mean(of map[string]int) string {
+func mean(counts map[string]int) string {
 	sum := 0
-	for _, n := range of {
+	for _, n := range counts {
 		sum += n
 	}
-	return fmt.Sprintf("%.1f", float64(sum)/float64(max(1, len(of))))
+	return fmt.Sprintf("%.1f", float64(sum)/float64(max(1, len(counts))))
 }
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const first = `0.013 {"node":"n0","message":"node starts","time":1000}
+const firstNodeLog = `0.013 {"node":"n0","message":"node starts","time":1000}
 {"node":"n0","server":"a","state":0,"age_ms":900,"time":1000,"message":"entry"}
 {"node":"n0","server":"b","state":1,"age_ms":90000,"time":1000,"message":"entry"}
 {"node":"n0","query":"?watch=1&from=0","time":1400,"message":"call"}
@@ -21,7 +21,7 @@
 {"node":"n0","op":2,"category":2,"verdict":"nacked","pushes":0,"time":3200,"message":"answer"}
 {"node":"n0","op":1,"pu`
 
-const second = `no JSON at all
+const secondNodeLog = `no JSON at all
 
 {"node":"n1","time":3100,"message":"control of all servers starts, 3.7/s"}
 {"node":"n1","time":3200,"message":"control of 93a1b50a456c starts, 3.7/s"}
@@ -30,9 +30,9 @@
 `
 
 // What each node logs of itself adds up over the fleet; what is cut in the middle of a line is told, and harms nothing.
-func TestCount(t *testing.T) {
+func TestCountOverTwoNodes(t *testing.T) {
 	f := New(2*time.Second, time.Minute)
-	for _, log := range []string{second, first} {
+	for _, log := range []string{secondNodeLog, firstNodeLog} {
 		if err := f.ReadLog(strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 }
 
 // No line at all is no window.
-func TestEmpty(t *testing.T) {
+func TestEmptyLogHasNoWindows(t *testing.T) {
 	f := New(time.Second, time.Second)
 	if f.ReadLog(strings.NewReader("")) != nil || len(f.Count()) != 0 {
 		t.Error("windows of nothing")
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -38,11 +38,11 @@
 }
 
 // Find reads an experiment: a file, or one that comes with the program.
-func ReadExperiment(own fs.FS, name string) (*scenario.Scenario, error) {
+func ReadExperiment(builtin fs.FS, name string) (*scenario.Scenario, error) {
 	if strings.HasSuffix(name, ".toml") {
 		return scenario.Read(os.DirFS(filepath.Dir(name)), filepath.Base(name))
 	}
-	s, err := scenario.Read(own, name+".toml")
+	s, err := scenario.Read(builtin, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("no experiment %q; canvaslab list shows them, and a file ends in .toml", name)
 	}
@@ -76,24 +76,24 @@
 }
 
 // Arrivals are the load of a run.
-func (c *RunOptions) Arrivals(s *scenario.Scenario, length policy.Micros) ([]load.Arrival, error) {
+func (c *RunOptions) Arrivals(s *scenario.Scenario, duration policy.Micros) ([]load.Arrival, error) {
 	file := c.TraceFile
 	if file == "" {
 		file = s.Load.Trace
 	}
 	if file == "" {
-		return load.Make(s, length, c.Seed), nil
+		return load.Make(s, duration, c.Seed), nil
 	}
 	raw, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer raw.Close()
-	return load.Read(raw, s, length)
+	return load.Read(raw, s, duration)
 }
 
 // length is how long the load of a run lasts.
-func (c *RunOptions) length(s *scenario.Scenario) policy.Micros {
+func (c *RunOptions) loadDuration(s *scenario.Scenario) policy.Micros {
 	if c.Short {
 		return s.Short.Micros()
 	}
@@ -101,7 +101,7 @@
 }
 
 // program is a node's process.
-func (c *RunOptions) program() live.Program {
+func (c *RunOptions) nodeProgram() live.Program {
 	if c.NodeProgram != "" {
 		return live.Program{Path: c.NodeProgram}
 	}
@@ -120,54 +120,54 @@
 
 // Play plays an experiment and judges it. When ctx is done before the end the result is partial, and nothing but the
 // rules is judged.
-func Run(ctx context.Context, s *scenario.Scenario, c RunOptions, tick ProgressFunc) (*ledger.Result, error) {
-	if c.NodeCount > 0 {
-		s.Tiers[0].Nodes = c.NodeCount
+func Run(ctx context.Context, s *scenario.Scenario, options RunOptions, onSecond ProgressFunc) (*ledger.Result, error) {
+	if options.NodeCount > 0 {
+		s.Tiers[0].Nodes = options.NodeCount
 	}
-	if c.NoPeerMessages && s.Fleet != nil {
+	if options.NoPeerMessages && s.Fleet != nil {
 		s.Fleet = &scenario.Fleet{}
 	}
-	length := c.length(s)
-	arrivals, err := c.Arrivals(s, length)
+	duration := options.loadDuration(s)
+	arrivals, err := options.Arrivals(s, duration)
 	if err != nil {
 		return nil, err
 	}
 	if len(arrivals) == 0 {
 		return nil, errors.New("no op arrives within the length of the load")
 	}
-	driver := c.Driver
+	driver := options.Driver
 	if driver == "" {
 		driver = s.Driver
 	}
 	var result *ledger.Result
-	var account *ledger.Account
+	var runLedger *ledger.Account
 	switch driver {
 	case "sim":
-		if c.NodeProgram != "" {
+		if options.NodeProgram != "" {
 			return nil, errors.New("another program's nodes can't be played in simulated time")
 		}
-		result, account, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: c.Policy, Fault: c.InjectedFault, Seed: c.Seed,
-			Length: length, Arrivals: arrivals, Tick: tick})
+		result, runLedger, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: options.Policy, Fault: options.InjectedFault, Seed: options.Seed,
+			Length: duration, Arrivals: arrivals, Tick: onSecond})
 	case "live":
-		result, account, err = live.Run(ctx, live.Options{Scenario: s, Program: c.program(), Seed: c.Seed,
-			LoadDuration: length, Arrivals: arrivals, ListenAddr: c.ListenAddr, LogDir: c.LogDir, OnSecond: tick})
+		result, runLedger, err = live.Run(ctx, live.Options{Scenario: s, Program: options.nodeProgram(), Seed: options.Seed,
+			LoadDuration: duration, Arrivals: arrivals, ListenAddr: options.ListenAddr, LogDir: options.LogDir, OnSecond: onSecond})
 	default:
 		err = fmt.Errorf("driver %q is not one of live, sim", driver)
 	}
 	if err != nil {
 		return nil, err
 	}
-	result.Name, result.Driver, result.Seed, result.Command = s.Name, driver, c.Seed, c.Command()
-	result.Policy = c.Policy
+	result.Name, result.Driver, result.Seed, result.Command = s.Name, driver, options.Seed, options.Command()
+	result.Policy = options.Policy
 	if result.Policy == "" {
 		result.Policy = trial.Module
 	}
-	c.judge(result, account, s)
+	options.checkResult(result, runLedger, s)
 	return result, nil
 }
 
 // judge writes down what was not met. With a fault, all that is expected is that the ledger catches it.
-func (c *RunOptions) judge(result *ledger.Result, account *ledger.Account, s *scenario.Scenario) {
+func (c *RunOptions) checkResult(result *ledger.Result, runLedger *ledger.Account, s *scenario.Scenario) {
 	switch {
 	case c.InjectedFault != "":
 		result.Failures = []string{}
@@ -180,13 +180,13 @@
 		result.Failures = append(result.Failures, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.InjectedFault, rule))
 	case result.Partial:
 		*s = scenario.Scenario{Categories: s.Categories, Tenants: s.Tenants, Limits: s.Limits}
-		result.Judge(account)
+		result.Judge(runLedger)
 	default:
 		if c.Short || result.Policy != trial.Module {
 			// Bounds are for the whole load and the module; the rules hold always.
 			s.Expect = scenario.Expect{Broken: s.Expect.Broken}
 		}
-		result.Judge(account)
+		result.Judge(runLedger)
 	}
 	if result.Void != "" {
 		result.Failures = append(result.Failures, "the run is void: "+result.Void)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -22,7 +22,7 @@
 	"canvasrouter/policy"
 )
 
-func find(t *testing.T, name string) *scenario.Scenario {
+func readExperiment(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := ReadExperiment(experiments.Files, name)
 	if err != nil {
@@ -33,8 +33,8 @@
 
 // What an experiment expects is judged for the whole load by the module, and the rules always. A report of several
 // results is one page that needs no other file.
-func TestPlayJudgeReport(t *testing.T) {
-	s := find(t, "all-slow")
+func TestRunCheckAndReport(t *testing.T) {
+	s := readExperiment(t, "all-slow")
 	c := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
 	module, err := Run(t.Context(), s, c, nil)
 	if err != nil || len(module.Failures) > 0 {
@@ -46,12 +46,12 @@
 		t.Errorf("failures %v", r.Failures)
 	}
 	c.Policy = "random"
-	random, err := Run(t.Context(), find(t, "all-slow"), c, nil)
+	random, err := Run(t.Context(), readExperiment(t, "all-slow"), c, nil)
 	if err != nil || random.Policy != "random" || random.ServedBenefit >= module.ServedBenefit {
 		t.Errorf("%v: random served %v, the module %v", err, random.ServedBenefit, module.ServedBenefit)
 	}
 	dir := filepath.Join(t.TempDir(), "report")
-	page, err := report.Write(dir, find(t, "all-slow"), []*ledger.Result{module, random})
+	page, err := report.Write(dir, readExperiment(t, "all-slow"), []*ledger.Result{module, random})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +76,9 @@
 }
 
 // A run that was cut short is marked, keeps its JSON and report, and is judged by the rules alone.
-func TestPartialReport(t *testing.T) {
+func TestCancelledRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := find(t, "steady")
+	s := readExperiment(t, "steady")
 	r, err := Run(ctx, s, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Account) {
 		if now >= 3*policy.Second {
 			cancel()
@@ -90,13 +90,13 @@
 	if _, err := json.Marshal(r); err != nil {
 		t.Error(err)
 	}
-	if _, err := report.Write(t.TempDir(), find(t, "steady"), []*ledger.Result{r}); err != nil {
+	if _, err := report.Write(t.TempDir(), readExperiment(t, "steady"), []*ledger.Result{r}); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestBadChoices(t *testing.T) {
-	s := find(t, "steady")
+func TestInvalidOptions(t *testing.T) {
+	s := readExperiment(t, "steady")
 	for want, c := range map[string]RunOptions{
 		"driver":                          {Driver: "paper"},
 		`policy "luck"`:                   {Driver: "sim", Policy: "luck"},
@@ -118,21 +118,21 @@
 }
 
 // Real traffic that passes through is written down, and the trace can be played.
-func TestRecord(t *testing.T) {
-	behind := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "fine") }))
-	defer behind.Close()
+func TestRecordTrace(t *testing.T) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "fine") }))
+	defer backend.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	l.Close()
-	s := find(t, "noisy-tenant")
+	s := readExperiment(t, "noisy-tenant")
 	ctx, cancel := context.WithCancel(t.Context())
 	var file bytes.Buffer
 	done := make(chan int)
 	go func() {
-		n, err := RecordTrace(ctx, s, addr, strings.TrimPrefix(behind.URL, "http://"), &file)
+		n, err := RecordTrace(ctx, s, addr, strings.TrimPrefix(backend.URL, "http://"), &file)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -27,7 +27,7 @@
 }
 
 // sampleEvery is how often a node writes down its throttles.
-const sampleEvery = 250 * policy.Millisecond
+const sampleInterval = 250 * policy.Millisecond
 
 // Main is the node's process with a policy in the module's place and a rule broken, if they are named. It gives the
 // exit code, and ends when its standard input does.
@@ -38,59 +38,59 @@
 	}()
 	return serve.Main(serve.Options{
 		Decider: func(c *config.Config) (policy.Decider, error) {
-			d, module, err := trial.New(name, fault, c.Rules, c.Seed)
-			file := os.Getenv(ThrottleFileEnv)
-			if err != nil || module == nil || file == "" {
-				return d, err
+			decider, module, err := trial.New(name, fault, c.Rules, c.Seed)
+			path := os.Getenv(ThrottleFileEnv)
+			if err != nil || module == nil || path == "" {
+				return decider, err
 			}
-			out, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+			samples, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 			if err != nil {
 				return nil, err
 			}
-			return &sampler{Decider: d, module: module, names: names(), lines: json.NewEncoder(out)}, nil
+			return &throttleSampler{Decider: decider, module: module, serverNames: serverNames(), encoder: json.NewEncoder(samples)}, nil
 		},
 		Slack: func(settings policy.Micros) policy.Micros { return trial.Slack(fault, settings) },
 	})
 }
 
 // sampler writes down the module's throttles now and then.
-type sampler struct {
+type throttleSampler struct {
 	policy.Decider
-	module *policy.Node
-	names  map[policy.ServerID]string
-	lines  *json.Encoder
-	next   policy.Micros
+	module      *policy.Node
+	serverNames map[policy.ServerID]string
+	encoder     *json.Encoder
+	nextSample  policy.Micros
 }
 
-func (s *sampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	if now >= s.next {
-		s.next = now + sampleEvery
+func (s *throttleSampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+	if now >= s.nextSample {
+		s.nextSample = now + sampleInterval
 		s.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
-			name := s.names[server]
+			name := s.serverNames[server]
 			if server == 0 {
 				name = "all"
 			}
-			s.lines.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cut})
+			s.encoder.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cut})
 		})
 	}
 	return s.Decider.Step(now, in)
 }
 
 // mostServers is how many servers' numbers are known by name; a fleet on sockets is smaller.
-const mostServers = 4096
+const maxServers = 4096
 
 // names are the text ids by the number that a node makes of each.
-func names() map[policy.ServerID]string {
-	out := make(map[policy.ServerID]string)
-	for i := range mostServers {
-		out[ServerID(i)] = registry.ID(i)
+func serverNames() map[policy.ServerID]string {
+	names := make(map[policy.ServerID]string)
+	for i := range maxServers {
+		names[ServerID(i)] = registry.ID(i)
 	}
-	return out
+	return names
 }
 
 // ServerID is the number that nodes make of a server's text id.
-func ServerID(place int) policy.ServerID {
-	h := fnv.New64a()
-	fmt.Fprint(h, registry.ID(place))
-	return policy.ServerID(h.Sum64() >> 16)
+func ServerID(index int) policy.ServerID {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, registry.ID(index))
+	return policy.ServerID(hash.Sum64() >> 16)
 }
--- a/internal/lab/live/versus.go
+++ b/internal/lab/live/compare_targets.go
@@ -44,8 +44,8 @@
 
 // Versus drives each way in turn, closed loop, with each number of connections for a span, rounds times, against
 // servers that answer at once. One way is idle while another runs. Figures are of all rounds together.
-func CompareTargets(ctx context.Context, ways []Target, connections []int, servers, rounds int, span time.Duration) ([]Measurement, error) {
-	addrs, stopServers, err := instant(servers)
+func CompareTargets(ctx context.Context, targets []Target, connections []int, servers, rounds int, duration time.Duration) ([]Measurement, error) {
+	addrs, stopServers, err := startInstantServers(servers)
 	if err != nil {
 		return nil, err
 	}
@@ -55,57 +55,57 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	at := make([]string, len(ways))
-	for i, w := range ways {
-		if w.Program.Path == "" {
-			at[i] = addrs[0]
+	targetAddrs := make([]string, len(targets))
+	for i, target := range targets {
+		if target.Program.Path == "" {
+			targetAddrs[i] = addrs[0]
 			continue
 		}
-		addr, stop, err := startWay(w, dir, addrs)
+		addr, stop, err := startTarget(target, dir, addrs)
 		if err != nil {
 			return nil, err
 		}
 		defer stop()
-		at[i] = addr
+		targetAddrs[i] = addr
 	}
-	var laps []Measurement
-	for _, n := range connections {
-		all := make([]*hdrhistogram.Histogram, len(ways))
-		lap := make([]Measurement, len(ways))
-		for i := range ways {
-			all[i] = hdrhistogram.New(1, 60_000_000, 3)
-			lap[i] = Measurement{Target: ways[i].Name, Connections: n}
+	var measurements []Measurement
+	for _, count := range connections {
+		latencies := make([]*hdrhistogram.Histogram, len(targets))
+		current := make([]Measurement, len(targets))
+		for i := range targets {
+			latencies[i] = hdrhistogram.New(1, 60_000_000, 3)
+			current[i] = Measurement{Target: targets[i].Name, Connections: count}
 		}
 		for round := range rounds {
-			for k := range ways {
-				i := (k + round) % len(ways)
+			for turn := range targets {
+				i := (turn + round) % len(targets)
 				if ctx.Err() != nil {
-					return laps, ctx.Err()
+					return measurements, ctx.Err()
 				}
-				h, failed := closedLoop(at[i], n, span)
-				all[i].Merge(h)
-				lap[i].Errors += failed
+				histogram, failed := closedLoop(targetAddrs[i], count, duration)
+				latencies[i].Merge(histogram)
+				current[i].Errors += failed
 			}
 		}
-		for i := range ways {
-			lap[i].OpsPerSecond = float64(all[i].TotalCount()) / (span.Seconds() * float64(rounds))
-			lap[i].P50Ms, lap[i].P99Ms = float64(all[i].ValueAtQuantile(50))/1000, float64(all[i].ValueAtQuantile(99))/1000
-			lap[i].P999Ms = float64(all[i].ValueAtQuantile(99.9)) / 1000
+		for i := range targets {
+			current[i].OpsPerSecond = float64(latencies[i].TotalCount()) / (duration.Seconds() * float64(rounds))
+			current[i].P50Ms, current[i].P99Ms = float64(latencies[i].ValueAtQuantile(50))/1000, float64(latencies[i].ValueAtQuantile(99))/1000
+			current[i].P999Ms = float64(latencies[i].ValueAtQuantile(99.9)) / 1000
 		}
-		laps = append(laps, lap...)
+		measurements = append(measurements, current...)
 	}
-	return laps, nil
+	return measurements, nil
 }
 
 // instant starts servers that answer at once.
-func instant(n int) (addrs []string, stop func(), err error) {
-	var all []*http.Server
+func startInstantServers(count int) (addrs []string, stop func(), err error) {
+	var servers []*http.Server
 	stop = func() {
-		for _, s := range all {
+		for _, s := range servers {
 			s.Close()
 		}
 	}
-	for range n {
+	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			stop()
@@ -115,21 +115,21 @@
 			w.Header().Set("Content-Length", "11")
 			io.WriteString(w, `{"ok":true}`)
 		})}
-		all, addrs = append(all, s), append(addrs, l.Addr().String())
+		servers, addrs = append(servers, s), append(addrs, l.Addr().String())
 		go s.Serve(l)
 	}
 	return addrs, stop, nil
 }
 
 // startWay starts a way's process before the servers, on one core.
-func startWay(w Target, dir string, servers []string) (addr string, stop func(), err error) {
-	own, err := newPorts()
+func startTarget(target Target, dir string, servers []string) (addr string, stop func(), err error) {
+	addresses, err := newAddressPool()
 	if err != nil {
 		return "", nil, err
 	}
-	defer own.close()
-	addr = own.addr()
-	s := &scenario.Scenario{Name: "versus", Zones: []string{"a"},
+	defer addresses.close()
+	addr = addresses.nextAddr()
+	experiment := &scenario.Scenario{Name: "versus", Zones: []string{"a"},
 		Categories: []scenario.Category{{Name: "slots", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"}},
 		Tiers:      []scenario.Tier{{Name: "front", Nodes: 1, Kinds: []scenario.Kind{{Name: "std", Count: len(servers), IdleClose: 60_000_000}}}},
 		Limits: scenario.Limits{MaxPushes: 3, Dial: 100_000, Sockets: 2048, MemoryMB: 192, AnswerSlack: 20_000, ColdFrom: 0.3,
@@ -140,17 +140,17 @@
 		entries = append(entries, registry.Entry{Server: i, Weight: 1})
 		list += server + " "
 	}
-	words := registry.Words{Zones: s.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
-	file := filepath.Join(dir, strconv.Quote(w.Name)+".json")
-	config := s.Config(scenario.Balancer{Of: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.Line(1, entries, true), nil)
+	listOptions := registry.Words{Zones: experiment.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
+	file := filepath.Join(dir, strconv.Quote(target.Name)+".json")
+	config := experiment.Config(scenario.Balancer{Of: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1, listOptions.Line(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
-	cmd := exec.Command(w.Program.Path, w.Program.Args...)
+	cmd := exec.Command(target.Program.Path, target.Program.Args...)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, ProxyListenEnv+"="+addr, ProxyServersEnv+"="+list, "GOMAXPROCS=1")
-	log := &tail{}
-	cmd.Stderr, cmd.WaitDelay = log, outputWait
-	input, err := cmd.StdinPipe()
+	output := &logTail{}
+	cmd.Stderr, cmd.WaitDelay = output, outputTimeout
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return "", nil, err
 	}
@@ -158,30 +158,30 @@
 		return "", nil, err
 	}
 	var once sync.Once
-	stop = func() { once.Do(func() { input.Close(); cmd.Process.Kill(); cmd.Wait() }) }
-	for begun := time.Now(); time.Since(begun) < readyWait; time.Sleep(10 * time.Millisecond) {
+	stop = func() { once.Do(func() { stdin.Close(); cmd.Process.Kill(); cmd.Wait() }) }
+	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout; time.Sleep(10 * time.Millisecond) {
 		if response, err := readyClient.Get("http://" + addr + "/-/ready"); err == nil {
 			response.Body.Close()
 			return addr, stop, nil
 		}
 	}
 	stop()
-	return "", nil, fmt.Errorf("%s does not answer: %s", w.Name, log.line())
+	return "", nil, fmt.Errorf("%s does not answer: %s", target.Name, output.lastLine())
 }
 
 // closedLoop keeps n connections busy for a span.
-func closedLoop(addr string, n int, span time.Duration) (all *hdrhistogram.Histogram, failed int) {
-	all = hdrhistogram.New(1, 60_000_000, 3)
+func closedLoop(addr string, connections int, duration time.Duration) (latencies *hdrhistogram.Histogram, failed int) {
+	latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
-	var out sync.WaitGroup
-	end := time.Now().Add(span)
-	for i := range n {
-		out.Go(func() {
-			h := hdrhistogram.New(1, 60_000_000, 3)
-			bad := 0
-			for k := 0; time.Now().Before(end); k++ {
-				if err := loop(addr, fmt.Sprintf("%08x", i), &k, end, h); err != nil {
-					if bad++; bad > 100 {
+	var workers sync.WaitGroup
+	end := time.Now().Add(duration)
+	for i := range connections {
+		workers.Go(func() {
+			histogram := hdrhistogram.New(1, 60_000_000, 3)
+			errorCount := 0
+			for sequence := 0; time.Now().Before(end); sequence++ {
+				if err := requestLoop(addr, fmt.Sprintf("%08x", i), &sequence, end, histogram); err != nil {
+					if errorCount++; errorCount > 100 {
 						break
 					}
 					time.Sleep(time.Millisecond)
@@ -189,31 +189,31 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all.Merge(h)
-			failed += bad
+			latencies.Merge(histogram)
+			failed += errorCount
 		})
 	}
-	out.Wait()
-	return all, failed
+	workers.Wait()
+	return latencies, failed
 }
 
 var errStatus = errors.New("an answer other than 200")
 
 // loop asks on one connection until the end, or until something goes wrong.
-func loop(addr, id string, k *int, end time.Time, h *hdrhistogram.Histogram) error {
-	c, err := net.DialTimeout("tcp", addr, dialWait)
+func requestLoop(addr, id string, sequence *int, end time.Time, histogram *hdrhistogram.Histogram) error {
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(end.Add(dialWait))
-	r := bufio.NewReader(c)
-	for ; time.Now().Before(end); *k++ {
-		begun := time.Now()
-		if _, err := fmt.Fprintf(c, "GET /slots/1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %s%08x\r\nX-Remaining-Ms: 900\r\n\r\n", id, *k); err != nil {
+	c.SetDeadline(end.Add(dialTimeout))
+	reader := bufio.NewReader(c)
+	for ; time.Now().Before(end); *sequence++ {
+		sentAt := time.Now()
+		if _, err := fmt.Fprintf(c, "GET /slots/1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %s%08x\r\nX-Remaining-Ms: 900\r\n\r\n", id, *sequence); err != nil {
 			return err
 		}
-		response, err := http.ReadResponse(r, nil)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return err
 		}
@@ -223,7 +223,7 @@
 		if response.StatusCode != http.StatusOK {
 			return errStatus
 		}
-		h.RecordValue(max(1, time.Since(begun).Microseconds()))
+		histogram.RecordValue(max(1, time.Since(sentAt).Microseconds()))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/lab/live/disturbances.go
@@ -0,0 +1,206 @@
+package live
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"canvasrouter/internal/fleet/judged"
+	"canvasrouter/internal/lab/labnode"
+	"canvasrouter/internal/lab/ledger"
+	"canvasrouter/internal/lab/load"
+	"canvasrouter/internal/lab/scenario"
+	"canvasrouter/internal/standin/registry"
+	"canvasrouter/internal/standin/server"
+	"canvasrouter/policy"
+)
+
+// troubles carries out the plan in time. What takes a while goes on beside it.
+func (r *run) runDisturbances(ctx context.Context, background *sync.WaitGroup) {
+	for i := range r.plan.Steps {
+		step := &r.plan.Steps[i]
+		if step.At >= r.LoadDuration {
+			return
+		}
+		select {
+		case <-time.After(toDuration(r.loadStart + step.At - r.now())):
+		case <-ctx.Done():
+			return
+		}
+		if step.Text != "" {
+			r.ledger.Note(fmt.Sprintf("%.1f s: %s", float64(r.now()-r.loadStart)/1e6, step.Text))
+		}
+		r.applyStep(ctx, step, background)
+	}
+}
+
+func (r *run) applyStep(ctx context.Context, step *scenario.Step, background *sync.WaitGroup) {
+	standinServer := r.servers[step.Server]
+	check := func(err error) {
+		if err != nil && ctx.Err() == nil {
+			r.fail(err)
+		}
+	}
+	switch step.Verb {
+	case scenario.Slow:
+		standinServer.Slow(step.Factor)
+	case scenario.Stall:
+		standinServer.Stall(r.loadStart + step.Until)
+	case scenario.Crash, scenario.Silence:
+		standinServer.Down(step.Verb == scenario.Silence)
+		if node := r.nextTierNode(step.Server); node != nil {
+			check(node.kill())
+		}
+	case scenario.Start:
+		check(standinServer.Up(true))
+		if node := r.nextTierNode(step.Server); node != nil {
+			background.Go(func() { check(node.start(ctx)) })
+		}
+	case scenario.Behave:
+		standinServer.Behave(step.Mode)
+	case scenario.List:
+		machine := r.plan.Machines[step.Server]
+		r.registries[machine.Tier].Change(func(c *registry.Catalog) {
+			entry, known := c.Entry(step.Server)
+			if !known {
+				entry = machine.Entry(step.Server)
+			}
+			entry.State, entry.Started = step.State, standinServer.Started()
+			c.Set(entry)
+		})
+	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
+		scenario.RegistryTrue:
+		for _, service := range r.registries {
+			r.applyRegistryStep(service, step)
+		}
+	case scenario.NodeCrash:
+		check(r.nodes[step.Node].kill())
+	case scenario.NodeStart:
+		background.Go(func() { check(r.nodes[step.Node].start(ctx)) })
+	case scenario.NodeTerm:
+		background.Go(func() { check(r.nodes[step.Node].restart(ctx)) })
+	case scenario.NodeStop, scenario.NodeGoOn:
+		r.nodes[step.Node].setPaused(step.Verb == scenario.NodeStop)
+	case scenario.NodeEmpty:
+		node := r.nodes[step.Node]
+		node.cachedList = nil
+		background.Go(func() { check(node.start(ctx)) })
+	case scenario.NodeMove:
+		node := r.nodes[step.Node]
+		slot, err := r.network.Further(node.networkSlot)
+		check(err)
+		node.networkSlot = slot
+		background.Go(func() { check(node.start(ctx)) })
+	case scenario.TwinStart:
+		duplicate, err := r.newDuplicate(step.Node)
+		check(err)
+		background.Go(func() { check(duplicate.start(ctx)) })
+	case scenario.TwinEnd:
+		if duplicate := r.duplicates[step.Node]; duplicate != nil {
+			check(duplicate.kill())
+		}
+	case scenario.LieDown, scenario.LieWell:
+		check(r.startFalseReporter(step))
+	case scenario.BetweenOn, scenario.BetweenOff:
+		r.network.Carry(step)
+	case scenario.OneSided:
+		standinServer.Ignore(step.Factor, r.hitByPartialLoss)
+	case scenario.ClockStep:
+		r.clockStep.Store(int64(step.Until))
+	}
+}
+
+// twin is a second process of a node's name, number and configuration, at other addresses. No client comes to it.
+func (r *run) newDuplicate(node int) (*nodeProcess, error) {
+	original := r.nodes[node]
+	slot, err := r.network.Further(original.networkSlot)
+	if err != nil {
+		return nil, err
+	}
+	duplicate := &nodeProcess{Balancer: original.Balancer, run: r, nodeIndex: original.nodeIndex, endpoint: &endpoint{addr: r.addresses.nextAddr()}, registryAddr: original.registryAddr,
+		cachedList: original.cachedList, networkSlot: slot, hasPeers: original.hasPeers, duplicate: true}
+	r.duplicates[node] = duplicate
+	return duplicate, nil
+}
+
+// lie lets one more member say the same of every server, to the end of the run.
+func (r *run) startFalseReporter(step *scenario.Step) error {
+	if !r.nodes[step.Node].hasPeers {
+		return nil // nobody would hear it
+	}
+	condition := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
+	slot, err := r.network.Further(step.Node)
+	if err != nil {
+		return err
+	}
+	var servers []policy.ServerID
+	for i, machine := range r.plan.Machines {
+		if machine.Tier == 0 {
+			servers = append(servers, labnode.ServerID(i))
+		}
+	}
+	reporter, err := r.network.NewLiar(slot, r.Scenario.Tiers[0].Nodes, condition, servers)
+	if err == nil {
+		r.falseReporters = append(r.falseReporters, reporter)
+	}
+	return err
+}
+
+// odd is the half of the first tier's nodes that a one-sided trouble hits.
+func (r *run) hitByPartialLoss(try ledger.TryID) bool {
+	node, known := r.ledger.NodeOf(try)
+	return known && r.nodes[node].Tier == 0 && r.nodes[node].Number%2 == 1
+}
+
+func (r *run) applyRegistryStep(service *registry.Service, step *scenario.Step) {
+	switch step.Verb {
+	case scenario.RegistryDown, scenario.RegistryUp:
+		service.Down(step.Verb == scenario.RegistryDown)
+	case scenario.RegistrySlow:
+		service.Slow(toDuration(r.Scenario.Registry.Delay.Micros() + step.Until))
+	case scenario.RegistryFreeze:
+		service.Change((*registry.Catalog).Freeze)
+	case scenario.RegistryThaw:
+		service.Change((*registry.Catalog).Thaw)
+	case scenario.RegistryTrue:
+		service.Change((*registry.Catalog).Correct)
+	}
+}
+
+// behind is the node that a server calls the next tier through, or nil.
+func (r *run) nextTierNode(server int) *nodeProcess {
+	for _, node := range r.nodes {
+		if node.Server == server {
+			return node
+		}
+	}
+	return nil
+}
+
+// stranger is an op of a client that is not ours, on an open fleet. The lock is held.
+func (r *run) unknownOp(request *http.Request, machine scenario.Machine) (ledger.TryID, *server.Op, bool) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
+	for i, category := range r.Scenario.Categories {
+		if category.Name != name {
+			continue
+		}
+		now := r.now()
+		arrival := &load.Arrival{Category: i, Tenant: -1}
+		for _, tier := range r.Scenario.Tiers {
+			arrival.Work, arrival.Calls = append(arrival.Work, category.Work.Micros()), append(arrival.Calls, int(tier.Calls))
+		}
+		req := opRequest{op: r.ledger.Offer(now, i, -1, machine.Tier), tier: machine.Tier, arrival: arrival, category: i, deadline: now + category.TTL.Micros()}
+		try := r.ledger.Try(req.op, 0, now, req.deadline)
+		r.requests[try] = req
+		calls := 0
+		if machine.Tier+1 < len(r.Scenario.Tiers) {
+			calls = arrival.Calls[machine.Tier]
+		}
+		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: arrival.Work[machine.Tier],
+			Calls: calls, Memory: r.dedupMemory(i, machine), Lock: &r.dedupLock}, true
+	}
+	return 0, nil, false
+}
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -46,38 +46,38 @@
 }
 
 const (
-	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sendLate       = 10 * policy.Millisecond  // a send later than this has missed its schedule
-	mostLate       = 0.01                     // share of missed sends that makes a run void
-	lastServe      = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
-	BucketDuration = 500 * policy.Millisecond // of the report's buckets
+	lateAnswerWindow = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
+	maxSendDelay     = 10 * policy.Millisecond  // a send later than this has missed its schedule
+	maxMissedShare   = 0.01                     // share of missed sends that makes a run void
+	settleTime       = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
+	BucketDuration   = 500 * policy.Millisecond // of the report's buckets
 )
 
 type run struct {
 	Options
-	clock    *node.Clock
-	account  *ledger.Account
-	plan     *scenario.Plan
-	dir      string
-	ports    *ports
-	servers  []*server.Server
-	nodes    []*balancer
-	twins    map[int]*balancer // second processes, by the node whose name they have
-	rig      *together.Rig
-	liars    []*together.Liar
-	closed   atomic.Int64 // the largest part of a node's servers that hearsay closed, as nodes say, in thousandths
-	lag      *together.Lag
-	registry []*registry.Service
-	begin    policy.Micros
-	turn     atomic.Int64
-	step     atomic.Int64  // of clients' clocks
-	before   []relay.Count // what nodes had said when the load began
-	failed   chan error    // holds one
-	mu       sync.Mutex
-	asked    map[ledger.TryID]question
-	memories scenario.Memories
-	memory   sync.Mutex // guards what is in memories
-	open     bool       // any id is taken for an op: no load of our own
+	clock             *node.Clock
+	ledger            *ledger.Account
+	plan              *scenario.Plan
+	dir               string
+	addresses         *addressPool
+	servers           []*server.Server
+	nodes             []*nodeProcess
+	duplicates        map[int]*nodeProcess // second processes, by the node whose name they have
+	network           *together.Rig
+	falseReporters    []*together.Liar
+	maxClosedPermille atomic.Int64 // the largest part of a node's servers that hearsay closed, as nodes say, in thousandths
+	timerLag          *together.Lag
+	registries        []*registry.Service
+	loadStart         policy.Micros
+	picks             atomic.Int64
+	clockStep         atomic.Int64  // of clients' clocks
+	trafficBefore     []relay.Count // what nodes had said when the load began
+	failed            chan error    // holds one
+	mu                sync.Mutex
+	requests          map[ledger.TryID]opRequest
+	dedupMemories     scenario.Memories
+	dedupLock         sync.Mutex // guards what is in memories
+	acceptUnknown     bool       // any id is taken for an op: no load of our own
 }
 
 func (r *run) now() policy.Micros { return r.clock.Now() }
@@ -91,94 +91,94 @@
 }
 
 // Run plays an experiment to its end, or until ctx is done; then the result is partial. Nothing is left running.
-func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Account, error) {
-	r, err := start(ctx, o)
+func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Account, error) {
+	r, err := startRun(ctx, options)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer r.stop()
-	partial, err := r.play(ctx)
+	partial, err := r.runLoad(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	r.readSamples()
+	r.readThrottleSamples()
 	for _, n := range r.nodes {
-		n.door.drop(r.account)
+		n.endpoint.closeIdle(r.ledger)
 	}
-	result := r.account.Finish(r.begin + min(o.LoadDuration, r.now()-r.begin))
+	result := r.ledger.Finish(r.loadStart + min(options.LoadDuration, r.now()-r.loadStart))
 	result.Partial = partial
-	result.Between = r.traffic()
-	late, _ := r.lag.End()
-	late = max(late, r.rig.Late())
+	result.Between = r.peerTraffic()
+	late, _ := r.timerLag.End()
+	late = max(late, r.network.Late())
 	result.RigLateMs = float64(late.Microseconds()) / 1000
 	// Danger: a machine that is too busy looks like a node at fault. What the rig itself was late with is no node's.
-	if most := duration(r.account.Tolerance()); late > most {
-		result.Void = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), most)
+	if tolerance := toDuration(r.ledger.Tolerance()); late > tolerance {
+		result.Void = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), tolerance)
 	}
-	if missed := float64(result.ScheduleMissed); missed > mostLate*float64(len(o.Arrivals)) {
+	if missed := float64(result.ScheduleMissed); missed > maxMissedShare*float64(len(options.Arrivals)) {
 		result.Void = fmt.Sprintf("the generator sent %d of %d ops more than %d ms late", result.ScheduleMissed,
-			len(o.Arrivals), sendLate/policy.Millisecond)
+			len(options.Arrivals), maxSendDelay/policy.Millisecond)
 	}
-	return result, r.account, nil
+	return result, r.ledger, nil
 }
 
 // said is what each place of the rig has sent so far.
-func (r *run) said() (all []relay.Count) {
-	for i := 0; r.rig.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
-		all = append(all, r.rig.Relay.Count(i))
+func (r *run) trafficCounts() (counts []relay.Count) {
+	for i := 0; r.network.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
+		counts = append(counts, r.network.Relay.Count(i))
 	}
-	return all
+	return counts
 }
 
 // traffic is what nodes have said to each other since the load began; nil where they don't.
-func (r *run) traffic() *ledger.Traffic {
+func (r *run) peerTraffic() *ledger.Traffic {
 	if r.Scenario.Fleet == nil {
 		return nil
 	}
-	t, seconds, nodes := &ledger.Traffic{}, float64(r.now()-r.begin)/float64(policy.Second), float64(len(r.before))
-	for i, now := range r.said() {
-		was := r.before[i]
-		bytes := float64(now.SentBytes - was.SentBytes + now.StreamBytes - was.StreamBytes)
-		t.Bytes += bytes / nodes / seconds
-		t.MostBytes = max(t.MostBytes, bytes/seconds)
-		t.Datagrams += float64(now.SentDatagrams-was.SentDatagrams) / nodes / seconds
-		t.Streams += float64(now.SentStreams-was.SentStreams) / nodes / seconds
-		t.StreamedBytes += float64(now.StreamBytes-was.StreamBytes) / nodes / seconds
-	}
-	t.Closed = float64(r.closed.Load()) / 1000
-	return t
+	traffic, seconds, nodes := &ledger.Traffic{}, float64(r.now()-r.loadStart)/float64(policy.Second), float64(len(r.trafficBefore))
+	for i, now := range r.trafficCounts() {
+		before := r.trafficBefore[i]
+		bytes := float64(now.SentBytes - before.SentBytes + now.StreamBytes - before.StreamBytes)
+		traffic.Bytes += bytes / nodes / seconds
+		traffic.MostBytes = max(traffic.MostBytes, bytes/seconds)
+		traffic.Datagrams += float64(now.SentDatagrams-before.SentDatagrams) / nodes / seconds
+		traffic.Streams += float64(now.SentStreams-before.SentStreams) / nodes / seconds
+		traffic.StreamedBytes += float64(now.StreamBytes-before.StreamBytes) / nodes / seconds
+	}
+	traffic.Closed = float64(r.maxClosedPermille.Load()) / 1000
+	return traffic
 }
 
 // look asks a few nodes each second what part of their servers hearsay has closed. It explains a run and judges nothing.
-func (r *run) look(ctx context.Context) {
+func (r *run) pollViews(ctx context.Context) {
 	if r.Scenario.Fleet == nil {
 		return
 	}
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		for i := range 5 {
-			n := r.nodes[(turn*5+i)%r.Scenario.Tiers[0].Nodes]
-			if !n.hears {
+			node := r.nodes[(round*5+i)%r.Scenario.Tiers[0].Nodes]
+			if !node.hasPeers {
 				continue
 			}
-			view, err := fleet.Ask(ctx, r.rig.Place(n.beside).Control)
+			view, err := fleet.Ask(ctx, r.network.Place(node.networkSlot).Control)
 			if err != nil {
 				continue // it is down, or stopped
 			}
 			closed := 0
-			for _, s := range view.Servers {
-				if s.Part < 1.0/3 {
+			for _, server := range view.Servers {
+				if server.Part < 1.0/3 {
 					closed++
 				}
 			}
-			if part := int64(1000 * closed / max(1, view.Listed)); part > r.closed.Load() {
-				r.closed.Store(part)
+			if permille := int64(1000 * closed / max(1, view.Listed)); permille > r.maxClosedPermille.Load() {
+				r.maxClosedPermille.Store(permille)
 			}
 		}
 	}
@@ -186,18 +186,18 @@
 
 // Serve starts the fleet and the nodes without a load of its own, and keeps them until ctx is done. Servers take any
 // op. Ready is told the nodes' addresses.
-func Serve(ctx context.Context, o Options, ready func(nodes []string)) error {
-	r, err := start(ctx, o)
+func Serve(ctx context.Context, options Options, ready func(nodes []string)) error {
+	r, err := startRun(ctx, options)
 	if err != nil {
 		return err
 	}
 	defer r.stop()
 	r.mu.Lock()
-	r.open = true
+	r.acceptUnknown = true
 	r.mu.Unlock()
 	var addrs []string
-	for _, n := range r.nodes[:o.Scenario.Tiers[0].Nodes] {
-		addrs = append(addrs, n.door.addr)
+	for _, node := range r.nodes[:options.Scenario.Tiers[0].Nodes] {
+		addrs = append(addrs, node.endpoint.addr)
 	}
 	ready(addrs)
 	select {
@@ -209,24 +209,24 @@
 }
 
 // start brings everything up, or nothing.
-func start(ctx context.Context, o Options) (*run, error) {
-	r := &run{Options: o, clock: node.NewClock(), plan: o.Scenario.Plan(stream.New(o.Seed, "troubles")),
-		failed: make(chan error, 1), asked: make(map[ledger.TryID]question), memories: make(scenario.Memories),
-		twins: make(map[int]*balancer)}
-	r.account = ledger.New(o.Scenario, r.now(), BucketDuration, false)
+func startRun(ctx context.Context, options Options) (*run, error) {
+	r := &run{Options: options, clock: node.NewClock(), plan: options.Scenario.Plan(stream.New(options.Seed, "troubles")),
+		failed: make(chan error, 1), requests: make(map[ledger.TryID]opRequest), dedupMemories: make(scenario.Memories),
+		duplicates: make(map[int]*nodeProcess)}
+	r.ledger = ledger.New(options.Scenario, r.now(), BucketDuration, false)
 	var err error
-	if r.ports, err = newPorts(); err != nil {
+	if r.addresses, err = newAddressPool(); err != nil {
 		return nil, err
 	}
 	if r.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
 		return nil, err
 	}
-	r.rig, err = together.New(o.Scenario, r.plan, r.dir, o.Seed, stream.New(o.Seed, "between"))
+	r.network, err = together.New(options.Scenario, r.plan, r.dir, options.Seed, stream.New(options.Seed, "between"))
 	if err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.lag = together.NewLag()
+	r.timerLag = together.NewLag()
 	for _, step := range []func(context.Context) error{r.startServers, r.startRegistry, r.startNodes} {
 		if err := step(ctx); err != nil {
 			r.stop()
@@ -237,13 +237,15 @@
 }
 
 func (r *run) startServers(context.Context) error {
-	for i, m := range r.plan.Machines {
-		s := server.New(i, m.Kind, m.Traits(r.Scenario), r.ports.addr(), server.World{Account: r.account, Now: r.now,
-			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
-			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
-		r.servers = append(r.servers, s)
+	for i, machine := range r.plan.Machines {
+		standinServer := server.New(i, machine.Kind, machine.Traits(r.Scenario), r.addresses.nextAddr(), server.World{Account: r.ledger, Now: r.now,
+			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.findOp(id, q, machine) },
+			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool {
+				return r.callNextTier(i, try, op, until)
+			}})
+		r.servers = append(r.servers, standinServer)
 		if i < r.plan.Standing {
-			if err := s.Up(false); err != nil {
+			if err := standinServer.Up(false); err != nil {
 				return err
 			}
 		}
@@ -252,23 +254,23 @@
 }
 
 func (r *run) startRegistry(context.Context) error {
-	for t, tier := range r.Scenario.Tiers {
+	for tierIndex, tier := range r.Scenario.Tiers {
 		var standing []registry.Entry
-		for i, m := range r.plan.Machines[:r.plan.Standing] {
-			if m.Tier == t {
-				standing = append(standing, m.Entry(i))
+		for i, machine := range r.plan.Machines[:r.plan.Standing] {
+			if machine.Tier == tierIndex {
+				standing = append(standing, machine.Entry(i))
 			}
 		}
-		words := registry.Words{Zones: r.Scenario.Zones, Told: r.told(t),
+		serviceOptions := registry.Words{Zones: r.Scenario.Zones, Told: r.listRecorder(tierIndex),
 			Addr: func(i int) string { return r.servers[i].Addr() }}
-		for _, k := range tier.Kinds {
-			words.Kinds = append(words.Kinds, k.Name)
+		for _, machineType := range tier.Kinds {
+			serviceOptions.Kinds = append(serviceOptions.Kinds, machineType.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
-		service := registry.NewService(catalog, duration(r.Scenario.Registry.Delay.Micros()), words)
-		r.registry = append(r.registry, service)
-		for i, b := range r.Scenario.Balancers() {
-			if b.Tier != t {
+		service := registry.NewService(catalog, toDuration(r.Scenario.Registry.Delay.Micros()), serviceOptions)
+		r.registries = append(r.registries, service)
+		for i, node := range r.Scenario.Balancers() {
+			if node.Tier != tierIndex {
 				continue
 			}
 			addr, err := service.Listen(i)
@@ -277,37 +279,37 @@
 			}
 			listen := r.ListenAddr
 			if listen == "" || i > 0 {
-				listen = r.ports.addr()
+				listen = r.addresses.nextAddr()
 			}
-			r.nodes = append(r.nodes, &balancer{Balancer: b, run: r, place: i, door: &door{addr: listen}, beside: i,
-				hears: r.hears(b), discovery: addr, known: words.Line(1, standing, true)})
+			r.nodes = append(r.nodes, &nodeProcess{Balancer: node, run: r, nodeIndex: i, endpoint: &endpoint{addr: listen}, networkSlot: i,
+				hasPeers: r.nodeHasPeers(node), registryAddr: addr, cachedList: serviceOptions.Line(1, standing, true)})
 		}
 	}
 	return nil
 }
 
 // hears says whether a node hears the others: the first ones by number, where not all do.
-func (r *run) hears(b scenario.Balancer) bool {
-	f := r.Scenario.Fleet
-	return f != nil && b.Tier == 0 && float64(b.Number) < f.Share*float64(b.Of)
+func (r *run) nodeHasPeers(node scenario.Balancer) bool {
+	settings := r.Scenario.Fleet
+	return settings != nil && node.Tier == 0 && float64(node.Number) < settings.Share*float64(node.Of)
 }
 
-func duration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func toDuration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // told books what the registry has written to a node.
-func (r *run) told(tier int) func(int, []registry.Entry, bool) {
-	return func(node int, entries []registry.Entry, whole bool) {
+func (r *run) listRecorder(tier int) func(int, []registry.Entry, bool) {
+	return func(node int, entries []registry.Entry, full bool) {
 		listed := make(map[int]bool)
-		for _, e := range entries {
-			listed[e.Server] = true
-			r.account.Told(node, e.Server, e.State, e.Started, r.now())
+		for _, entry := range entries {
+			listed[entry.Server] = true
+			r.ledger.Told(node, entry.Server, entry.State, entry.Started, r.now())
 		}
-		if !whole {
+		if !full {
 			return
 		}
-		for i, m := range r.plan.Machines {
-			if m.Tier == tier && !listed[i] {
-				r.account.Told(node, i, policy.Gone, r.servers[i].Started(), r.now())
+		for i, machine := range r.plan.Machines {
+			if machine.Tier == tier && !listed[i] {
+				r.ledger.Told(node, i, policy.Gone, r.servers[i].Started(), r.now())
 			}
 		}
 	}
@@ -315,16 +317,16 @@
 
 func (r *run) startNodes(ctx context.Context) error {
 	errs := make([]error, len(r.nodes))
-	var all sync.WaitGroup
-	room := make(chan struct{}, 8) // processes that start at once
-	for i, n := range r.nodes {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			errs[i] = n.start(ctx)
+	var starts sync.WaitGroup
+	slots := make(chan struct{}, 8) // processes that start at once
+	for i, node := range r.nodes {
+		starts.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			errs[i] = node.start(ctx)
 		})
 	}
-	all.Wait()
+	starts.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -334,106 +336,106 @@
 }
 
 // begins books what a process is told at its start: the list that it is given.
-func (r *run) begins(b *balancer) {
-	if b.second {
+func (r *run) recordNodeStart(node *nodeProcess) {
+	if node.duplicate {
 		return
 	}
-	r.account.Anew(b.place)
-	for j, m := range r.plan.Machines[:r.plan.Standing] {
-		if m.Tier == b.Tier && b.known != nil {
-			r.account.Told(b.place, j, policy.Ready, 0, r.now())
+	r.ledger.Anew(node.nodeIndex)
+	for server, machine := range r.plan.Machines[:r.plan.Standing] {
+		if machine.Tier == node.Tier && node.cachedList != nil {
+			r.ledger.Told(node.nodeIndex, server, policy.Ready, 0, r.now())
 		}
 	}
 }
 
 // stop ends every process and listener.
 func (r *run) stop() {
-	var all sync.WaitGroup
-	for _, n := range slices.Concat(r.nodes, slices.Collect(maps.Values(r.twins))) {
-		all.Go(func() {
-			if err := n.kill(); err != nil {
-				r.account.Note(err.Error())
+	var ends sync.WaitGroup
+	for _, node := range slices.Concat(r.nodes, slices.Collect(maps.Values(r.duplicates))) {
+		ends.Go(func() {
+			if err := node.kill(); err != nil {
+				r.ledger.Note(err.Error())
 			}
 		})
 	}
-	all.Wait() // each has its own end
+	ends.Wait() // each has its own end
 	for _, s := range r.servers {
 		s.Down(false)
 	}
-	for _, s := range r.registry {
+	for _, s := range r.registries {
 		s.Close()
 	}
-	for _, l := range r.liars {
+	for _, l := range r.falseReporters {
 		l.Close()
 	}
-	r.rig.Close()
-	if r.lag != nil {
-		r.lag.End()
+	r.network.Close()
+	if r.timerLag != nil {
+		r.timerLag.End()
 	}
-	r.ports.close()
+	r.addresses.close()
 	os.RemoveAll(r.dir)
 }
 
 // play lets the load and the troubles run.
-func (r *run) play(ctx context.Context) (partial bool, err error) {
+func (r *run) runLoad(ctx context.Context) (partial bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.begin = r.now() + r.Scenario.Load.Lead.Micros()
-	r.lag.Begin()
-	r.before = r.said()
-	r.account.Begin(r.begin)
-	var work, steps sync.WaitGroup
-	steps.Go(func() { r.troubles(ctx, &steps) })
-	ticks, stopTicks := context.WithCancel(ctx)
-	steps.Go(func() { r.look(ticks) })
+	r.loadStart = r.now() + r.Scenario.Load.Lead.Micros()
+	r.timerLag.Begin()
+	r.trafficBefore = r.trafficCounts()
+	r.ledger.Begin(r.loadStart)
+	var clients, background sync.WaitGroup
+	background.Go(func() { r.runDisturbances(ctx, &background) })
+	periodic, stopPeriodic := context.WithCancel(ctx)
+	background.Go(func() { r.pollViews(periodic) })
 	if r.OnSecond != nil {
-		go r.tick(ticks)
+		go r.reportProgress(periodic)
 	}
 	generated := make(chan struct{})
 	go func() {
 		defer close(generated)
-		r.generate(ctx, &work)
+		r.generateLoad(ctx, &clients)
 	}()
 	select {
 	case <-generated:
 	case err = <-r.failed:
 	case <-ctx.Done():
 	}
-	stopTicks()
+	stopPeriodic()
 	if err == nil && ctx.Err() == nil {
-		err = r.finish(ctx, &work)
+		err = r.waitForAnswers(ctx, &clients)
 	}
 	partial = ctx.Err() != nil
 	cancel()
 	<-generated
-	return partial, errors.Join(err, await(&work, "clients", r.longest()), await(&steps, "troubles", r.longest()))
+	return partial, errors.Join(err, waitFor(&clients, "clients", r.maxClientTime()), waitFor(&background, "troubles", r.maxClientTime()))
 }
 
 // longest is how long a client, or a step of a trouble, may take that began now.
-func (r *run) longest() time.Duration {
+func (r *run) maxClientTime() time.Duration {
 	var ttl policy.Micros
 	for _, c := range r.Scenario.Categories {
 		ttl = max(ttl, c.TTL.Micros())
 	}
-	return duration(ttl)*time.Duration(1+r.Scenario.Load.Retries) + readyWait + exitWait + killWait
+	return toDuration(ttl)*time.Duration(1+r.Scenario.Load.Retries) + readyTimeout + exitTimeout + killTimeout
 }
 
 // await waits for all of a group, but no longer than that.
-func await(group *sync.WaitGroup, what string, most time.Duration) error {
+func waitFor(group *sync.WaitGroup, what string, timeout time.Duration) error {
 	done := make(chan struct{})
 	go func() { group.Wait(); close(done) }()
 	select {
 	case <-done:
 		return nil
-	case <-time.After(most):
-		return fmt.Errorf("%s of the run have not ended within %v", what, most)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s of the run have not ended within %v", what, timeout)
 	}
 }
 
 // finish waits for the clients' last answers: each has its end.
-func (r *run) finish(ctx context.Context, work *sync.WaitGroup) error {
+func (r *run) waitForAnswers(ctx context.Context, clients *sync.WaitGroup) error {
 	done := make(chan error, 1)
-	go func() { done <- await(work, "clients", r.longest()) }()
+	go func() { done <- waitFor(clients, "clients", r.maxClientTime()) }()
 	select {
 	case err := <-done:
 		if err != nil {
@@ -445,38 +447,38 @@
 		return nil
 	}
 	select {
-	case <-time.After(lastServe):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 	}
 	return nil
 }
 
 // generate sends each op at its time, whatever became of those before.
-func (r *run) generate(ctx context.Context, work *sync.WaitGroup) {
+func (r *run) generateLoad(ctx context.Context, clients *sync.WaitGroup) {
 	for i := range r.Arrivals {
-		a := &r.Arrivals[i]
-		meant := r.begin + a.At
-		if wait := meant - r.now(); wait > 0 {
+		arrival := &r.Arrivals[i]
+		intendedAt := r.loadStart + arrival.At
+		if wait := intendedAt - r.now(); wait > 0 {
 			select {
-			case <-time.After(duration(wait)):
+			case <-time.After(toDuration(wait)):
 			case <-ctx.Done():
 				return
 			}
 		}
-		if r.now()-meant > sendLate {
-			r.account.Missed(1)
+		if r.now()-intendedAt > maxSendDelay {
+			r.ledger.Missed(1)
 		}
-		work.Go(func() { r.client(ctx, a, meant) })
+		clients.Go(func() { r.runOp(ctx, arrival, intendedAt) })
 	}
 }
 
-func (r *run) tick(ctx context.Context) {
+func (r *run) reportProgress(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			r.OnSecond(r.now()-r.begin, r.account)
+			r.OnSecond(r.now()-r.loadStart, r.ledger)
 		case <-ctx.Done():
 			return
 		}
@@ -484,74 +486,74 @@
 }
 
 // remember keeps what a try asks for, so that the servers know it by its id.
-func (r *run) remember(try ledger.TryID, q question) {
+func (r *run) registerTry(try ledger.TryID, req opRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked[try] = q
+	r.requests[try] = req
 }
 
 // find is what a server knows of an op.
-func (r *run) find(id string, request *http.Request, m scenario.Machine) (ledger.TryID, *server.Op, bool) {
+func (r *run) findOp(id string, request *http.Request, machine scenario.Machine) (ledger.TryID, *server.Op, bool) {
 	number, err := strconv.ParseInt(id, 16, 64)
 	try := ledger.TryID(number - 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q, known := r.asked[try]
+	req, known := r.requests[try]
 	if err != nil || !known {
-		if r.open {
-			return r.stranger(request, m)
+		if r.acceptUnknown {
+			return r.unknownOp(request, machine)
 		}
 		return 0, nil, false
 	}
-	op := &server.Op{Key: strconv.Itoa(int(q.op)), Category: q.category, Work: q.arrival.Work[m.Tier],
-		Lock: &r.memory}
-	if m.Tier+1 < len(r.Scenario.Tiers) {
-		op.Calls = q.arrival.Calls[m.Tier]
+	op := &server.Op{Key: strconv.Itoa(int(req.op)), Category: req.category, Work: req.arrival.Work[machine.Tier],
+		Lock: &r.dedupLock}
+	if machine.Tier+1 < len(r.Scenario.Tiers) {
+		op.Calls = req.arrival.Calls[machine.Tier]
 	}
-	op.Memory = r.memoryOf(q.category, m)
+	op.Memory = r.dedupMemory(req.category, machine)
 	return try, op, true
 }
 
 // memoryOf is that of a category's group, or nil. The lock is held.
-func (r *run) memoryOf(category int, m scenario.Machine) *standin.Memory {
-	return r.memories.Of(r.Scenario, category, m, r.account.Tolerance())
+func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.Memory {
+	return r.dedupMemories.Of(r.Scenario, category, machine, r.ledger.Tolerance())
 }
 
 // call is a server's to the next tier, through its own node.
-func (r *run) call(place int, try ledger.TryID, op *server.Op, until policy.Micros) bool {
+func (r *run) callNextTier(server int, try ledger.TryID, op *server.Op, until policy.Micros) bool {
 	r.mu.Lock()
-	q := r.asked[try]
+	req := r.requests[try]
 	r.mu.Unlock()
-	for _, n := range r.nodes {
-		if n.Server != place {
+	for _, node := range r.nodes {
+		if node.Server != server {
 			continue
 		}
-		notAfter := r.now() + r.Scenario.Categories[q.category].TTL.Micros()
+		deadline := r.now() + r.Scenario.Categories[req.category].TTL.Micros()
 		if r.Scenario.Limits.PassTTL {
-			notAfter = min(notAfter, until)
+			deadline = min(deadline, until)
 		}
-		q.op, q.tier, q.notAfter, q.leaves, q.repeated = r.account.Offer(r.now(), q.category, q.arrival.Tenant, n.Tier), n.Tier, notAfter, 0, false
-		verdict, _ := r.ask(context.Background(), n.door, n.place, q)
+		req.op, req.tier, req.deadline, req.leavesAfter, req.clientRetry = r.ledger.Offer(r.now(), req.category, req.arrival.Tenant, node.Tier), node.Tier, deadline, 0, false
+		verdict, _ := r.sendTry(context.Background(), node.endpoint, node.nodeIndex, req)
 		return verdict == ledger.Served
 	}
 	return false
 }
 
 // readSamples books the throttles that the first node wrote down.
-func (r *run) readSamples() {
+func (r *run) readThrottleSamples() {
 	file, err := os.Open(filepath.Join(r.dir, "throttles.jsonl"))
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		r.account.Note("throttles: " + err.Error())
+		r.ledger.Note("throttles: " + err.Error())
 		return
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		var s labnode.ThrottleSample
-		if json.Unmarshal(lines.Bytes(), &s) == nil { // the last line of a node that was killed may be half
-			r.account.Sample(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, Cut: s.CutoffLevel})
+		var sample labnode.ThrottleSample
+		if json.Unmarshal(lines.Bytes(), &sample) == nil { // the last line of a node that was killed may be half
+			r.ledger.Sample(sample.At, ledger.Throttle{Server: sample.Server, Rate: sample.Rate, Cut: sample.CutoffLevel})
 		}
 	}
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -28,16 +28,16 @@
 )
 
 // The test's own program is the nodes.
-const asNode = "CANVASLAB_TEST_NODE"
+const nodeFaultEnv = "CANVASLAB_TEST_NODE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asNode) != "" {
-		os.Exit(labnode.Main("", strings.TrimPrefix(os.Getenv(asNode), "sound")))
+	if os.Getenv(nodeFaultEnv) != "" {
+		os.Exit(labnode.Main("", strings.TrimPrefix(os.Getenv(nodeFaultEnv), "sound")))
 	}
 	goleak.VerifyTestMain(m)
 }
 
-func read(t *testing.T, name string) *scenario.Scenario {
+func readScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Read(experiments.Files, name+".toml")
 	if err != nil {
@@ -46,16 +46,16 @@
 	return s
 }
 
-func options(t *testing.T, s *scenario.Scenario, fault string, length policy.Micros) Options {
+func testOptions(t *testing.T, s *scenario.Scenario, fault string, length policy.Micros) Options {
 	t.Helper()
 	// env(1) sets the variable for this run's processes alone, so that runs can go side by side.
 	return Options{Scenario: s, Seed: 1, LoadDuration: length, Arrivals: load.Make(s, length, 1),
-		Program: Program{Path: "/usr/bin/env", Args: []string{asNode + "=sound" + fault, os.Args[0]}, ExitsWithStdin: true}}
+		Program: Program{Path: "/usr/bin/env", Args: []string{nodeFaultEnv + "=sound" + fault, os.Args[0]}, ExitsWithStdin: true}}
 }
 
 // The rules hold on sockets, and each one broken on purpose is seen. The runs are a few seconds; the whole experiments
 // are played by hand.
-func TestRulesAndFaults(t *testing.T) {
+func TestRulesHoldAndInjectedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		fault, experiment string
 		length            policy.Micros
@@ -75,8 +75,8 @@
 	} {
 		t.Run(c.experiment+c.fault, func(t *testing.T) {
 			t.Parallel()
-			s := read(t, c.experiment)
-			r := sound(t, options(t, s, c.fault, c.length))
+			s := readScenario(t, c.experiment)
+			r := runUntilValid(t, testOptions(t, s, c.fault, c.length))
 			if r.Ops == 0 || r.Served == 0 {
 				t.Errorf("of %d ops %d served", r.Ops, r.Served)
 			}
@@ -89,14 +89,14 @@
 }
 
 // At a small size simulated time and sockets agree within 5% of served benefit, also where servers fail.
-func TestAgreesWithSimulatedTime(t *testing.T) {
+func TestServedBenefitAgreesWithSimulation(t *testing.T) {
 	for _, name := range []string{"steady", "sinkhole"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := read(t, name)
+			s := readScenario(t, name)
 			const length = 3 * policy.Second
-			o := options(t, s, "", length)
-			onSockets := sound(t, o)
+			o := testOptions(t, s, "", length)
+			onSockets := runUntilValid(t, o)
 			simulated, _, err := sim.Run(t.Context(), sim.Options{Scenario: s, Seed: 1, Length: length, Arrivals: o.Arrivals})
 			if err != nil {
 				t.Fatal(err)
@@ -109,9 +109,9 @@
 }
 
 // A generator that falls behind says so, and the run is void. The ops here were to be sent before the load began.
-func TestGeneratorFallsBehind(t *testing.T) {
-	s := read(t, "steady")
-	o := options(t, s, "", policy.Second)
+func TestLateGeneratorVoidsRun(t *testing.T) {
+	s := readScenario(t, "steady")
+	o := testOptions(t, s, "", policy.Second)
 	for i := range o.Arrivals[:20] {
 		o.Arrivals[i].At = -policy.Second
 	}
@@ -122,13 +122,13 @@
 }
 
 // A node that can't start is one line; nothing is left running, which goleak and the address show.
-func TestPortInUse(t *testing.T) {
+func TestNodeStartFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	o := options(t, read(t, "steady"), "", policy.Second)
+	o := testOptions(t, readScenario(t, "steady"), "", policy.Second)
 	o.ListenAddr = l.Addr().String()
 	_, _, err = Run(t.Context(), o)
 	if err == nil || !strings.Contains(err.Error(), "node 0") || !strings.Contains(err.Error(), "address already in use") ||
@@ -142,10 +142,10 @@
 }
 
 // A node that ends by itself in the middle ends the run with its last words.
-func TestNodeEnds(t *testing.T) {
-	o := options(t, read(t, "steady"), "", 3*policy.Second)
+func TestNodeExitEndsRun(t *testing.T) {
+	o := testOptions(t, readScenario(t, "steady"), "", 3*policy.Second)
 	o.Program.Args = []string{"sh", "-c", `exec 3<&0; "$0" <&3 & sleep 1; kill -9 $!; echo "fell over" >&2; exit 7`, os.Args[0]}
-	t.Setenv(asNode, "sound")
+	t.Setenv(nodeFaultEnv, "sound")
 	_, _, err := Run(t.Context(), o)
 	if err == nil || !strings.Contains(err.Error(), "ended by itself: exit status 7: fell over") {
 		t.Errorf("got %v", err)
@@ -153,23 +153,23 @@
 }
 
 // shell starts a node through a shell, which runs script; $0 is the node, whose input ends with the shell's.
-func shell(t *testing.T, o *Options, script string) {
-	t.Setenv(asNode, "sound")
+func startThroughShell(t *testing.T, o *Options, script string) {
+	t.Setenv(nodeFaultEnv, "sound")
 	o.Program.Args = []string{"sh", "-c", "exec 3<&0; " + script, os.Args[0]}
 }
 
 // short makes the waits for processes short, for this test.
-func short(t *testing.T, wait time.Duration) {
-	ready, exit := readyWait, exitWait
-	readyWait, exitWait = wait, wait
-	t.Cleanup(func() { readyWait, exitWait = ready, exit })
+func shortenTimeouts(t *testing.T, timeout time.Duration) {
+	ready, exit := readyTimeout, exitTimeout
+	readyTimeout, exitTimeout = timeout, timeout
+	t.Cleanup(func() { readyTimeout, exitTimeout = ready, exit })
 }
 
 // Danger: a node's process that has started another, which holds its output open and waits for its input to end, was
 // waited for without an end when it was killed.
-func TestLeavesAnother(t *testing.T) {
-	o := options(t, read(t, "steady"), "", 10*policy.Second)
-	shell(t, &o, `"$0" <&3 & wait`)
+func TestChildOfKilledNodeDoesNotBlock(t *testing.T) {
+	o := testOptions(t, readScenario(t, "steady"), "", 10*policy.Second)
+	startThroughShell(t, &o, `"$0" <&3 & wait`)
 	ctx, cancel := context.WithCancel(t.Context())
 	o.OnSecond = func(policy.Micros, *ledger.Account) { cancel() }
 	begun := time.Now()
@@ -192,16 +192,16 @@
 }
 
 // A node that never gets ready, one that dies before, and one that ignores SIGTERM each end the run, which says so.
-func TestNodesThatDoNot(t *testing.T) {
-	short(t, 500*time.Millisecond)
+func TestProcessTimeouts(t *testing.T) {
+	shortenTimeouts(t, 500*time.Millisecond)
 	for name, c := range map[string]struct{ experiment, script, want string }{
 		"gets ready":    {"steady", "exec sleep 30", "is not ready after 500ms"},
 		"lives to it":   {"steady", "echo no room >&2; exit 3", "did not start: no room"},
 		"heeds SIGTERM": {"node-restart", `trap "" TERM; "$0" <&3 & while kill -0 $!; do wait; done`, "did not end within 500ms after SIGTERM"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := options(t, read(t, c.experiment), "", 6*policy.Second)
-			shell(t, &o, c.script)
+			o := testOptions(t, readScenario(t, c.experiment), "", 6*policy.Second)
+			startThroughShell(t, &o, c.script)
 			begun := time.Now()
 			_, _, err := Run(t.Context(), o)
 			if err == nil || !strings.Contains(err.Error(), c.want) || time.Since(begun) > 20*time.Second {
@@ -212,10 +212,10 @@
 }
 
 // A node that does not get ready says where its goroutines stand.
-func TestStuckNodeTells(t *testing.T) {
-	short(t, time.Second)
-	o := options(t, read(t, "steady"), "", policy.Second)
-	shell(t, &o, `sed -i 's/"listen":"[^"]*"/"listen":"127.0.0.1:0"/' "$NODE_CONFIG"; exec "$0"`) // it listens where nobody asks
+func TestStuckNodeDumpsGoroutines(t *testing.T) {
+	shortenTimeouts(t, time.Second)
+	o := testOptions(t, readScenario(t, "steady"), "", policy.Second)
+	startThroughShell(t, &o, `sed -i 's/"listen":"[^"]*"/"listen":"127.0.0.1:0"/' "$NODE_CONFIG"; exec "$0"`) // it listens where nobody asks
 	_, _, err := Run(t.Context(), o)
 	if err == nil || !strings.Contains(err.Error(), "is not ready after 1s") || !strings.Contains(err.Error(), "clients.(*Server).Serve") {
 		t.Errorf("got %v", err)
@@ -223,26 +223,26 @@
 }
 
 // A node that is started anew at the very end of its process comes back, whoever sees that end first.
-func TestStartBehindItsEnd(t *testing.T) {
-	r, err := start(t.Context(), options(t, read(t, "steady"), "", policy.Second))
+func TestRestartBeforeExitIsRecorded(t *testing.T) {
+	r, err := startRun(t.Context(), testOptions(t, readScenario(t, "steady"), "", policy.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.stop()
 	n := r.nodes[0]
 	n.mu.Lock()
-	cmd := n.process
+	cmd := n.cmd
 	n.mu.Unlock()
 	if err := n.kill(); err != nil {
 		t.Fatal(err)
 	}
 	n.mu.Lock()
-	n.process = cmd // as long as await has not got the lock
+	n.cmd = cmd // as long as await has not got the lock
 	n.mu.Unlock()
 	if err := n.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	response, err := readyClient.Get("http://" + n.door.addr + "/-/ready")
+	response, err := readyClient.Get("http://" + n.endpoint.addr + "/-/ready")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,9 +250,9 @@
 }
 
 // A run that is cancelled while it starts leaves nothing running, and a stand-in whose address is taken says so.
-func TestCancelledWhileStarting(t *testing.T) {
-	o := options(t, read(t, "steady"), "", policy.Second)
-	shell(t, &o, "exec sleep 30")
+func TestCancelDuringStart(t *testing.T) {
+	o := testOptions(t, readScenario(t, "steady"), "", policy.Second)
+	startThroughShell(t, &o, "exec sleep 30")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	begun := time.Now()
@@ -271,23 +271,23 @@
 }
 
 // A wait says what it waited for.
-func TestAwait(t *testing.T) {
+func TestWaitFor(t *testing.T) {
 	var group sync.WaitGroup
 	group.Add(1)
-	if err := await(&group, "clients", time.Millisecond); err == nil || !strings.Contains(err.Error(), "clients of the run have not ended within 1ms") {
+	if err := waitFor(&group, "clients", time.Millisecond); err == nil || !strings.Contains(err.Error(), "clients of the run have not ended within 1ms") {
 		t.Errorf("got %v", err)
 	}
 	group.Done()
-	if err := await(&group, "clients", time.Second); err != nil {
+	if err := waitFor(&group, "clients", time.Second); err != nil {
 		t.Error(err)
 	}
 }
 
 // An interrupted run gives what it has, and a fleet without a load serves anybody.
-func TestInterrupted(t *testing.T) {
-	s := read(t, "steady")
+func TestInterruptedRunIsPartial(t *testing.T) {
+	s := readScenario(t, "steady")
 	ctx, cancel := context.WithCancel(t.Context())
-	o := options(t, s, "", 10*policy.Second)
+	o := testOptions(t, s, "", 10*policy.Second)
 	o.OnSecond = func(policy.Micros, *ledger.Account) { cancel() }
 	r, _, err := Run(ctx, o)
 	if err != nil || !r.Partial || r.Served == 0 || len(r.BrokenRules) > 0 {
@@ -296,7 +296,7 @@
 }
 
 func TestServe(t *testing.T) {
-	o := options(t, read(t, "steady"), "", 0)
+	o := testOptions(t, readScenario(t, "steady"), "", 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	got := ""
--- a/internal/lab/live/together_test.go
+++ b/internal/lab/live/process_faults_test.go
@@ -11,7 +11,7 @@
 )
 
 // sound plays until the rig itself was in time. Danger: a machine too busy would look like a node at fault.
-func sound(t *testing.T, o Options) *ledger.Result {
+func runUntilValid(t *testing.T, o Options) *ledger.Result {
 	t.Helper()
 	for range 6 {
 		r, _, err := Run(t.Context(), o)
@@ -33,7 +33,7 @@
 // name, with the ways between them cut: the rules hold at each node, and what a stopped one could not answer is its own.
 func TestProcessFaults(t *testing.T) {
 	t.Parallel()
-	s := read(t, "fleet-pause")
+	s := readScenario(t, "fleet-pause")
 	s.Tiers[0].Nodes = 6
 	s.Load.Rate = 120
 	s.Troubles = []scenario.Trouble{
@@ -46,7 +46,7 @@
 		{Kind: "drain", At: second * 3 / 2, For: second, Count: 1, Tier: "front"},
 	}
 	s.Between = []scenario.Between{{Kind: "groups", At: second, For: 2 * second, Parts: []int{1, 2}}}
-	r := sound(t, options(t, s, "", 5*policy.Second))
+	r := runUntilValid(t, testOptions(t, s, "", 5*policy.Second))
 	if len(r.BrokenRules) > 0 || r.LostToPause == 0 || r.LostToCrash == 0 || r.Served < r.Ops*2/3 {
 		t.Errorf("broken %v, lost to a pause %d and to deaths %d, served %d of %d: %s", r.BrokenRules, r.LostToPause, r.LostToCrash,
 			r.Served, r.Ops, strings.Join(r.Breaches, "; "))
@@ -60,9 +60,9 @@
 		nodes int
 		fault string
 	}{{5, ""}, {20, ""}, {30, ""}, {20, "cold-flood"}} {
-		s := read(t, "cold-fleet")
+		s := readScenario(t, "cold-fleet")
 		s.Tiers[0].Nodes = c.nodes
-		r := sound(t, options(t, s, c.fault, 7*policy.Second))
+		r := runUntilValid(t, testOptions(t, s, c.fault, 7*policy.Second))
 		t.Logf("%d nodes %s: fullest window %.2f, %d fell over, served %d of %d", c.nodes, c.fault, r.ColdFullest, r.TippedOver, r.Served, r.Ops)
 		if fell := r.ColdFullest > 1; fell != (c.fault != "") || r.ColdFullest < 0.1 {
 			t.Errorf("%d nodes %s: fullest window at a cold server %.2f of what it bears", c.nodes, c.fault, r.ColdFullest)
@@ -74,11 +74,11 @@
 }
 
 // Servers that are bad for half of the nodes only leave the rules whole, and the other half's ops served.
-func TestOneSided(t *testing.T) {
+func TestPartialPushLoss(t *testing.T) {
 	t.Parallel()
-	s := read(t, "fleet-partial")
+	s := readScenario(t, "fleet-partial")
 	s.Tiers[0].Nodes = 6
-	r := sound(t, options(t, s, "", 4*policy.Second))
+	r := runUntilValid(t, testOptions(t, s, "", 4*policy.Second))
 	if len(r.BrokenRules) > 0 || r.PushesPerOp < 1.01 {
 		t.Errorf("broken %v, %v pushes an op", r.BrokenRules, r.PushesPerOp)
 	}
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -19,53 +19,53 @@
 
 // Record passes traffic on to a node and writes down when each op of a known category came, until ctx is done. Only
 // times, categories and tenants are kept, no header and no body. It gives the number of arrivals.
-func RecordTrace(ctx context.Context, s *scenario.Scenario, listen, to string, w io.Writer) (int, error) {
-	l, err := net.Listen("tcp", listen)
+func RecordTrace(ctx context.Context, s *scenario.Scenario, listen, target string, out io.Writer) (int, error) {
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return 0, err
 	}
 	var mu sync.Mutex
-	var seen []load.Arrival
-	begun := time.Now()
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
+	var arrivals []load.Arrival
+	startedAt := time.Now()
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: target})
 	proxy.ErrorLog = log.New(io.Discard, "", 0)
-	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if a, ok := arrivalOf(s, r); ok {
+	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		if arrival, ok := requestArrival(s, r); ok {
 			mu.Lock()
-			a.At = policy.Micros(time.Since(begun).Microseconds())
-			seen = append(seen, a)
+			arrival.At = policy.Micros(time.Since(startedAt).Microseconds())
+			arrivals = append(arrivals, arrival)
 			mu.Unlock()
 		}
-		proxy.ServeHTTP(w, r)
+		proxy.ServeHTTP(out, r)
 	})}
-	stopped := context.AfterFunc(ctx, func() { server.Close() })
-	defer stopped()
-	if err := server.Serve(l); err != http.ErrServerClosed {
+	stopClosing := context.AfterFunc(ctx, func() { server.Close() })
+	defer stopClosing()
+	if err := server.Serve(listener); err != http.ErrServerClosed {
 		return 0, err
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return len(seen), load.Write(w, seen)
+	return len(arrivals), load.Write(out, arrivals)
 }
 
-func arrivalOf(s *scenario.Scenario, r *http.Request) (a load.Arrival, ok bool) {
+func requestArrival(s *scenario.Scenario, r *http.Request) (arrival load.Arrival, ok bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	a.Tenant = -1
+	arrival.Tenant = -1
 	for i, t := range s.Tenants {
 		if t.Name == r.Header.Get("X-Org") {
-			a.Tenant = i
+			arrival.Tenant = i
 		}
 	}
 	for i, c := range s.Categories {
 		if c.Name != name {
 			continue
 		}
-		a.Category = i
+		arrival.Category = i
 		for _, t := range s.Tiers {
-			a.Work = append(a.Work, c.Work.Micros())
-			a.Calls = append(a.Calls, int(t.Calls+0.5))
+			arrival.Work = append(arrival.Work, c.Work.Micros())
+			arrival.Calls = append(arrival.Calls, int(t.Calls+0.5))
 		}
-		return a, true
+		return arrival, true
 	}
-	return a, false
+	return arrival, false
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -24,7 +24,7 @@
 )
 
 //go:embed page.html
-var page string
+var pageTemplate string
 
 // figure is one plot as the page shows it.
 type figure struct {
@@ -34,44 +34,44 @@
 
 // Write writes index.html and the plots to a folder, which it makes, and gives the page's path. The first result is
 // the one that the page is about; the others are beside it for comparison.
-func Write(dir string, s *scenario.Scenario, results []*ledger.Result) (string, error) {
+func Write(dir string, experiment *scenario.Scenario, results []*ledger.Result) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
 	var figures []figure
-	add := func(title, file string, p *plot.Plot) error {
-		f, err := render(dir, title, file, p)
+	addPlot := func(title, file string, p *plot.Plot) error {
+		entry, err := renderPlot(dir, title, file, p)
 		if err == nil {
-			figures = append(figures, f)
+			figures = append(figures, entry)
 		}
 		return err
 	}
-	r := results[0]
-	for i, c := range s.Categories {
-		if err := add("Ops of "+c.Name+" a second", fmt.Sprintf("ops-%d.png", i), ops(r, s, i)); err != nil {
+	result := results[0]
+	for i, c := range experiment.Categories {
+		if err := addPlot("Ops of "+c.Name+" a second", fmt.Sprintf("ops-%d.png", i), opsPlot(result, experiment, i)); err != nil {
 			return "", err
 		}
 	}
-	for _, f := range []struct {
+	for _, entry := range []struct {
 		title, file string
 		plot        *plot.Plot
 	}{
-		{"Latency from the intended send", "latency.png", latency(r, s)},
-		{"Core time whose answer reached nobody", "wasted.png", wasted(r, s)},
-		{"Rate that the throttles let pass at the cut, at node 0", "rate.png", throttles(r, false)},
-		{"Cut of the throttles (level of benefit), at node 0", "cut.png", throttles(r, true)},
-		{"Served benefit over time, by policy", "policies.png", policies(results)},
+		{"Latency from the intended send", "latency.png", latencyPlot(result, experiment)},
+		{"Core time whose answer reached nobody", "wasted.png", wastedWorkPlot(result, experiment)},
+		{"Rate that the throttles let pass at the cut, at node 0", "rate.png", throttlePlot(result, false)},
+		{"Cut of the throttles (level of benefit), at node 0", "cut.png", throttlePlot(result, true)},
+		{"Served benefit over time, by policy", "policies.png", policiesPlot(results)},
 	} {
-		if err := add(f.title, f.file, f.plot); err != nil {
+		if err := addPlot(entry.title, entry.file, entry.plot); err != nil {
 			return "", err
 		}
 	}
-	t, err := template.New("page").Parse(page)
+	t, err := template.New("page").Parse(pageTemplate)
 	if err != nil {
 		return "", err
 	}
 	var out bytes.Buffer
-	if err := t.Execute(&out, map[string]any{"S": s, "R": r, "All": results, "Figures": figures}); err != nil {
+	if err := t.Execute(&out, map[string]any{"S": experiment, "R": result, "All": results, "Figures": figures}); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "index.html")
@@ -80,7 +80,7 @@
 
 const width, height = 18 * vg.Centimeter, 6 * vg.Centimeter
 
-func render(dir, title, file string, p *plot.Plot) (figure, error) {
+func renderPlot(dir, title, file string, p *plot.Plot) (figure, error) {
 	p.Title.Text, p.X.Label.Text, p.X.Min = title, "seconds", 0
 	p.Y.Min = min(0, p.Y.Min)
 	p.Legend.Top = true
@@ -101,21 +101,21 @@
 }
 
 // line adds one curve; an empty one is left out.
-func line(p *plot.Plot, n int, name string, points plotter.XYs) {
+func addCurve(p *plot.Plot, index int, name string, points plotter.XYs) {
 	if len(points) == 0 {
 		return
 	}
-	l, err := plotter.NewLine(points)
+	curve, err := plotter.NewLine(points)
 	if err != nil {
 		return // a point that is no number
 	}
-	l.LineStyle = draw.LineStyle{Color: plotutil.Color(n), Width: vg.Points(1.2), Dashes: plotutil.Dashes(n / 7)}
-	p.Add(l)
-	p.Legend.Add(name, l)
+	curve.LineStyle = draw.LineStyle{Color: plotutil.Color(index), Width: vg.Points(1.2), Dashes: plotutil.Dashes(index / 7)}
+	p.Add(curve)
+	p.Legend.Add(name, curve)
 }
 
 // curve takes one figure of each bucket of a category, or of all with -1.
-func curve(r *ledger.Result, category int, of func(*ledger.Bucket) float64) plotter.XYs {
+func bucketValues(r *ledger.Result, category int, value func(*ledger.Bucket) float64) plotter.XYs {
 	var out plotter.XYs
 	for i := range r.Series {
 		b := &r.Series[i]
@@ -123,16 +123,16 @@
 			continue
 		}
 		if n := len(out); n > 0 && out[n-1].X == b.AtMs/1000 {
-			out[n-1].Y += of(b)
+			out[n-1].Y += value(b)
 			continue
 		}
-		out = append(out, plotter.XY{X: b.AtMs / 1000, Y: of(b)})
+		out = append(out, plotter.XY{X: b.AtMs / 1000, Y: value(b)})
 	}
 	return out
 }
 
 // perSecond is how many buckets make a second.
-func perSecond(r *ledger.Result) float64 {
+func bucketsPerSecond(r *ledger.Result) float64 {
 	for i := range r.Series {
 		if r.Series[i].AtMs > 0 {
 			return 1000 / r.Series[i].AtMs
@@ -141,49 +141,49 @@
 	return 1
 }
 
-func ops(r *ledger.Result, s *scenario.Scenario, category int) *plot.Plot {
-	p, scale := plot.New(), perSecond(r)
+func opsPlot(r *ledger.Result, s *scenario.Scenario, category int) *plot.Plot {
+	p, scale := plot.New(), bucketsPerSecond(r)
 	for n, f := range []struct {
-		name string
-		of   func(*ledger.Bucket) float64
+		name  string
+		value func(*ledger.Bucket) float64
 	}{
 		{"offered", func(b *ledger.Bucket) float64 { return float64(b.Offered) * scale }},
 		{"served", func(b *ledger.Bucket) float64 { return float64(b.Served) * scale }},
 		{"nacked tries", func(b *ledger.Bucket) float64 { return float64(b.Nacked) * scale }},
 	} {
-		line(p, n, f.name, curve(r, category, f.of))
+		addCurve(p, n, f.name, bucketValues(r, category, f.value))
 	}
 	return p
 }
 
-func latency(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
+func latencyPlot(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
 	p := plot.New()
 	p.Y.Label.Text = "ms"
 	for i, c := range s.Categories {
-		line(p, 2*i, c.Name+" p50", curve(r, i, func(b *ledger.Bucket) float64 { return b.P50Ms }))
-		line(p, 2*i+1, c.Name+" p99", curve(r, i, func(b *ledger.Bucket) float64 { return b.P99Ms }))
+		addCurve(p, 2*i, c.Name+" p50", bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.P50Ms }))
+		addCurve(p, 2*i+1, c.Name+" p99", bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.P99Ms }))
 	}
 	return p
 }
 
-func wasted(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
-	p, scale := plot.New(), perSecond(r)
+func wastedWorkPlot(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
+	p, scale := plot.New(), bucketsPerSecond(r)
 	p.Y.Label.Text = "ms a second"
 	for i, c := range s.Categories {
-		line(p, i, c.Name, curve(r, i, func(b *ledger.Bucket) float64 { return b.WastedMs * scale }))
+		addCurve(p, i, c.Name, bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.WastedMs * scale }))
 	}
 	return p
 }
 
 // mostCurves is how many servers one plot shows; the rest would hide them.
-const mostCurves = 10
+const maxCurves = 10
 
-func throttles(r *ledger.Result, cut bool) *plot.Plot {
+func throttlePlot(r *ledger.Result, showCutoff bool) *plot.Plot {
 	p := plot.New()
 	servers := map[string]plotter.XYs{}
 	for _, t := range r.Throttles {
 		y := t.Rate
-		if cut {
+		if showCutoff {
 			y = float64(t.Cut)
 		}
 		servers[t.Server] = append(servers[t.Server], plotter.XY{X: t.AtMs / 1000, Y: y})
@@ -194,7 +194,7 @@
 	}
 	sort.Strings(names)
 	sort.SliceStable(names, func(i, j int) bool { return len(servers[names[i]]) > len(servers[names[j]]) })
-	for n, name := range names[:min(mostCurves, len(names))] {
+	for n, name := range names[:min(maxCurves, len(names))] {
 		if dots, err := plotter.NewScatter(servers[name]); err == nil { // a throttle acts for a while, and not between
 			dots.GlyphStyle = draw.GlyphStyle{Color: plotutil.Color(n), Radius: vg.Points(1.5), Shape: draw.CircleGlyph{}}
 			p.Add(dots)
@@ -209,7 +209,7 @@
 	return p
 }
 
-func policies(results []*ledger.Result) *plot.Plot {
+func policiesPlot(results []*ledger.Result) *plot.Plot {
 	p := plot.New()
 	names := []string{}
 	for n, r := range results {
@@ -217,7 +217,7 @@
 			continue
 		}
 		names = append(names, r.Policy)
-		line(p, n, r.Policy, curve(r, -1, func(b *ledger.Bucket) float64 { return b.Benefit * perSecond(r) }))
+		addCurve(p, n, r.Policy, bucketValues(r, -1, func(b *ledger.Bucket) float64 { return b.Benefit * bucketsPerSecond(r) }))
 	}
 	return p
 }
