--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -1,5 +1,5 @@
-// Package fleetlog counts over the logs of a whole fleet what no node sees of itself: what all of them together do to
-// the registry, to each server and to what is cold, draining or lost. It reads log lines and does no other I/O.
+// Package fleetlog counts events over the logs of all nodes of a fleet. The totals show what no single node sees: the
+// load of all nodes together on the registry, on each server, and on servers that are cold, draining or gone.
 package fleetlog
 
 import (
@@ -15,8 +15,8 @@
 	"canvasrouter/policy"
 )
 
-// Line is what the count takes of a node's log line, whichever part wrote it. A level of debug has ops, pushes, dials
-// and calls; at info there are lists and control alone.
+// LogLine holds the fields of a node's log line that are counted, whichever message it has. Ops, pushes, dials and calls
+// are logged at level debug; at level info only lists and control are.
 type LogLine struct {
 	Node     string   `json:"node"`
 	Time     int64    `json:"time"` // Unix milliseconds
@@ -34,32 +34,32 @@
 	TookMs   *float64 `json:"took_ms"`
 }
 
-// Window is what the fleet did in a span of time.
+// Window holds the counts of all nodes in one span of time.
 type Window struct {
-	Start          time.Duration // since the first line of all
-	Counts         map[string]int
-	PushesByServer map[string]int // pushes
-	DialsByServer  map[string]int // connections opened, by server
+	Start          time.Duration // since the first log line of the fleet
+	Counts         map[string]int // events by their name in the table
+	PushesByServer map[string]int
+	DialsByServer  map[string]int // connections opened
 }
 
-// Fleet is the count. The zero value is not one; use New.
+// Counter counts the events of a fleet in windows of time. Use New to make one.
 type Counter struct {
 	WarmUpTime      time.Duration // a server started less than this ago is cold
-	WindowDuration  time.Duration // of a window
+	WindowDuration  time.Duration
 	LinesByNode     map[string]int
-	UnreadableLines int // lines that could not be read, as the last one of a node that was killed
+	UnreadableLines int // lines that are no complete JSON, such as the last one of a killed node
 	lines           []LogLine
 	windows         []*Window
 }
 
-// New makes a count in windows of span, where servers are cold for warm.
+// New makes a counter with windows of the given length. A server is cold for the time warmUp after its start.
 func New(window, warmUp time.Duration) *Counter {
 	return &Counter{WindowDuration: window, WarmUpTime: warmUp, LinesByNode: make(map[string]int)}
 }
 
-// Read takes in the log of one node. A line that is no JSON, or half of one, is counted and passed over; what stands
-// before a line's first brace (a bench's own time) is left out.
-func (f *Counter) ReadLog(r io.Reader) error {
+// ReadLog reads the log of one node. A line that is no complete JSON is counted as unreadable and skipped. Text before
+// the first brace of a line, such as a time stamp, is ignored.
+func (c *Counter) ReadLog(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 8<<20)
 	for lines.Scan() {
@@ -70,29 +70,30 @@
 		var line LogLine
 		jsonStart := bytes.IndexByte(raw, '{')
 		if jsonStart < 0 || json.Unmarshal(raw[jsonStart:], &line) != nil || line.Time == 0 {
-			f.UnreadableLines++
+			c.UnreadableLines++
 			continue
 		}
-		f.LinesByNode[line.Node]++
-		f.lines = append(f.lines, line)
+		c.LinesByNode[line.Node]++
+		c.lines = append(c.lines, line)
 	}
 	return lines.Err()
 }
 
-// told is what a node was told of a server.
+// listEntry is the state of a server in the list of a node.
 type listEntry struct {
 	state     policy.ServerState
 	startedMs int64 // Unix milliseconds
 }
 
-// Count puts all lines in order of time and counts them.
-func (f *Counter) Count() []*Window {
-	sort.SliceStable(f.lines, func(i, j int) bool { return f.lines[i].Time < f.lines[j].Time })
-	f.windows = nil
+// Count sorts all lines by time, counts them and returns the windows. The counts rely on that order: whether a push
+// goes to a cold or draining server depends on the list entries that its node logged before.
+func (c *Counter) Count() []*Window {
+	sort.SliceStable(c.lines, func(i, j int) bool { return c.lines[i].Time < c.lines[j].Time })
+	c.windows = nil
 	lists := make(map[[2]string]listEntry)
-	for i := range f.lines {
-		line := &f.lines[i]
-		window := f.windowAt(time.Duration(line.Time-f.lines[0].Time) * time.Millisecond)
+	for i := range c.lines {
+		line := &c.lines[i]
+		window := c.windowAt(time.Duration(line.Time-c.lines[0].Time) * time.Millisecond)
 		key := [2]string{line.Node, line.Server}
 		switch {
 		case line.Message == "entry" && line.State != nil && line.AgeMs != nil:
@@ -110,7 +111,7 @@
 				window.Counts["pushes to draining"]++
 			case entry.state == policy.Gone:
 				window.Counts["pushes to gone"]++
-			case line.Time-entry.startedMs < f.WarmUpTime.Milliseconds():
+			case line.Time-entry.startedMs < c.WarmUpTime.Milliseconds():
 				window.Counts["pushes to cold"]++
 			}
 		case line.Message == "push ended":
@@ -145,22 +146,28 @@
 			window.Counts["node starts"]++
 		}
 	}
-	return f.windows
+	return c.windows
 }
 
-func (f *Counter) windowAt(offset time.Duration) *Window {
-	for index := int(offset / f.WindowDuration); len(f.windows) <= index; {
-		f.windows = append(f.windows, &Window{Start: time.Duration(len(f.windows)) * f.WindowDuration, Counts: make(map[string]int),
-			PushesByServer: make(map[string]int), DialsByServer: make(map[string]int)})
+// windowAt returns the window of an offset from the first line, and makes the windows up to it.
+func (c *Counter) windowAt(offset time.Duration) *Window {
+	for index := int(offset / c.WindowDuration); len(c.windows) <= index; {
+		c.windows = append(c.windows, &Window{
+			Start:          time.Duration(len(c.windows)) * c.WindowDuration,
+			Counts:         make(map[string]int),
+			PushesByServer: make(map[string]int),
+			DialsByServer:  make(map[string]int),
+		})
 	}
-	return f.windows[int(offset/f.WindowDuration)]
+	return c.windows[int(offset/c.WindowDuration)]
 }
 
-// Table writes the count in Markdown: a row for each kind, a column for each window; the last rows are the server with
-// most pushes and with most connections opened, and the mean over servers.
-func (f *Counter) WriteTable(w io.Writer) error {
+// WriteTable writes the counts as a Markdown table with a row for each event and a column for each window. The last rows
+// are the most pushes to one server, the mean over the servers that got pushes, and the most connections opened to one
+// server.
+func (c *Counter) WriteTable(w io.Writer) error {
 	kinds := make(map[string]bool)
-	for _, window := range f.windows {
+	for _, window := range c.windows {
 		for kind := range window.Counts {
 			kinds[kind] = true
 		}
@@ -171,14 +178,15 @@
 	}
 	sort.Strings(names)
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(f.LinesByNode), len(f.lines), f.UnreadableLines, f.WindowDuration)
-	for _, window := range f.windows {
+	fmt.Fprintf(&text, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(c.LinesByNode), len(c.lines),
+		c.UnreadableLines, c.WindowDuration)
+	for _, window := range c.windows {
 		fmt.Fprintf(&text, " %g s |", window.Start.Seconds())
 	}
-	text.WriteString("\n| --- |" + strings.Repeat(" --- |", len(f.windows)) + "\n")
+	text.WriteString("\n| --- |" + strings.Repeat(" --- |", len(c.windows)) + "\n")
 	row := func(name string, value func(*Window) string) {
 		text.WriteString("| " + name + " |")
-		for _, window := range f.windows {
+		for _, window := range c.windows {
 			text.WriteString(" " + value(window) + " |")
 		}
 		text.WriteString("\n")
@@ -193,6 +201,7 @@
 	return err
 }
 
+// maximum formats the highest count; 0 if there is none.
 func maximum(counts map[string]int) string {
 	highest := 0
 	for _, n := range counts {
@@ -201,6 +210,7 @@
 	return fmt.Sprint(highest)
 }
 
+// mean formats the mean of the counts; 0.0 if there is none.
 func mean(counts map[string]int) string {
 	sum := 0
 	for _, n := range counts {
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -29,15 +29,15 @@
 {"node":"n1","op":7,"push":0,"server":"a","time":3300,"message":"push"}
 `
 
-// What each node logs of itself adds up over the fleet; what is cut in the middle of a line is told, and harms nothing.
+// Counts add up over the logs of all nodes. A line that ends in the middle is counted as unreadable and otherwise ignored.
 func TestCountOverTwoNodes(t *testing.T) {
-	f := New(2*time.Second, time.Minute)
+	counter := New(2*time.Second, time.Minute)
 	for _, log := range []string{secondNodeLog, firstNodeLog} {
-		if err := f.ReadLog(strings.NewReader(log)); err != nil {
+		if err := counter.ReadLog(strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got := f.Count()
+	got := counter.Count()
 	want := []*Window{
 		{Counts: map[string]int{"node starts": 1, "list calls": 1, "ops": 1, "pushes": 2, "second pushes": 1, "pushes to cold": 1,
 			"pushes to draining": 1, "dials": 2, "dials failed": 1, "ended reset": 1},
@@ -48,20 +48,20 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if f.UnreadableLines != 2 || len(f.LinesByNode) != 2 {
-		t.Errorf("%d broken lines, %d nodes", f.UnreadableLines, len(f.LinesByNode))
+	if counter.UnreadableLines != 2 || len(counter.LinesByNode) != 2 {
+		t.Errorf("%d unreadable lines, %d nodes", counter.UnreadableLines, len(counter.LinesByNode))
 	}
 	var out strings.Builder
-	if err := f.WriteTable(&out); err != nil || !strings.Contains(out.String(), "| pushes | 2 | 1 |\n") ||
+	if err := counter.WriteTable(&out); err != nil || !strings.Contains(out.String(), "| pushes | 2 | 1 |\n") ||
 		!strings.HasPrefix(out.String(), "2 nodes, 15 lines, 2 that could not be read; windows of 2s\n") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
 
-// No line at all is no window.
+// Without log lines there are no windows.
 func TestEmptyLogHasNoWindows(t *testing.T) {
-	f := New(time.Second, time.Second)
-	if f.ReadLog(strings.NewReader("")) != nil || len(f.Count()) != 0 {
-		t.Error("windows of nothing")
+	counter := New(time.Second, time.Second)
+	if counter.ReadLog(strings.NewReader("")) != nil || len(counter.Count()) != 0 {
+		t.Error("windows without any log line")
 	}
 }
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -1,4 +1,5 @@
-// Package labnode is a node of the laboratory: the real one, with the decider that an experiment wants.
+// Package labnode runs a node for an experiment: the real node program with the decider that the experiment asks for,
+// an optional injected fault, and a record of its throttles.
 package labnode
 
 import (
@@ -15,30 +16,32 @@
 	"canvasrouter/policy"
 )
 
-// SamplesEnv names the file that a node of the laboratory writes its throttles to.
+// ThrottleFileEnv is the environment variable with the path of the file that a node writes its throttle samples to.
+// Without it nothing is written.
 const ThrottleFileEnv = "CANVASLAB_THROTTLES"
 
-// Sample is one line of that file.
+// ThrottleSample is one line of the throttle file: the rate and cutoff level of one throttle at a moment.
 type ThrottleSample struct {
 	At          policy.Micros `json:"at"`
-	Server      string        `json:"server"`
+	Server      string        `json:"server"` // "all" for the throttle over all servers
 	Rate        float64       `json:"rate"`
 	CutoffLevel int           `json:"cut"`
 }
 
-// sampleEvery is how often a node writes down its throttles.
+// sampleInterval is the shortest time between two samples of the throttles.
 const sampleInterval = 250 * policy.Millisecond
 
-// Main is the node's process with a policy in the module's place and a rule broken, if they are named. It gives the
-// exit code, and ends when its standard input does.
+// Main runs the process of a node and returns its exit code. If name is not empty, the policy of that name replaces the
+// module; if fault is not empty, that fault is injected. The process exits with code 3 when its standard input ends.
 func Main(name, fault string) int {
-	go func() { // Danger: a laboratory that was killed could not end its nodes; its end of the pipe closes with it
+	// A parent process that is killed can't stop its nodes, but its end of the pipe to standard input is closed then.
+	go func() {
 		io.Copy(io.Discard, os.Stdin)
 		os.Exit(3)
 	}()
 	return serve.Main(serve.Options{
-		Decider: func(c *config.Config) (policy.Decider, error) {
-			decider, module, err := trial.New(name, fault, c.Rules, c.Seed)
+		Decider: func(settings *config.Config) (policy.Decider, error) {
+			decider, module, err := trial.New(name, fault, settings.Rules, settings.Seed)
 			path := os.Getenv(ThrottleFileEnv)
 			if err != nil || module == nil || path == "" {
 				return decider, err
@@ -47,39 +50,45 @@
 			if err != nil {
 				return nil, err
 			}
-			return &throttleSampler{Decider: decider, module: module, serverNames: serverNames(), encoder: json.NewEncoder(samples)}, nil
+			return &throttleSampler{
+				Decider:     decider,
+				module:      module,
+				serverNames: serverNames(),
+				encoder:     json.NewEncoder(samples),
+			}, nil
 		},
-		Slack: func(settings policy.Micros) policy.Micros { return trial.Slack(fault, settings) },
+		Slack: func(configured policy.Micros) policy.Micros { return trial.Slack(fault, configured) },
 	})
 }
 
-// sampler writes down the module's throttles now and then.
+// throttleSampler is a decider that writes samples of the module's throttles while it steps.
 type throttleSampler struct {
 	policy.Decider
 	module      *policy.Node
 	serverNames map[policy.ServerID]string
 	encoder     *json.Encoder
-	nextSample  policy.Micros
+	nextSample  policy.Micros // time before which no sample is written
 }
 
+// Step writes a sample if one is due, and steps the decider.
 func (s *throttleSampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if now >= s.nextSample {
 		s.nextSample = now + sampleInterval
-		s.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+		s.module.Throttles(func(server policy.ServerID, rate float64, cutoffLevel int) {
 			name := s.serverNames[server]
 			if server == 0 {
 				name = "all"
 			}
-			s.encoder.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cut})
+			s.encoder.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cutoffLevel})
 		})
 	}
 	return s.Decider.Step(now, in)
 }
 
-// mostServers is how many servers' numbers are known by name; a fleet on sockets is smaller.
+// maxServers is how many server ids serverNames knows. Fleets on sockets are smaller.
 const maxServers = 4096
 
-// names are the text ids by the number that a node makes of each.
+// serverNames maps the numeric server ids of nodes to the instance ids of the registry.
 func serverNames() map[policy.ServerID]string {
 	names := make(map[policy.ServerID]string)
 	for i := range maxServers {
@@ -88,7 +97,7 @@
 	return names
 }
 
-// ServerID is the number that nodes make of a server's text id.
+// ServerID returns the numeric id that nodes derive from the instance id of the server with this index.
 func ServerID(index int) policy.ServerID {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, registry.ID(index))
--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -7,24 +7,26 @@
 	"sync/atomic"
 )
 
-// ports gives addresses that stay a run's own, also while nobody listens there: a server that has died and a node that
-// restarts come back to theirs.
+// addressPool hands out listen addresses that belong to one run, also while no socket listens there, so that a server
+// or node that restarts can listen on its old address.
 //
-// Danger: a port that was free a moment ago is taken by another run's connection, or its server. So each run has a
-// loopback address of its own, from which nobody connects.
+// Each run has a loopback IP address of its own, which no outgoing connection uses. On a shared IP address a port that
+// was free a moment ago could be taken by a connection or a server of another run.
 type addressPool struct {
-	reservation net.Listener
+	reservation net.Listener // holds the IP address for this run
 	ip          string
 	lastPort    int
 }
 
 const (
-	firstPort  = 20001 // below those that the kernel gives out
-	maxIPTries = 64
+	firstPort  = 20001 // below the range of ephemeral ports
+	maxIPTries = 64    // IP addresses to try
 )
 
+// poolCount is the number of IP addresses tried by this process; it makes each try a different address.
 var poolCount atomic.Uint32
 
+// newAddressPool claims a loopback IP address that no other run on this machine uses.
 func newAddressPool() (*addressPool, error) {
 	for range maxIPTries {
 		id := uint32(os.Getpid())*7 + poolCount.Add(1)
@@ -36,14 +38,14 @@
 	return nil, fmt.Errorf("no loopback address of 127.0.0.0/8 is free for this run")
 }
 
-// addr gives the next address. Danger: to try it out would leave it taken for a moment, by a process that is being
-// forked just then and still holds the listener.
+// nextAddr returns the next address. It doesn't check by listening that the address is free: a process that is forked
+// at that moment would inherit the listener and keep the address taken for a while.
 func (p *addressPool) nextAddr() string {
 	p.lastPort++
 	return fmt.Sprintf("%s:%d", p.ip, p.lastPort)
 }
 
-// close gives the address back.
+// close releases the IP address.
 func (p *addressPool) close() {
 	if p != nil && p.reservation != nil {
 		p.reservation.Close()
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -23,63 +23,67 @@
 	"canvasrouter/policy"
 )
 
-// conn is a client's connection to a node: one request at a time.
+// clientConn is a client's HTTP connection to a node. It carries one request at a time.
 type clientConn struct {
 	net.Conn
 	*bufio.Reader
-	answered bool
+	answered bool // has carried at least one answer
 	lastTry  ledger.TryID
 }
 
-// door is a node as clients reach it: its address and the connections that they keep.
+// endpoint is the address of a node with the idle connections that clients keep to it.
 type endpoint struct {
 	addr         string
-	killCount    atomic.Int32 // times that its node was killed
+	killCount    atomic.Int32 // how many times the node was killed
 	mu           sync.Mutex
 	idleConns    []*clientConn
-	skippedUntil time.Time // the front leaves it out until then
+	skippedUntil time.Time // pickNode skips the node until then
 }
 
-// dialWait ends a client's connecting.
+// dialTimeout limits how long a client waits for a connection.
 const dialTimeout = time.Second
 
-func (d *endpoint) acquire(ctx context.Context) (*clientConn, error) {
-	d.mu.Lock()
-	if n := len(d.idleConns); n > 0 {
-		c := d.idleConns[n-1]
-		d.idleConns = d.idleConns[:n-1]
-		d.mu.Unlock()
+// acquire returns an idle connection, or dials a new one.
+func (e *endpoint) acquire(ctx context.Context) (*clientConn, error) {
+	e.mu.Lock()
+	if n := len(e.idleConns); n > 0 {
+		c := e.idleConns[n-1]
+		e.idleConns = e.idleConns[:n-1]
+		e.mu.Unlock()
 		return c, nil
 	}
-	d.mu.Unlock()
-	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", d.addr)
+	e.mu.Unlock()
+	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", e.addr)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: c, Reader: bufio.NewReader(c)}, nil
 }
 
-func (d *endpoint) release(c *clientConn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.idleConns = append(d.idleConns, c)
+// release keeps c as an idle connection.
+func (e *endpoint) release(c *clientConn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.idleConns = append(e.idleConns, c)
 }
 
-// drop closes the kept connections. Bytes that wait on one are an answer to nothing.
-func (d *endpoint) closeIdle(book *ledger.Account) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.idleConns {
+// closeIdle closes all idle connections. Bytes that are readable on one of them are recorded as an extra answer to its
+// last try, since no request is outstanding.
+func (e *endpoint) closeIdle(runLedger *ledger.Account) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.idleConns {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.Peek(1); err == nil {
-			book.Extra(c.lastTry)
+			runLedger.Extra(c.lastTry)
 		}
 		c.Close()
 	}
-	d.idleConns = nil
+	e.idleConns = nil
 }
 
-// ask sends one request and gives what its client saw of it.
+// sendTry sends one try of an op to a node, records it in the ledger, and returns the verdict that the client saw and
+// the Retry-After time of a nack.
 func (r *run) sendTry(ctx context.Context, target *endpoint, node int, req opRequest) (ledger.Verdict, policy.Micros) {
 	try := r.ledger.Try(req.op, node, r.now(), req.deadline)
 	r.registerTry(try, req)
@@ -92,7 +96,7 @@
 	}
 }
 
-// question is one request of a client's, or of a server's to the next tier.
+// opRequest describes one try of an op, sent by a client or by a server that calls the next tier.
 type opRequest struct {
 	op          ledger.OpID
 	tier        int
@@ -100,19 +104,21 @@
 	category    int
 	deadline    policy.Micros
 	clientRetry bool
-	leavesAfter policy.Micros // 0: stays
+	leavesAfter policy.Micros // when the client disconnects; 0: it waits for the answer
 }
 
-// request is a question in the platform's form.
+// httpRequest builds the HTTP request of a try with the headers that nodes expect.
 func (r *run) httpRequest(try ledger.TryID, req opRequest) *http.Request {
 	category := &r.Scenario.Categories[req.category]
-	method, body := http.MethodPost, io.Reader(strings.NewReader(fmt.Sprintf(`{"op":%d}`, req.op)))
+	method := http.MethodPost
+	body := io.Reader(strings.NewReader(fmt.Sprintf(`{"op":%d}`, req.op)))
 	if category.Repeat == "redeliverable" {
-		method, body = http.MethodGet, nil
+		method = http.MethodGet
+		body = nil
 	}
 	request, err := http.NewRequest(method, fmt.Sprintf("http://backend.local/%s/%d", category.Name, req.op), body)
 	if err != nil {
-		panic(err) // names are checked when the experiment is read
+		panic(err) // category names are validated when the experiment is read
 	}
 	request.Header.Set("X-Txn", transactionID(try))
 	request.Header.Set("X-Remaining-Ms", strconv.FormatInt(max(0, int64((req.deadline-r.now())/policy.Millisecond)), 10))
@@ -128,11 +134,13 @@
 	return request
 }
 
+// transactionID is the X-Txn header by which stand-in servers recognise a try.
 func transactionID(try ledger.TryID) string { return fmt.Sprintf("%016x", int64(try)+1) }
 
-// exchange sends a request on one connection. A kept connection that the node closed just then, before it read the
-// request, is no answer: the request is sent once more, on another. Danger: a node that was killed may have read it, and
-// sending it again would be an effect too many that no node is to blame for.
+// exchange sends a request on one connection and reads the answer. If the node closed a reused connection before it
+// read the request, resend is true and the caller sends the request again on another connection. A request is not
+// resent when the node was killed meanwhile: the node may have read it, and a second copy could cause a double effect
+// that is no node's fault.
 func (r *run) exchange(ctx context.Context, target *endpoint, try ledger.TryID, req opRequest) (verdict ledger.Verdict, retryAfter policy.Micros, resend bool) {
 	killsBefore := target.killCount.Load()
 	c, err := target.acquire(ctx)
@@ -159,7 +167,8 @@
 	if err != nil {
 		defer c.Close()
 		switch {
-		case c.answered && ctx.Err() == nil && killsBefore == target.killCount.Load() && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
+		case c.answered && ctx.Err() == nil && killsBefore == target.killCount.Load() &&
+			(errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
 			return 0, 0, true
 		case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded) && req.leavesAfter > 0:
 			return ledger.Left, 0, false
@@ -168,7 +177,8 @@
 		}
 		return ledger.Broken, 0, false
 	}
-	c.answered, c.lastTry = true, try
+	c.answered = true
+	c.lastTry = try
 	response, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		c.Close()
@@ -186,9 +196,9 @@
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		var from server.Body
-		if json.Unmarshal(body, &from) == nil {
-			r.ledger.ServedBy(from.Push)
+		var answer server.Body
+		if json.Unmarshal(body, &answer) == nil {
+			r.ledger.ServedBy(answer.Push)
 		}
 		return ledger.Served, 0, false
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -198,7 +208,7 @@
 	return ledger.Failed, 0, false
 }
 
-// cut is what an answer that is not whole means, unless it was the run that ended.
+// truncatedVerdict is the verdict on an incomplete answer: the connection broke, unless the run itself was cancelled.
 func truncatedVerdict(ctx context.Context) ledger.Verdict {
 	if ctx.Err() != nil {
 		return ledger.Left
@@ -206,7 +216,8 @@
 	return ledger.Broken
 }
 
-// front deals requests out among the nodes of the first tier, and leaves one out for a while that could not be reached.
+// pickNode deals requests out among the nodes of the first tier. It skips nodes that refused a connection within the
+// last second, unless all of them did.
 func (r *run) pickNode() int {
 	nodeCount := r.Scenario.Tiers[0].Nodes
 	for range nodeCount {
@@ -222,14 +233,19 @@
 	return r.Scenario.Deal(int(r.picks.Add(1)))
 }
 
-// client plays one op over all its tries.
+// runOp plays one client's op from the first try to the last retry.
 func (r *run) runOp(ctx context.Context, arrival *load.Arrival, intendedAt policy.Micros) {
 	category := &r.Scenario.Categories[arrival.Category]
 	op := r.ledger.Offer(intendedAt, arrival.Category, arrival.Tenant, 0)
 	refusals := 0
 	for attempt := 0; ctx.Err() == nil; {
-		req := opRequest{op: op, arrival: arrival, category: arrival.Category, clientRetry: attempt > 0 && r.Scenario.Load.MarksRetry,
-			deadline: max(r.now(), intendedAt+category.TTL.Micros()+policy.Micros(r.clockStep.Load()))}
+		req := opRequest{
+			op:          op,
+			arrival:     arrival,
+			category:    arrival.Category,
+			clientRetry: attempt > 0 && r.Scenario.Load.MarksRetry,
+			deadline:    max(r.now(), intendedAt+category.TTL.Micros()+policy.Micros(r.clockStep.Load())),
+		}
 		if attempt == 0 {
 			req.leavesAfter = arrival.Leaves
 		}
@@ -244,13 +260,17 @@
 			target.skippedUntil = time.Now().Add(time.Second)
 			target.mu.Unlock()
 			if refusals++; refusals <= r.Scenario.Tiers[0].Nodes && r.now()-intendedAt < category.TTL.Micros() {
-				continue // the front takes the next node at once; that is no try of the client's
+				continue // another node is picked at once; this doesn't count as a retry of the client
 			}
 			return
 		}
 		refusals = 0
-		delay, retry := load.Again(r.Scenario, arrival.Category, load.Try{Number: attempt, Nacked: verdict == ledger.Nacked,
-			Advice: retryAfter, Elapsed: r.now() - intendedAt})
+		delay, retry := load.Again(r.Scenario, arrival.Category, load.Try{
+			Number:  attempt,
+			Nacked:  verdict == ledger.Nacked,
+			Advice:  retryAfter,
+			Elapsed: r.now() - intendedAt,
+		})
 		if !retry {
 			return
 		}
--- a/internal/lab/live/compare_targets.go
+++ b/internal/lab/live/compare_targets.go
@@ -21,13 +21,15 @@
 	"canvasrouter/internal/standin/registry"
 )
 
-// Way is one of the ways to the servers that Versus compares.
+// Target is an endpoint that CompareTargets drives: a node or proxy in front of the servers, or a server itself.
 type Target struct {
-	Name    string
-	Program Program // started with NODE_CONFIG, and VERSUS_LISTEN and VERSUS_SERVERS for a plain proxy; none: direct
+	Name string
+	// Program is started with NODE_CONFIG for a node, and with VERSUS_LISTEN and VERSUS_SERVERS for a plain proxy. With
+	// an empty Path clients connect directly to a server.
+	Program Program
 }
 
-// Lap is what one way did at one number of connections.
+// Measurement is the throughput and latency of one target at one number of connections.
 type Measurement struct {
 	Target               string
 	Connections          int
@@ -36,15 +38,17 @@
 	Errors               int
 }
 
-// Environment of a plain proxy.
+// Environment variables of a plain proxy: its listen address, and the addresses of the servers separated by spaces.
 const (
 	ProxyListenEnv  = "VERSUS_LISTEN"
 	ProxyServersEnv = "VERSUS_SERVERS"
 )
 
-// Versus drives each way in turn, closed loop, with each number of connections for a span, rounds times, against
-// servers that answer at once. One way is idle while another runs. Figures are of all rounds together.
-func CompareTargets(ctx context.Context, targets []Target, connections []int, servers, rounds int, duration time.Duration) ([]Measurement, error) {
+// CompareTargets measures each target with a closed-loop load on each number of connections, against servers that
+// answer immediately. Each target has rounds turns of the given duration, and the others are idle meanwhile. A
+// measurement covers all rounds together.
+func CompareTargets(ctx context.Context, targets []Target, connections []int, servers, rounds int,
+	duration time.Duration) ([]Measurement, error) {
 	addrs, stopServers, err := startInstantServers(servers)
 	if err != nil {
 		return nil, err
@@ -89,7 +93,8 @@
 		}
 		for i := range targets {
 			current[i].OpsPerSecond = float64(latencies[i].TotalCount()) / (duration.Seconds() * float64(rounds))
-			current[i].P50Ms, current[i].P99Ms = float64(latencies[i].ValueAtQuantile(50))/1000, float64(latencies[i].ValueAtQuantile(99))/1000
+			current[i].P50Ms = float64(latencies[i].ValueAtQuantile(50)) / 1000
+			current[i].P99Ms = float64(latencies[i].ValueAtQuantile(99)) / 1000
 			current[i].P999Ms = float64(latencies[i].ValueAtQuantile(99.9)) / 1000
 		}
 		measurements = append(measurements, current...)
@@ -97,7 +102,7 @@
 	return measurements, nil
 }
 
-// instant starts servers that answer at once.
+// startInstantServers starts servers that answer every request immediately.
 func startInstantServers(count int) (addrs []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
@@ -115,13 +120,14 @@
 			w.Header().Set("Content-Length", "11")
 			io.WriteString(w, `{"ok":true}`)
 		})}
-		servers, addrs = append(servers, s), append(addrs, l.Addr().String())
+		servers = append(servers, s)
+		addrs = append(addrs, l.Addr().String())
 		go s.Serve(l)
 	}
 	return addrs, stop, nil
 }
 
-// startWay starts a way's process before the servers, on one core.
+// startTarget starts the process of a target in front of the servers, on one core, and waits until it answers.
 func startTarget(target Target, dir string, servers []string) (addr string, stop func(), err error) {
 	addresses, err := newAddressPool()
 	if err != nil {
@@ -129,27 +135,52 @@
 	}
 	defer addresses.close()
 	addr = addresses.nextAddr()
-	experiment := &scenario.Scenario{Name: "versus", Zones: []string{"a"},
-		Categories: []scenario.Category{{Name: "slots", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"}},
-		Tiers:      []scenario.Tier{{Name: "front", Nodes: 1, Kinds: []scenario.Kind{{Name: "std", Count: len(servers), IdleClose: 60_000_000}}}},
-		Limits: scenario.Limits{MaxPushes: 3, Dial: 100_000, Sockets: 2048, MemoryMB: 192, AnswerSlack: 20_000, ColdFrom: 0.3,
-			ColdWarm: 4_000_000, ColdFactor: 3, ColdWindow: 1_000_000, DrainGrace: 1_500_000}}
+	experiment := &scenario.Scenario{
+		Name:  "versus",
+		Zones: []string{"a"},
+		Categories: []scenario.Category{
+			{Name: "slots", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"},
+		},
+		Tiers: []scenario.Tier{{
+			Name:  "front",
+			Nodes: 1,
+			Kinds: []scenario.Kind{{Name: "std", Count: len(servers), IdleClose: 60_000_000}},
+		}},
+		Limits: scenario.Limits{
+			MaxPushes:   3,
+			Dial:        100_000,
+			Sockets:     2048,
+			MemoryMB:    192,
+			AnswerSlack: 20_000,
+			ColdFrom:    0.3,
+			ColdWarm:    4_000_000,
+			ColdFactor:  3,
+			ColdWindow:  1_000_000,
+			DrainGrace:  1_500_000,
+		},
+	}
 	var entries []registry.Entry
 	list := ""
 	for i, server := range servers {
 		entries = append(entries, registry.Entry{Server: i, Weight: 1})
 		list += server + " "
 	}
-	listOptions := registry.Words{Zones: experiment.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
+	listOptions := registry.Words{
+		Zones: experiment.Zones,
+		Kinds: []string{"std"},
+		Addr:  func(i int) string { return servers[i] },
+	}
 	file := filepath.Join(dir, strconv.Quote(target.Name)+".json")
-	config := experiment.Config(scenario.Balancer{Of: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1, listOptions.Line(1, entries, true), nil)
+	config := experiment.Config(scenario.Balancer{Of: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1,
+		listOptions.Line(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
 	cmd := exec.Command(target.Program.Path, target.Program.Args...)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, ProxyListenEnv+"="+addr, ProxyServersEnv+"="+list, "GOMAXPROCS=1")
 	output := &logTail{}
-	cmd.Stderr, cmd.WaitDelay = output, outputTimeout
+	cmd.Stderr = output
+	cmd.WaitDelay = outputTimeout
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return "", nil, err
@@ -158,7 +189,13 @@
 		return "", nil, err
 	}
 	var once sync.Once
-	stop = func() { once.Do(func() { stdin.Close(); cmd.Process.Kill(); cmd.Wait() }) }
+	stop = func() {
+		once.Do(func() {
+			stdin.Close()
+			cmd.Process.Kill()
+			cmd.Wait()
+		})
+	}
 	for startedAt := time.Now(); time.Since(startedAt) < readyTimeout; time.Sleep(10 * time.Millisecond) {
 		if response, err := readyClient.Get("http://" + addr + "/-/ready"); err == nil {
 			response.Body.Close()
@@ -169,7 +206,8 @@
 	return "", nil, fmt.Errorf("%s does not answer: %s", target.Name, output.lastLine())
 }
 
-// closedLoop keeps n connections busy for a span.
+// closedLoop keeps a number of connections busy for a duration, and returns the latencies in microseconds and the
+// number of errors. A connection ends early after more than 100 errors.
 func closedLoop(addr string, connections int, duration time.Duration) (latencies *hdrhistogram.Histogram, failed int) {
 	latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -197,9 +235,10 @@
 	return latencies, failed
 }
 
+// errStatus is an answer with a status that is not 200.
 var errStatus = errors.New("an answer other than 200")
 
-// loop asks on one connection until the end, or until something goes wrong.
+// requestLoop sends one request after the other on a new connection until the end, or until the first error.
 func requestLoop(addr, id string, sequence *int, end time.Time, histogram *hdrhistogram.Histogram) error {
 	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -210,7 +249,8 @@
 	reader := bufio.NewReader(c)
 	for ; time.Now().Before(end); *sequence++ {
 		sentAt := time.Now()
-		if _, err := fmt.Fprintf(c, "GET /slots/1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %s%08x\r\nX-Remaining-Ms: 900\r\n\r\n", id, *sequence); err != nil {
+		_, err := fmt.Fprintf(c, "GET /slots/1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: %s%08x\r\nX-Remaining-Ms: 900\r\n\r\n", id, *sequence)
+		if err != nil {
 			return err
 		}
 		response, err := http.ReadResponse(reader, nil)
--- a/internal/lab/live/disturbances.go
+++ b/internal/lab/live/disturbances.go
@@ -18,7 +18,7 @@
 	"canvasrouter/policy"
 )
 
-// troubles carries out the plan in time. What takes a while goes on beside it.
+// runDisturbances applies the steps of the plan, each at its time. Steps that take a while run in the background group.
 func (r *run) runDisturbances(ctx context.Context, background *sync.WaitGroup) {
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
@@ -37,6 +37,7 @@
 	}
 }
 
+// applyStep applies one step of the plan to servers, registry, nodes or network.
 func (r *run) applyStep(ctx context.Context, step *scenario.Step, background *sync.WaitGroup) {
 	standinServer := r.servers[step.Server]
 	check := func(err error) {
@@ -63,13 +64,14 @@
 		standinServer.Behave(step.Mode)
 	case scenario.List:
 		machine := r.plan.Machines[step.Server]
-		r.registries[machine.Tier].Change(func(c *registry.Catalog) {
-			entry, known := c.Entry(step.Server)
+		r.registries[machine.Tier].Change(func(catalog *registry.Catalog) {
+			entry, known := catalog.Entry(step.Server)
 			if !known {
 				entry = machine.Entry(step.Server)
 			}
-			entry.State, entry.Started = step.State, standinServer.Started()
-			c.Set(entry)
+			entry.State = step.State
+			entry.Started = standinServer.Started()
+			catalog.Set(entry)
 		})
 	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
 		scenario.RegistryTrue:
@@ -113,23 +115,33 @@
 	}
 }
 
-// twin is a second process of a node's name, number and configuration, at other addresses. No client comes to it.
+// newDuplicate makes a second process with a node's name, number and configuration, at other addresses. Clients don't
+// send to it.
 func (r *run) newDuplicate(node int) (*nodeProcess, error) {
 	original := r.nodes[node]
 	slot, err := r.network.Further(original.networkSlot)
 	if err != nil {
 		return nil, err
 	}
-	duplicate := &nodeProcess{Balancer: original.Balancer, run: r, nodeIndex: original.nodeIndex, endpoint: &endpoint{addr: r.addresses.nextAddr()}, registryAddr: original.registryAddr,
-		cachedList: original.cachedList, networkSlot: slot, hasPeers: original.hasPeers, duplicate: true}
+	duplicate := &nodeProcess{
+		Balancer:     original.Balancer,
+		run:          r,
+		nodeIndex:    original.nodeIndex,
+		endpoint:     &endpoint{addr: r.addresses.nextAddr()},
+		registryAddr: original.registryAddr,
+		cachedList:   original.cachedList,
+		networkSlot:  slot,
+		hasPeers:     original.hasPeers,
+		duplicate:    true,
+	}
 	r.duplicates[node] = duplicate
 	return duplicate, nil
 }
 
-// lie lets one more member say the same of every server, to the end of the run.
+// startFalseReporter adds a member to the fleet that reports the same condition for every server until the run ends.
 func (r *run) startFalseReporter(step *scenario.Step) error {
 	if !r.nodes[step.Node].hasPeers {
-		return nil // nobody would hear it
+		return nil // without peer messages no node would receive the reports
 	}
 	condition := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
 	slot, err := r.network.Further(step.Node)
@@ -149,12 +161,14 @@
 	return err
 }
 
-// odd is the half of the first tier's nodes that a one-sided trouble hits.
+// hitByPartialLoss reports whether a try goes through a node that a partial loss affects: every second node of the
+// first tier.
 func (r *run) hitByPartialLoss(try ledger.TryID) bool {
 	node, known := r.ledger.NodeOf(try)
 	return known && r.nodes[node].Tier == 0 && r.nodes[node].Number%2 == 1
 }
 
+// applyRegistryStep applies a step of the plan to the registry service of one tier.
 func (r *run) applyRegistryStep(service *registry.Service, step *scenario.Step) {
 	switch step.Verb {
 	case scenario.RegistryDown, scenario.RegistryUp:
@@ -170,7 +184,7 @@
 	}
 }
 
-// behind is the node that a server calls the next tier through, or nil.
+// nextTierNode returns the node through which a server calls the next tier, or nil.
 func (r *run) nextTierNode(server int) *nodeProcess {
 	for _, node := range r.nodes {
 		if node.Server == server {
@@ -180,7 +194,8 @@
 	return nil
 }
 
-// stranger is an op of a client that is not ours, on an open fleet. The lock is held.
+// unknownOp makes an op of a request from a client outside the run, for runs without a generated load. The caller
+// holds r.mu.
 func (r *run) unknownOp(request *http.Request, machine scenario.Machine) (ledger.TryID, *server.Op, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	for i, category := range r.Scenario.Categories {
@@ -190,17 +205,31 @@
 		now := r.now()
 		arrival := &load.Arrival{Category: i, Tenant: -1}
 		for _, tier := range r.Scenario.Tiers {
-			arrival.Work, arrival.Calls = append(arrival.Work, category.Work.Micros()), append(arrival.Calls, int(tier.Calls))
+			arrival.Work = append(arrival.Work, category.Work.Micros())
+			arrival.Calls = append(arrival.Calls, int(tier.Calls))
+		}
+		req := opRequest{
+			op:       r.ledger.Offer(now, i, -1, machine.Tier),
+			tier:     machine.Tier,
+			arrival:  arrival,
+			category: i,
+			deadline: now + category.TTL.Micros(),
 		}
-		req := opRequest{op: r.ledger.Offer(now, i, -1, machine.Tier), tier: machine.Tier, arrival: arrival, category: i, deadline: now + category.TTL.Micros()}
 		try := r.ledger.Try(req.op, 0, now, req.deadline)
 		r.requests[try] = req
 		calls := 0
 		if machine.Tier+1 < len(r.Scenario.Tiers) {
 			calls = arrival.Calls[machine.Tier]
 		}
-		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: arrival.Work[machine.Tier],
-			Calls: calls, Memory: r.dedupMemory(i, machine), Lock: &r.dedupLock}, true
+		op := &server.Op{
+			Key:      request.Header.Get("Idempotency-Key"),
+			Category: i,
+			Work:     arrival.Work[machine.Tier],
+			Calls:    calls,
+			Memory:   r.dedupMemory(i, machine),
+			Lock:     &r.dedupLock,
+		}
+		return try, op, true
 	}
 	return 0, nil, false
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,5 +1,5 @@
-// Package live plays an experiment on loopback sockets in real time: nodes as processes of their own, stand-in servers
-// and registry in this one, and the load.
+// Package live runs an experiment on loopback sockets in real time. Each node is a process of its own; the stand-in
+// servers, the stand-in registry and the load generator run in this process.
 package live
 
 import (
@@ -33,56 +33,67 @@
 	"canvasrouter/policy"
 )
 
-// Options say what is played.
+// Options describe one run of an experiment.
 type Options struct {
 	Scenario     *scenario.Scenario
 	Program      Program
 	Seed         uint64
-	LoadDuration policy.Micros // of the load
+	LoadDuration policy.Micros
 	Arrivals     []load.Arrival
-	ListenAddr   string // of the first node; left out: any free address
-	LogDir       string // a directory for the nodes' logs, at level info; left out: only last lines are kept
-	OnSecond     func(now policy.Micros, a *ledger.Account)
+	ListenAddr   string // listen address of the first node; "": any free address
+	LogDir       string // directory for the nodes' logs at level info; "": only the last lines are kept, in memory
+	// OnSecond, if set, is called about once a second with the time since the load began.
+	OnSecond func(now policy.Micros, a *ledger.Account)
 }
 
 const (
-	lateAnswerWindow = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	maxSendDelay     = 10 * policy.Millisecond  // a send later than this has missed its schedule
-	maxMissedShare   = 0.01                     // share of missed sends that makes a run void
-	settleTime       = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
-	BucketDuration   = 500 * policy.Millisecond // of the report's buckets
+	// lateAnswerWindow is how long clients keep reading after the last permitted moment, so that a late answer is seen.
+	lateAnswerWindow = 250 * policy.Millisecond
+	// maxSendDelay is the delay beyond which a send has missed its schedule.
+	maxSendDelay = 10 * policy.Millisecond
+	// maxMissedShare is the share of missed sends above which a run is void.
+	maxMissedShare = 0.01
+	// settleTime is how long a run waits after the last answer, so that pushes still running at servers can show a
+	// double effect.
+	settleTime = 500 * time.Millisecond
+	// BucketDuration is the length of a bucket in the time series of a result.
+	BucketDuration = 500 * policy.Millisecond
 )
 
+// run is the state of one experiment on sockets.
 type run struct {
 	Options
-	clock             *node.Clock
-	ledger            *ledger.Account
-	plan              *scenario.Plan
-	dir               string
-	addresses         *addressPool
-	servers           []*server.Server
-	nodes             []*nodeProcess
-	duplicates        map[int]*nodeProcess // second processes, by the node whose name they have
-	network           *together.Rig
-	falseReporters    []*together.Liar
-	maxClosedPermille atomic.Int64 // the largest part of a node's servers that hearsay closed, as nodes say, in thousandths
+	clock          *node.Clock
+	ledger         *ledger.Account
+	plan           *scenario.Plan
+	dir            string // temporary directory, removed by stop
+	addresses      *addressPool
+	servers        []*server.Server
+	nodes          []*nodeProcess
+	duplicates     map[int]*nodeProcess // second processes with the name of a node, by the index of that node
+	network        *together.Rig
+	falseReporters []*together.Liar
+	// maxClosedPermille is the largest share of a node's servers, in thousandths, that reports of peers reduced to less
+	// than a third of their weight.
+	maxClosedPermille atomic.Int64
 	timerLag          *together.Lag
 	registries        []*registry.Service
 	loadStart         policy.Micros
-	picks             atomic.Int64
-	clockStep         atomic.Int64  // of clients' clocks
-	trafficBefore     []relay.Count // what nodes had said when the load began
-	failed            chan error    // holds one
-	mu                sync.Mutex
+	picks             atomic.Int64  // picks of a node by clients so far
+	clockStep         atomic.Int64  // current offset of the clients' clocks, in microseconds
+	trafficBefore     []relay.Count // peer traffic of each node when the load began
+	failed            chan error    // holds the first fatal error
+	mu                sync.Mutex    // guards requests, dedupMemories and acceptUnknown
 	requests          map[ledger.TryID]opRequest
 	dedupMemories     scenario.Memories
-	dedupLock         sync.Mutex // guards what is in memories
-	acceptUnknown     bool       // any id is taken for an op: no load of our own
+	dedupLock         sync.Mutex // guards the content of each memory in dedupMemories
+	acceptUnknown     bool       // accept requests of unknown ids as ops; set when there is no generated load
 }
 
+// now is the time on the run's clock.
 func (r *run) now() policy.Micros { return r.clock.Now() }
 
-// fail ends the run; the first fault is the one that is told.
+// fail ends the run with err. Only the first error is kept.
 func (r *run) fail(err error) {
 	select {
 	case r.failed <- err:
@@ -90,7 +101,8 @@
 	}
 }
 
-// Run plays an experiment to its end, or until ctx is done; then the result is partial. Nothing is left running.
+// Run runs an experiment to its end and returns its result and ledger. When ctx is done before the end, the result is
+// partial. No process or goroutine is left running.
 func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Account, error) {
 	r, err := startRun(ctx, options)
 	if err != nil {
@@ -102,8 +114,8 @@
 		return nil, nil, err
 	}
 	r.readThrottleSamples()
-	for _, n := range r.nodes {
-		n.endpoint.closeIdle(r.ledger)
+	for _, node := range r.nodes {
+		node.endpoint.closeIdle(r.ledger)
 	}
 	result := r.ledger.Finish(r.loadStart + min(options.LoadDuration, r.now()-r.loadStart))
 	result.Partial = partial
@@ -111,7 +123,7 @@
 	late, _ := r.timerLag.End()
 	late = max(late, r.network.Late())
 	result.RigLateMs = float64(late.Microseconds()) / 1000
-	// Danger: a machine that is too busy looks like a node at fault. What the rig itself was late with is no node's.
+	// A machine that is too busy makes nodes look faulty, so a run whose harness itself was late is void.
 	if tolerance := toDuration(r.ledger.Tolerance()); late > tolerance {
 		result.Void = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), tolerance)
 	}
@@ -122,7 +134,7 @@
 	return result, r.ledger, nil
 }
 
-// said is what each place of the rig has sent so far.
+// trafficCounts returns the peer traffic that each node of the first tier has sent and received so far.
 func (r *run) trafficCounts() (counts []relay.Count) {
 	for i := 0; r.network.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
 		counts = append(counts, r.network.Relay.Count(i))
@@ -130,12 +142,14 @@
 	return counts
 }
 
-// traffic is what nodes have said to each other since the load began; nil where they don't.
+// peerTraffic sums up the peer traffic since the load began. It is nil for an experiment without peer messages.
 func (r *run) peerTraffic() *ledger.Traffic {
 	if r.Scenario.Fleet == nil {
 		return nil
 	}
-	traffic, seconds, nodes := &ledger.Traffic{}, float64(r.now()-r.loadStart)/float64(policy.Second), float64(len(r.trafficBefore))
+	traffic := &ledger.Traffic{}
+	seconds := float64(r.now()-r.loadStart) / float64(policy.Second)
+	nodes := float64(len(r.trafficBefore))
 	for i, now := range r.trafficCounts() {
 		before := r.trafficBefore[i]
 		bytes := float64(now.SentBytes - before.SentBytes + now.StreamBytes - before.StreamBytes)
@@ -149,7 +163,8 @@
 	return traffic
 }
 
-// look asks a few nodes each second what part of their servers hearsay has closed. It explains a run and judges nothing.
+// pollViews asks five nodes each second what share of their servers reports of peers have closed. The largest share is
+// shown with the result and is not part of any rule.
 func (r *run) pollViews(ctx context.Context) {
 	if r.Scenario.Fleet == nil {
 		return
@@ -169,7 +184,7 @@
 			}
 			view, err := fleet.Ask(ctx, r.network.Place(node.networkSlot).Control)
 			if err != nil {
-				continue // it is down, or stopped
+				continue // the node is down or paused
 			}
 			closed := 0
 			for _, server := range view.Servers {
@@ -184,8 +199,8 @@
 	}
 }
 
-// Serve starts the fleet and the nodes without a load of its own, and keeps them until ctx is done. Servers take any
-// op. Ready is told the nodes' addresses.
+// Serve starts an experiment's servers and nodes without a load, and keeps them running until ctx is done. The servers
+// accept ops of any client. Once all nodes are ready, Serve calls ready with the addresses of the first tier's nodes.
 func Serve(ctx context.Context, options Options, ready func(nodes []string)) error {
 	r, err := startRun(ctx, options)
 	if err != nil {
@@ -208,11 +223,17 @@
 	}
 }
 
-// start brings everything up, or nothing.
+// startRun starts servers, registry and nodes. On an error everything that was started is stopped again.
 func startRun(ctx context.Context, options Options) (*run, error) {
-	r := &run{Options: options, clock: node.NewClock(), plan: options.Scenario.Plan(stream.New(options.Seed, "troubles")),
-		failed: make(chan error, 1), requests: make(map[ledger.TryID]opRequest), dedupMemories: make(scenario.Memories),
-		duplicates: make(map[int]*nodeProcess)}
+	r := &run{
+		Options:       options,
+		clock:         node.NewClock(),
+		plan:          options.Scenario.Plan(stream.New(options.Seed, "troubles")),
+		failed:        make(chan error, 1),
+		requests:      make(map[ledger.TryID]opRequest),
+		dedupMemories: make(scenario.Memories),
+		duplicates:    make(map[int]*nodeProcess),
+	}
 	r.ledger = ledger.New(options.Scenario, r.now(), BucketDuration, false)
 	var err error
 	if r.addresses, err = newAddressPool(); err != nil {
@@ -236,13 +257,20 @@
 	return r, nil
 }
 
+// startServers creates a stand-in server for each machine of the plan, and starts those that are up from the beginning.
 func (r *run) startServers(context.Context) error {
 	for i, machine := range r.plan.Machines {
-		standinServer := server.New(i, machine.Kind, machine.Traits(r.Scenario), r.addresses.nextAddr(), server.World{Account: r.ledger, Now: r.now,
-			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.findOp(id, q, machine) },
+		environment := server.World{
+			Account: r.ledger,
+			Now:     r.now,
+			Find: func(id string, request *http.Request) (ledger.TryID, *server.Op, bool) {
+				return r.findOp(id, request, machine)
+			},
 			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool {
 				return r.callNextTier(i, try, op, until)
-			}})
+			},
+		}
+		standinServer := server.New(i, machine.Kind, machine.Traits(r.Scenario), r.addresses.nextAddr(), environment)
 		r.servers = append(r.servers, standinServer)
 		if i < r.plan.Standing {
 			if err := standinServer.Up(false); err != nil {
@@ -253,6 +281,7 @@
 	return nil
 }
 
+// startRegistry starts a registry service for each tier, and prepares the node processes that subscribe to it.
 func (r *run) startRegistry(context.Context) error {
 	for tierIndex, tier := range r.Scenario.Tiers {
 		var standing []registry.Entry
@@ -261,8 +290,11 @@
 				standing = append(standing, machine.Entry(i))
 			}
 		}
-		serviceOptions := registry.Words{Zones: r.Scenario.Zones, Told: r.listRecorder(tierIndex),
-			Addr: func(i int) string { return r.servers[i].Addr() }}
+		serviceOptions := registry.Words{
+			Zones: r.Scenario.Zones,
+			Told:  r.listRecorder(tierIndex),
+			Addr:  func(i int) string { return r.servers[i].Addr() },
+		}
 		for _, machineType := range tier.Kinds {
 			serviceOptions.Kinds = append(serviceOptions.Kinds, machineType.Name)
 		}
@@ -281,22 +313,32 @@
 			if listen == "" || i > 0 {
 				listen = r.addresses.nextAddr()
 			}
-			r.nodes = append(r.nodes, &nodeProcess{Balancer: node, run: r, nodeIndex: i, endpoint: &endpoint{addr: listen}, networkSlot: i,
-				hasPeers: r.nodeHasPeers(node), registryAddr: addr, cachedList: serviceOptions.Line(1, standing, true)})
+			r.nodes = append(r.nodes, &nodeProcess{
+				Balancer:     node,
+				run:          r,
+				nodeIndex:    i,
+				endpoint:     &endpoint{addr: listen},
+				networkSlot:  i,
+				hasPeers:     r.nodeHasPeers(node),
+				registryAddr: addr,
+				cachedList:   serviceOptions.Line(1, standing, true),
+			})
 		}
 	}
 	return nil
 }
 
-// hears says whether a node hears the others: the first ones by number, where not all do.
+// nodeHasPeers reports whether a node exchanges peer messages. Where only a share of the nodes does, it is those with
+// the lowest numbers.
 func (r *run) nodeHasPeers(node scenario.Balancer) bool {
 	settings := r.Scenario.Fleet
 	return settings != nil && node.Tier == 0 && float64(node.Number) < settings.Share*float64(node.Of)
 }
 
+// toDuration converts policy time to a time.Duration.
 func toDuration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// told books what the registry has written to a node.
+// listRecorder returns the callback that records in the ledger which server states the registry has sent to a node.
 func (r *run) listRecorder(tier int) func(int, []registry.Entry, bool) {
 	return func(node int, entries []registry.Entry, full bool) {
 		listed := make(map[int]bool)
@@ -315,10 +357,11 @@
 	}
 }
 
+// startNodes starts all node processes, at most eight at once, and returns the first error by node index.
 func (r *run) startNodes(ctx context.Context) error {
 	errs := make([]error, len(r.nodes))
 	var starts sync.WaitGroup
-	slots := make(chan struct{}, 8) // processes that start at once
+	slots := make(chan struct{}, 8) // limits concurrent starts
 	for i, node := range r.nodes {
 		starts.Go(func() {
 			slots <- struct{}{}
@@ -335,7 +378,8 @@
 	return nil
 }
 
-// begins books what a process is told at its start: the list that it is given.
+// recordNodeStart records the server states that a starting node knows from its cached list. A duplicate process isn't
+// recorded.
 func (r *run) recordNodeStart(node *nodeProcess) {
 	if node.duplicate {
 		return
@@ -348,7 +392,7 @@
 	}
 }
 
-// stop ends every process and listener.
+// stop kills every process, closes every listener and removes the temporary directory.
 func (r *run) stop() {
 	var ends sync.WaitGroup
 	for _, node := range slices.Concat(r.nodes, slices.Collect(maps.Values(r.duplicates))) {
@@ -358,15 +402,15 @@
 			}
 		})
 	}
-	ends.Wait() // each has its own end
-	for _, s := range r.servers {
-		s.Down(false)
+	ends.Wait() // each kill has its own timeout
+	for _, server := range r.servers {
+		server.Down(false)
 	}
-	for _, s := range r.registries {
-		s.Close()
+	for _, service := range r.registries {
+		service.Close()
 	}
-	for _, l := range r.falseReporters {
-		l.Close()
+	for _, reporter := range r.falseReporters {
+		reporter.Close()
 	}
 	r.network.Close()
 	if r.timerLag != nil {
@@ -376,7 +420,8 @@
 	os.RemoveAll(r.dir)
 }
 
-// play lets the load and the troubles run.
+// runLoad runs the load and the disturbances, and waits until all clients and background steps have ended. It reports
+// whether ctx was done before the end.
 func (r *run) runLoad(ctx context.Context) (partial bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -408,22 +453,26 @@
 	partial = ctx.Err() != nil
 	cancel()
 	<-generated
-	return partial, errors.Join(err, waitFor(&clients, "clients", r.maxClientTime()), waitFor(&background, "troubles", r.maxClientTime()))
+	return partial, errors.Join(err, waitFor(&clients, "clients", r.maxClientTime()),
+		waitFor(&background, "disturbances", r.maxClientTime()))
 }
 
-// longest is how long a client, or a step of a trouble, may take that began now.
+// maxClientTime is the longest that a client or a step of a disturbance that starts now may take.
 func (r *run) maxClientTime() time.Duration {
 	var ttl policy.Micros
-	for _, c := range r.Scenario.Categories {
-		ttl = max(ttl, c.TTL.Micros())
+	for _, category := range r.Scenario.Categories {
+		ttl = max(ttl, category.TTL.Micros())
 	}
 	return toDuration(ttl)*time.Duration(1+r.Scenario.Load.Retries) + readyTimeout + exitTimeout + killTimeout
 }
 
-// await waits for all of a group, but no longer than that.
+// waitFor waits until the group is done, and returns an error that names it after the timeout.
 func waitFor(group *sync.WaitGroup, what string, timeout time.Duration) error {
 	done := make(chan struct{})
-	go func() { group.Wait(); close(done) }()
+	go func() {
+		group.Wait()
+		close(done)
+	}()
 	select {
 	case <-done:
 		return nil
@@ -432,7 +481,7 @@
 	}
 }
 
-// finish waits for the clients' last answers: each has its end.
+// waitForAnswers waits for the clients' last answers, which all have a deadline, and then for settleTime.
 func (r *run) waitForAnswers(ctx context.Context, clients *sync.WaitGroup) error {
 	done := make(chan error, 1)
 	go func() { done <- waitFor(clients, "clients", r.maxClientTime()) }()
@@ -453,7 +502,7 @@
 	return nil
 }
 
-// generate sends each op at its time, whatever became of those before.
+// generateLoad sends each op at its scheduled time, independent of the outcome of earlier ones (an open-loop load).
 func (r *run) generateLoad(ctx context.Context, clients *sync.WaitGroup) {
 	for i := range r.Arrivals {
 		arrival := &r.Arrivals[i]
@@ -472,6 +521,7 @@
 	}
 }
 
+// reportProgress calls OnSecond once a second until ctx is done.
 func (r *run) reportProgress(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -485,14 +535,14 @@
 	}
 }
 
-// remember keeps what a try asks for, so that the servers know it by its id.
+// registerTry records the request of a try, so that servers can look it up by its id.
 func (r *run) registerTry(try ledger.TryID, req opRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests[try] = req
 }
 
-// find is what a server knows of an op.
+// findOp looks up the op of a request that arrived at a server, by its transaction id.
 func (r *run) findOp(id string, request *http.Request, machine scenario.Machine) (ledger.TryID, *server.Op, bool) {
 	number, err := strconv.ParseInt(id, 16, 64)
 	try := ledger.TryID(number - 1)
@@ -505,8 +555,12 @@
 		}
 		return 0, nil, false
 	}
-	op := &server.Op{Key: strconv.Itoa(int(req.op)), Category: req.category, Work: req.arrival.Work[machine.Tier],
-		Lock: &r.dedupLock}
+	op := &server.Op{
+		Key:      strconv.Itoa(int(req.op)),
+		Category: req.category,
+		Work:     req.arrival.Work[machine.Tier],
+		Lock:     &r.dedupLock,
+	}
 	if machine.Tier+1 < len(r.Scenario.Tiers) {
 		op.Calls = req.arrival.Calls[machine.Tier]
 	}
@@ -514,12 +568,13 @@
 	return try, op, true
 }
 
-// memoryOf is that of a category's group, or nil. The lock is held.
+// dedupMemory returns the deduplication memory of a category at a machine, or nil. The caller holds r.mu.
 func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.Memory {
 	return r.dedupMemories.Of(r.Scenario, category, machine, r.ledger.Tolerance())
 }
 
-// call is a server's to the next tier, through its own node.
+// callNextTier sends the call of a server to the next tier through that server's own node, and reports whether it was
+// served.
 func (r *run) callNextTier(server int, try ledger.TryID, op *server.Op, until policy.Micros) bool {
 	r.mu.Lock()
 	req := r.requests[try]
@@ -532,14 +587,18 @@
 		if r.Scenario.Limits.PassTTL {
 			deadline = min(deadline, until)
 		}
-		req.op, req.tier, req.deadline, req.leavesAfter, req.clientRetry = r.ledger.Offer(r.now(), req.category, req.arrival.Tenant, node.Tier), node.Tier, deadline, 0, false
+		req.op = r.ledger.Offer(r.now(), req.category, req.arrival.Tenant, node.Tier)
+		req.tier = node.Tier
+		req.deadline = deadline
+		req.leavesAfter = 0
+		req.clientRetry = false
 		verdict, _ := r.sendTry(context.Background(), node.endpoint, node.nodeIndex, req)
 		return verdict == ledger.Served
 	}
 	return false
 }
 
-// readSamples books the throttles that the first node wrote down.
+// readThrottleSamples adds the throttle samples that the first node has written to the ledger.
 func (r *run) readThrottleSamples() {
 	file, err := os.Open(filepath.Join(r.dir, "throttles.jsonl"))
 	if errors.Is(err, os.ErrNotExist) {
@@ -552,7 +611,7 @@
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var sample labnode.ThrottleSample
-		if json.Unmarshal(lines.Bytes(), &sample) == nil { // the last line of a node that was killed may be half
+		if json.Unmarshal(lines.Bytes(), &sample) == nil { // the last line of a node that was killed may be incomplete
 			r.ledger.Sample(sample.At, ledger.Throttle{Server: sample.Server, Rate: sample.Rate, Cut: sample.CutoffLevel})
 		}
 	}
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -27,7 +27,7 @@
 	"canvasrouter/policy"
 )
 
-// The test's own program is the nodes.
+// nodeFaultEnv makes the test binary run as a node. Its value is "sound", followed by the name of an injected fault.
 const nodeFaultEnv = "CANVASLAB_TEST_NODE"
 
 func TestMain(m *testing.M) {
@@ -48,13 +48,13 @@
 
 func testOptions(t *testing.T, s *scenario.Scenario, fault string, length policy.Micros) Options {
 	t.Helper()
-	// env(1) sets the variable for this run's processes alone, so that runs can go side by side.
+	// env(1) sets the variable for the processes of this run only, so that runs can go in parallel.
 	return Options{Scenario: s, Seed: 1, LoadDuration: length, Arrivals: load.Make(s, length, 1),
 		Program: Program{Path: "/usr/bin/env", Args: []string{nodeFaultEnv + "=sound" + fault, os.Args[0]}, ExitsWithStdin: true}}
 }
 
-// The rules hold on sockets, and each one broken on purpose is seen. The runs are a few seconds; the whole experiments
-// are played by hand.
+// The rules hold on sockets, and the ledger finds each injected fault. The runs take a few seconds each; the experiments
+// at full length are not part of the tests.
 func TestRulesHoldAndInjectedFaultsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		fault, experiment string
@@ -88,7 +88,7 @@
 	}
 }
 
-// At a small size simulated time and sockets agree within 5% of served benefit, also where servers fail.
+// At a small size the served benefit on sockets and in simulated time differs by at most 0.05, also when servers fail.
 func TestServedBenefitAgreesWithSimulation(t *testing.T) {
 	for _, name := range []string{"steady", "sinkhole"} {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// A generator that falls behind says so, and the run is void. The ops here were to be sent before the load began.
+// A generator that falls behind makes the run void. Twenty ops are scheduled before the load begins, so they are late.
 func TestLateGeneratorVoidsRun(t *testing.T) {
 	s := readScenario(t, "steady")
 	o := testOptions(t, s, "", policy.Second)
@@ -121,7 +121,7 @@
 	}
 }
 
-// A node that can't start is one line; nothing is left running, which goleak and the address show.
+// A node that can't start yields an error of one line, and nothing is left running, which goleak checks.
 func TestNodeStartFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// A node that ends by itself in the middle ends the run with its last words.
+// A node that exits during the run ends the run with an error that has the last line of its log.
 func TestNodeExitEndsRun(t *testing.T) {
 	o := testOptions(t, readScenario(t, "steady"), "", 3*policy.Second)
 	o.Program.Args = []string{"sh", "-c", `exec 3<&0; "$0" <&3 & sleep 1; kill -9 $!; echo "fell over" >&2; exit 7`, os.Args[0]}
@@ -152,21 +152,26 @@
 	}
 }
 
-// shell starts a node through a shell, which runs script; $0 is the node, whose input ends with the shell's.
+// startThroughShell makes the run start nodes through a shell script. $0 is the node's program; its input ends when the
+// shell's does.
 func startThroughShell(t *testing.T, o *Options, script string) {
 	t.Setenv(nodeFaultEnv, "sound")
 	o.Program.Args = []string{"sh", "-c", "exec 3<&0; " + script, os.Args[0]}
 }
 
-// short makes the waits for processes short, for this test.
+// shortenTimeouts lowers the time limits for processes during this test.
 func shortenTimeouts(t *testing.T, timeout time.Duration) {
 	ready, exit := readyTimeout, exitTimeout
-	readyTimeout, exitTimeout = timeout, timeout
-	t.Cleanup(func() { readyTimeout, exitTimeout = ready, exit })
+	readyTimeout = timeout
+	exitTimeout = timeout
+	t.Cleanup(func() {
+		readyTimeout = ready
+		exitTimeout = exit
+	})
 }
 
-// Danger: a node's process that has started another, which holds its output open and waits for its input to end, was
-// waited for without an end when it was killed.
+// A killed process whose child holds its output open must not block the run. The child waits for its input to end, and
+// that input is closed only after the output; without a limit on reading the output the run never ended.
 func TestChildOfKilledNodeDoesNotBlock(t *testing.T) {
 	o := testOptions(t, readScenario(t, "steady"), "", 10*policy.Second)
 	startThroughShell(t, &o, `"$0" <&3 & wait`)
@@ -187,17 +192,18 @@
 			t.Errorf("got %+v", r)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatalf("a run that was interrupted has not ended after %v", time.Since(begun))
+		t.Fatalf("interrupted run has not ended after %v", time.Since(begun))
 	}
 }
 
-// A node that never gets ready, one that dies before, and one that ignores SIGTERM each end the run, which says so.
+// A node that never gets ready, one that exits before it is ready, and one that ignores SIGTERM each end the run with an
+// error that names the cause.
 func TestProcessTimeouts(t *testing.T) {
 	shortenTimeouts(t, 500*time.Millisecond)
 	for name, c := range map[string]struct{ experiment, script, want string }{
-		"gets ready":    {"steady", "exec sleep 30", "is not ready after 500ms"},
-		"lives to it":   {"steady", "echo no room >&2; exit 3", "did not start: no room"},
-		"heeds SIGTERM": {"node-restart", `trap "" TERM; "$0" <&3 & while kill -0 $!; do wait; done`, "did not end within 500ms after SIGTERM"},
+		"never ready":     {"steady", "exec sleep 30", "is not ready after 500ms"},
+		"exits early":     {"steady", "echo no room >&2; exit 3", "did not start: no room"},
+		"ignores SIGTERM": {"node-restart", `trap "" TERM; "$0" <&3 & while kill -0 $!; do wait; done`, "did not end within 500ms after SIGTERM"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := testOptions(t, readScenario(t, c.experiment), "", 6*policy.Second)
@@ -211,18 +217,19 @@
 	}
 }
 
-// A node that does not get ready says where its goroutines stand.
+// The error about a node that does not get ready contains the stacks of its goroutines.
 func TestStuckNodeDumpsGoroutines(t *testing.T) {
 	shortenTimeouts(t, time.Second)
 	o := testOptions(t, readScenario(t, "steady"), "", policy.Second)
-	startThroughShell(t, &o, `sed -i 's/"listen":"[^"]*"/"listen":"127.0.0.1:0"/' "$NODE_CONFIG"; exec "$0"`) // it listens where nobody asks
+	startThroughShell(t, &o, `sed -i 's/"listen":"[^"]*"/"listen":"127.0.0.1:0"/' "$NODE_CONFIG"; exec "$0"`) // it listens on another port than the one that is checked
 	_, _, err := Run(t.Context(), o)
 	if err == nil || !strings.Contains(err.Error(), "is not ready after 1s") || !strings.Contains(err.Error(), "clients.(*Server).Serve") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A node that is started anew at the very end of its process comes back, whoever sees that end first.
+// A node that is started again after its process exited, but before waitForExit has recorded the exit, comes up. It used
+// to stay down, since start took the process for a running one.
 func TestRestartBeforeExitIsRecorded(t *testing.T) {
 	r, err := startRun(t.Context(), testOptions(t, readScenario(t, "steady"), "", policy.Second))
 	if err != nil {
@@ -237,7 +244,7 @@
 		t.Fatal(err)
 	}
 	n.mu.Lock()
-	n.cmd = cmd // as long as await has not got the lock
+	n.cmd = cmd // as before waitForExit gets the lock
 	n.mu.Unlock()
 	if err := n.start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -249,7 +256,8 @@
 	response.Body.Close()
 }
 
-// A run that is cancelled while it starts leaves nothing running, and a stand-in whose address is taken says so.
+// A run that is cancelled while it starts ends soon and leaves nothing running. A stand-in server whose address is in use
+// returns an error that names it.
 func TestCancelDuringStart(t *testing.T) {
 	o := testOptions(t, readScenario(t, "steady"), "", policy.Second)
 	startThroughShell(t, &o, "exec sleep 30")
@@ -270,7 +278,7 @@
 	}
 }
 
-// A wait says what it waited for.
+// waitFor returns an error that names the group when the timeout passes, and none when the group is done.
 func TestWaitFor(t *testing.T) {
 	var group sync.WaitGroup
 	group.Add(1)
@@ -283,7 +291,7 @@
 	}
 }
 
-// An interrupted run gives what it has, and a fleet without a load serves anybody.
+// An interrupted run returns a partial result.
 func TestInterruptedRunIsPartial(t *testing.T) {
 	s := readScenario(t, "steady")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -295,6 +303,7 @@
 	}
 }
 
+// A fleet without a generated load serves ops of any client.
 func TestServe(t *testing.T) {
 	o := testOptions(t, readScenario(t, "steady"), "", 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -21,50 +21,51 @@
 	"canvasrouter/internal/lab/scenario"
 )
 
-// Program says how a node's process is started.
+// Program is the command that starts a node's process. NODE_CONFIG is added to its environment.
 type Program struct {
-	Path           string   // of the program
-	Args           []string // before which NODE_CONFIG is set
-	ExitsWithStdin bool     // it ends when its standard input does
+	Path           string // path of the executable
+	Args           []string
+	ExitsWithStdin bool // the program exits when its standard input is closed
 }
 
-// balancer is one node's process.
+// nodeProcess is the process of one node. It can be stopped and started again.
 type nodeProcess struct {
 	scenario.Balancer
 	run          *run
-	nodeIndex    int
+	nodeIndex    int // index in run.nodes; a duplicate has that of the node whose name it uses
 	endpoint     *endpoint
 	registryAddr string
-	networkSlot  int // its place among the rig's, once it has left its own
-	hasPeers     bool
-	duplicate    bool   // of its name: what it does is not booked
-	falseReport  string // what it tells the others of all servers, in place of what it sees
-	cachedList   []byte
-	mu           sync.Mutex
-	cmd          *exec.Cmd
-	stdin        io.WriteCloser // closed when we end, whatever way
-	exited       chan struct{}
-	expectedUp   bool // up
-	incarnation  int
+	networkSlot  int  // index of its addresses in the run's network; differs from nodeIndex once it has moved
+	hasPeers     bool // exchanges peer messages
+	duplicate    bool // a second process with the name of another node; the ledger doesn't record it
+	falseReport  string
+	cachedList   []byte         // the server list that its configuration contains; nil: none
+	mu           sync.Mutex     // guards the fields below
+	cmd          *exec.Cmd      // nil while no process runs
+	stdin        io.WriteCloser // closed when this program ends, however it ends
+	exited       chan struct{}  // closed when the process has exited
+	expectedUp   bool           // an exit is an error
+	incarnation  int            // number of starts
 	output       *logTail
 }
 
-// Each wait for a process has an end, also on a machine so busy that a second takes five.
+// Time limits for a process. They hold on a machine so busy that a second of work takes five.
 var (
 	readyTimeout = 20 * time.Second
-	exitTimeout  = 10 * time.Second // for a planned restart
-	killTimeout  = 10 * time.Second // for the end of a process that was killed
-	// outputWait ends the reading of a process's output once it has ended. Danger: a process that it has started may
-	// hold that output open and wait for the end of its own input, which only ends when this does.
+	exitTimeout  = 10 * time.Second // from SIGTERM to the exit, in a planned restart
+	killTimeout  = 10 * time.Second // from SIGKILL to the exit
+	// outputTimeout limits how long a process's output is read after its exit. A child of the process may hold the
+	// output open while it waits for the end of its own input, which is closed only after the output; without this
+	// limit each would wait for the other.
 	outputTimeout = time.Second
-	// tellWait is how long a process that does not get ready may take to tell where it stands.
+	// dumpTimeout limits how long a process that does not get ready may take to write its goroutine stacks.
 	dumpTimeout = 2 * time.Second
 )
 
-// mostTail is kept of a log: enough for where all of a node's goroutines stand.
+// maxTailBytes is how much of a log is kept: enough for the stacks of all goroutines of a node.
 const maxTailBytes = 64 << 10
 
-// tail keeps the last lines of a log.
+// logTail is a writer that keeps the last maxTailBytes of a log.
 type logTail struct {
 	mu      sync.Mutex
 	content []byte
@@ -80,7 +81,7 @@
 	return len(p), nil
 }
 
-// line is the last whole line.
+// lastLine returns the last line that is not empty.
 func (t *logTail) lastLine() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,36 +89,40 @@
 	return lines[len(lines)-1]
 }
 
-// start runs the process. It is ready when it answers.
-func (b *nodeProcess) start(ctx context.Context) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.cmd != nil {
+// start starts the process and waits until its readiness endpoint answers 200. It does nothing while one runs.
+func (p *nodeProcess) start(ctx context.Context) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd != nil {
 		select {
-		case <-b.exited: // Danger: whoever waited for its end may be here before await is, and the node would stay away
+		case <-p.exited: // waitForExit may not have cleared cmd yet; returning here would leave the node down
 		default:
 			return nil
 		}
 	}
-	b.incarnation++
-	b.run.recordNodeStart(b)
-	seed := stream.New(b.run.Seed, "node "+strconv.Itoa(b.nodeIndex)+" "+strconv.Itoa(b.incarnation)).Uint64()
-	file := filepath.Join(b.run.dir, fmt.Sprintf("node-%d-%d.json", b.nodeIndex, b.networkSlot))
-	config := b.run.Scenario.Config(b.Balancer, fmt.Sprintf("n%d", b.nodeIndex), b.endpoint.addr, b.registryAddr, seed, b.cachedList, b.fleetConfig())
-	if b.run.LogDir != "" { // then its environment says
+	p.incarnation++
+	p.run.recordNodeStart(p)
+	seed := stream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.incarnation)).Uint64()
+	file := filepath.Join(p.run.dir, fmt.Sprintf("node-%d-%d.json", p.nodeIndex, p.networkSlot))
+	config := p.run.Scenario.Config(p.Balancer, fmt.Sprintf("n%d", p.nodeIndex), p.endpoint.addr, p.registryAddr, seed,
+		p.cachedList, p.fleetConfig())
+	if p.run.LogDir != "" { // NODE_LOG_LEVEL in its environment sets the level instead
 		config = bytes.Replace(config, []byte(`"log_level":"warn",`), nil, 1)
 	}
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return err
 	}
-	program := b.run.Program
+	program := p.run.Program
 	cmd := exec.Command(program.Path, program.Args...)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, labnode.ThrottleFileEnv+"="+b.throttleFile())
-	b.output = &logTail{}
-	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = b.output, b.output, outputTimeout
-	if b.run.LogDir != "" {
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, labnode.ThrottleFileEnv+"="+p.throttleFile())
+	p.output = &logTail{}
+	cmd.Stderr = p.output
+	cmd.Stdout = p.output
+	cmd.WaitDelay = outputTimeout
+	if p.run.LogDir != "" {
 		cmd.Env = append(cmd.Env, "NODE_LOG_LEVEL=info")
-		file, err := os.OpenFile(filepath.Join(b.run.LogDir, fmt.Sprintf("node-%d-%d.log", b.nodeIndex, b.networkSlot)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		path := filepath.Join(p.run.LogDir, fmt.Sprintf("node-%d-%d.log", p.nodeIndex, p.networkSlot))
+		file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
 		}
@@ -129,14 +134,17 @@
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("node %d: %w", b.nodeIndex, err)
+		return fmt.Errorf("node %d: %w", p.nodeIndex, err)
 	}
 	exited := make(chan struct{})
-	b.cmd, b.stdin, b.exited, b.expectedUp = cmd, stdin, exited, true
-	go b.waitForExit(cmd, exited)
+	p.cmd = cmd
+	p.stdin = stdin
+	p.exited = exited
+	p.expectedUp = true
+	go p.waitForExit(cmd, exited)
 	var lastErr error
 	for startedAt := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		response, err := readyClient.Get("http://" + b.endpoint.addr + "/-/ready")
+		response, err := readyClient.Get("http://" + p.endpoint.addr + "/-/ready")
 		if lastErr = err; err == nil {
 			response.Body.Close()
 			lastErr = errors.New(response.Status)
@@ -146,112 +154,119 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("node %d did not start: %s", b.nodeIndex, b.output.lastLine())
+			return fmt.Errorf("node %d did not start: %s", p.nodeIndex, p.output.lastLine())
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
 		}
 		if time.Since(startedAt) > readyTimeout {
-			return fmt.Errorf("node %d is not ready after %v: %v: %s", b.nodeIndex, readyTimeout, lastErr, b.diagnoseAndKill(cmd, exited))
+			return fmt.Errorf("node %d is not ready after %v: %v: %s", p.nodeIndex, readyTimeout, lastErr, p.diagnoseAndKill(cmd, exited))
 		}
 	}
 }
 
-// stands tells where a process stands that does not get ready, and ends it: its state for the kernel, and its goroutines.
-func (b *nodeProcess) diagnoseAndKill(cmd *exec.Cmd, exited <-chan struct{}) string {
+// diagnoseAndKill ends a process that does not get ready, and describes where it hangs: its state in the kernel and the
+// stacks of its goroutines. The caller holds p.mu.
+func (p *nodeProcess) diagnoseAndKill(cmd *exec.Cmd, exited <-chan struct{}) string {
 	var report []string
 	for _, file := range []string{"stat", "wchan", "syscall", "cmdline"} {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/%s", cmd.Process.Pid, file))
 		report = append(report, file+" "+strings.ReplaceAll(strings.TrimSpace(string(raw)), "\x00", " "))
 	}
-	b.expectedUp = false
-	cmd.Process.Signal(syscall.SIGQUIT) // Go's runtime then writes where all goroutines stand
+	p.expectedUp = false
+	cmd.Process.Signal(syscall.SIGQUIT) // the Go runtime then writes the stacks of all goroutines
 	select {
 	case <-exited:
 	case <-time.After(dumpTimeout):
 		report = append(report, "SIGQUIT did not end it")
 	}
-	b.output.mu.Lock()
-	defer b.output.mu.Unlock()
-	return strings.Join(report, "; ") + "; its log:\n" + string(b.output.content)
+	p.output.mu.Lock()
+	defer p.output.mu.Unlock()
+	return strings.Join(report, "; ") + "; its log:\n" + string(p.output.content)
 }
 
+// readyClient asks nodes whether they are ready.
 var readyClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// fleet is the node's key of that name, or nil where it hears nobody.
-func (b *nodeProcess) fleetConfig() any {
-	if !b.hasPeers {
+// fleetConfig returns the "fleet" section of the node's configuration, or nil if it exchanges no peer messages.
+func (p *nodeProcess) fleetConfig() any {
+	if !p.hasPeers {
 		return nil
 	}
-	slot := b.run.network.Place(b.networkSlot)
+	slot := p.run.network.Place(p.networkSlot)
 	join := []string{}
-	for i := range min(3, len(b.run.nodes)) { // the same few for all
-		join = append(join, b.run.network.Place(i).Advertise.String())
+	for i := range min(3, len(p.run.nodes)) { // every node joins through the same few
+		join = append(join, p.run.network.Place(i).Advertise.String())
+	}
+	return map[string]any{
+		"listen":    slot.Listen.String(),
+		"advertise": slot.Advertise.String(),
+		"join":      join,
+		"control":   slot.Control,
 	}
-	return map[string]any{"listen": slot.Listen.String(), "advertise": slot.Advertise.String(), "join": join, "control": slot.Control}
 }
 
-// stop stops the process where it stands, or lets it go on.
-func (b *nodeProcess) setPaused(paused bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.cmd == nil {
+// setPaused suspends the process with SIGSTOP, or resumes it with SIGCONT.
+func (p *nodeProcess) setPaused(paused bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
 		return
 	}
 	signal := syscall.SIGCONT
 	if paused {
 		signal = syscall.SIGSTOP
 	}
-	b.run.ledger.Paused(b.nodeIndex, paused, b.run.now())
-	b.cmd.Process.Signal(signal)
+	p.run.ledger.Paused(p.nodeIndex, paused, p.run.now())
+	p.cmd.Process.Signal(signal)
 }
 
-// await is the one place where a process is waited for.
-func (b *nodeProcess) waitForExit(cmd *exec.Cmd, exited chan struct{}) {
+// waitForExit waits for the process; nothing else calls cmd.Wait. An exit that is not expected ends the run.
+func (p *nodeProcess) waitForExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	close(exited)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.cmd != cmd {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd != cmd {
 		return
 	}
-	b.cmd = nil
-	if b.expectedUp {
-		b.expectedUp = false
-		b.run.fail(fmt.Errorf("node %d ended by itself: %v: %s", b.nodeIndex, err, b.output.lastLine()))
+	p.cmd = nil
+	if p.expectedUp {
+		p.expectedUp = false
+		p.run.fail(fmt.Errorf("node %d ended by itself: %v: %s", p.nodeIndex, err, p.output.lastLine()))
 	}
 }
 
-// kill ends the process without a word, and waits for its end.
-func (b *nodeProcess) kill() error {
-	b.mu.Lock()
-	cmd, exited, stdin := b.cmd, b.exited, b.stdin
-	b.expectedUp = false
-	b.mu.Unlock()
+// kill ends the process with SIGKILL and waits for its exit.
+func (p *nodeProcess) kill() error {
+	p.mu.Lock()
+	cmd, exited, stdin := p.cmd, p.exited, p.stdin
+	p.expectedUp = false
+	p.mu.Unlock()
 	var err error
 	if cmd != nil {
-		b.endpoint.killCount.Add(1)
-		if !b.duplicate {
-			b.run.ledger.Crashed(b.nodeIndex, b.run.now())
+		p.endpoint.killCount.Add(1)
+		if !p.duplicate {
+			p.run.ledger.Crashed(p.nodeIndex, p.run.now())
 		}
 		cmd.Process.Kill()
-		stdin.Close() // ends what the process has started, too
+		stdin.Close() // ends the children of the process too
 		select {
 		case <-exited:
 		case <-time.After(killTimeout):
-			err = fmt.Errorf("node %d, process %d, has not ended %v after it was killed", b.nodeIndex, cmd.Process.Pid, killTimeout)
+			err = fmt.Errorf("node %d, process %d, has not ended %v after it was killed", p.nodeIndex, cmd.Process.Pid, killTimeout)
 		}
 	}
-	b.endpoint.closeIdle(b.run.ledger)
+	p.endpoint.closeIdle(p.run.ledger)
 	return err
 }
 
-// restart is a planned one: SIGTERM, and a new process when the old one has ended.
-func (b *nodeProcess) restart(ctx context.Context) error {
-	b.mu.Lock()
-	cmd, exited := b.cmd, b.exited
-	b.expectedUp = false
-	b.mu.Unlock()
+// restart does a planned restart: it sends SIGTERM, and starts a new process when the old one has exited.
+func (p *nodeProcess) restart(ctx context.Context) error {
+	p.mu.Lock()
+	cmd, exited := p.cmd, p.exited
+	p.expectedUp = false
+	p.mu.Unlock()
 	if cmd == nil {
 		return nil
 	}
@@ -259,20 +274,22 @@
 	select {
 	case <-exited:
 	case <-time.After(exitTimeout):
-		return errors.Join(fmt.Errorf("node %d did not end within %v after SIGTERM: %s", b.nodeIndex, exitTimeout, b.output.lastLine()), b.kill())
+		return errors.Join(
+			fmt.Errorf("node %d did not end within %v after SIGTERM: %s", p.nodeIndex, exitTimeout, p.output.lastLine()),
+			p.kill())
 	case <-ctx.Done():
 		return nil
 	}
 	if code := cmd.ProcessState.ExitCode(); code != 0 {
-		return fmt.Errorf("node %d ended with %d after SIGTERM: %s", b.nodeIndex, code, b.output.lastLine())
+		return fmt.Errorf("node %d ended with %d after SIGTERM: %s", p.nodeIndex, code, p.output.lastLine())
 	}
-	return b.start(ctx)
+	return p.start(ctx)
 }
 
-// samples is the file that the first node writes its throttles to.
-func (b *nodeProcess) throttleFile() string {
-	if b.nodeIndex != 0 {
+// throttleFile is the path of the file that the first node writes its throttle samples to; "" for other nodes.
+func (p *nodeProcess) throttleFile() string {
+	if p.nodeIndex != 0 {
 		return ""
 	}
-	return filepath.Join(b.run.dir, "throttles.jsonl")
+	return filepath.Join(p.run.dir, "throttles.jsonl")
 }
--- a/internal/lab/live/process_faults_test.go
+++ b/internal/lab/live/process_faults_test.go
@@ -10,7 +10,8 @@
 	"canvasrouter/policy"
 )
 
-// sound plays until the rig itself was in time. Danger: a machine too busy would look like a node at fault.
+// runUntilValid repeats a run, at most six times, until it is not void. On a machine that is too busy the harness itself
+// is late, which looks like a fault of a node.
 func runUntilValid(t *testing.T, o Options) *ledger.Result {
 	t.Helper()
 	for range 6 {
@@ -23,14 +24,15 @@
 		}
 		t.Log(r.Void)
 	}
-	t.Fatal("six runs were void")
+	t.Fatal("all six runs were void")
 	return nil
 }
 
 const second = scenario.Span(policy.Second)
 
-// Processes that are stopped and go on, die and come back with no list, or at another address, and second ones under a
-// name, with the ways between them cut: the rules hold at each node, and what a stopped one could not answer is its own.
+// The rules hold at each node while processes are paused and resumed, crash and come back without a cached list or at
+// another address, have duplicates under their name, and are partitioned from each other. Ops that a paused process could
+// not answer are counted as lost to the pause.
 func TestProcessFaults(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, "fleet-pause")
@@ -41,20 +43,20 @@
 		{Kind: "node-empty", At: second, For: second, Count: 1, Tier: "front"},
 		{Kind: "node-move", At: 2 * second, For: second / 2, Count: 1, Tier: "front"},
 		{Kind: "node-twin", At: second / 2, For: 3 * second, Count: 2, Tier: "front"},
-		{Kind: "liar-down", At: second / 2, Tier: "front"}, // one that says otherwise of every server: a drain stays one
+		{Kind: "liar-down", At: second / 2, Tier: "front"}, // false reports on every server must not end a drain
 		{Kind: "liar-well", At: second / 2, Tier: "front"},
 		{Kind: "drain", At: second * 3 / 2, For: second, Count: 1, Tier: "front"},
 	}
 	s.Between = []scenario.Between{{Kind: "groups", At: second, For: 2 * second, Parts: []int{1, 2}}}
 	r := runUntilValid(t, testOptions(t, s, "", 5*policy.Second))
 	if len(r.BrokenRules) > 0 || r.LostToPause == 0 || r.LostToCrash == 0 || r.Served < r.Ops*2/3 {
-		t.Errorf("broken %v, lost to a pause %d and to deaths %d, served %d of %d: %s", r.BrokenRules, r.LostToPause, r.LostToCrash,
+		t.Errorf("broken %v, lost to pauses %d and to crashes %d, served %d of %d: %s", r.BrokenRules, r.LostToPause, r.LostToCrash,
 			r.Served, r.Ops, strings.Join(r.Breaches, "; "))
 	}
 }
 
-// Cold servers under the sum of what 5, 20 and 30 processes send, thin and uneven, under a burst, while nodes are restarted:
-// within their budget and what is put down to chance. Nodes that send a cold server all they have are seen.
+// The total load that 5, 20 or 30 processes send to cold servers stays within the servers' budget plus the allowance for
+// chance, with low and uneven traffic, a burst and node restarts. Nodes that send a cold server all their load are found.
 func TestColdFleet(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
@@ -63,9 +65,9 @@
 		s := readScenario(t, "cold-fleet")
 		s.Tiers[0].Nodes = c.nodes
 		r := runUntilValid(t, testOptions(t, s, c.fault, 7*policy.Second))
-		t.Logf("%d nodes %s: fullest window %.2f, %d fell over, served %d of %d", c.nodes, c.fault, r.ColdFullest, r.TippedOver, r.Served, r.Ops)
-		if fell := r.ColdFullest > 1; fell != (c.fault != "") || r.ColdFullest < 0.1 {
-			t.Errorf("%d nodes %s: fullest window at a cold server %.2f of what it bears", c.nodes, c.fault, r.ColdFullest)
+		t.Logf("%d nodes %s: fullest window %.2f, %d collapsed, served %d of %d", c.nodes, c.fault, r.ColdFullest, r.TippedOver, r.Served, r.Ops)
+		if overloaded := r.ColdFullest > 1; overloaded != (c.fault != "") || r.ColdFullest < 0.1 {
+			t.Errorf("%d nodes %s: fullest window at a cold server %.2f of its capacity", c.nodes, c.fault, r.ColdFullest)
 		}
 		if broken := strings.Join(r.BrokenRules, " "); broken != trial.Faults[c.fault] {
 			t.Errorf("%d nodes %s: broken %q: %v", c.nodes, c.fault, broken, r.Breaches)
@@ -73,7 +75,7 @@
 	}
 }
 
-// Servers that are bad for half of the nodes only leave the rules whole, and the other half's ops served.
+// The rules hold when servers don't answer half of the nodes, and those nodes repeat pushes at other servers.
 func TestPartialPushLoss(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, "fleet-partial")
