--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -36,7 +36,7 @@
 
 // Window holds the counts of all nodes in one span of time.
 type Window struct {
-	Start          time.Duration // since the first log line of the fleet
+	Start          time.Duration  // since the first log line of the fleet
 	Counts         map[string]int // events by their name in the table
 	PushesByServer map[string]int
 	DialsByServer  map[string]int // connections opened
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays experiments: it reads one, makes its load, runs it by one of the drivers and judges what came of
-// it.
+// Package lab runs experiments: it reads an experiment, generates or reads its load, runs it with one of the drivers, and
+// checks the result against what the experiment expects.
 package lab
 
 import (
@@ -20,24 +20,24 @@
 	"canvasrouter/policy"
 )
 
-// Choice is what of an experiment a run is free to choose.
+// RunOptions select an experiment and what differs from it in one run.
 type RunOptions struct {
-	Experiment     string // of an experiment that comes with the program, or a file
-	Short          bool
+	Experiment     string // name of a built-in experiment, or path of a file that ends in .toml
+	Short          bool   // use the experiment's short load
 	Seed           uint64
-	Driver         string // "": the experiment's
-	Policy         string
-	InjectedFault  string
-	NodeProgram    string // a node's program in place of this one's own; live only
-	TraceFile      string // of arrivals, in place of the experiment's load
-	ListenAddr     string // of the first node; live only
-	LogDir         string // a directory for the nodes' logs; live only
-	NodeCount      int    // of the first tier, in place of the experiment's; 0: those
-	NoPeerMessages bool   // nodes don't hear each other, whatever the experiment says
-	SelfPath       string // this program, which is a node with the argument "node"
+	Driver         string // "live" or "sim"; "": the experiment's
+	Policy         string // policy in place of the module; "": the module
+	InjectedFault  string // fault to inject, one of trial.Faults; "": none
+	NodeProgram    string // another program to run as nodes; "": SelfPath; live only
+	TraceFile      string // trace of arrivals in place of the experiment's load
+	ListenAddr     string // listen address of the first node; live only
+	LogDir         string // directory for the nodes' logs; live only
+	NodeCount      int    // nodes of the first tier; 0: the experiment's
+	NoPeerMessages bool   // nodes exchange no peer messages, whatever the experiment says
+	SelfPath       string // path of this program, which runs as a node when its first argument is "node"
 }
 
-// Find reads an experiment: a file, or one that comes with the program.
+// ReadExperiment reads an experiment: a file if the name ends in .toml, otherwise one of the built-in experiments.
 func ReadExperiment(builtin fs.FS, name string) (*scenario.Scenario, error) {
 	if strings.HasSuffix(name, ".toml") {
 		return scenario.Read(os.DirFS(filepath.Dir(name)), filepath.Base(name))
@@ -49,86 +49,86 @@
 	return s, err
 }
 
-// Command is how a run is made again.
-func (c *RunOptions) Command() string {
-	out := "canvaslab run " + c.Experiment
+// Command returns the command line that repeats the run.
+func (o *RunOptions) Command() string {
+	out := "canvaslab run " + o.Experiment
 	add := func(flag, value string) {
 		if value != "" {
 			out += " --" + flag + " " + value
 		}
 	}
-	if c.Short {
+	if o.Short {
 		out += " --short"
 	}
-	add("seed", fmt.Sprint(c.Seed))
-	add("driver", c.Driver)
-	add("policy", c.Policy)
-	add("break", c.InjectedFault)
-	add("node", c.NodeProgram)
-	add("trace", c.TraceFile)
-	if c.NodeCount > 0 {
-		add("nodes", fmt.Sprint(c.NodeCount))
+	add("seed", fmt.Sprint(o.Seed))
+	add("driver", o.Driver)
+	add("policy", o.Policy)
+	add("break", o.InjectedFault)
+	add("node", o.NodeProgram)
+	add("trace", o.TraceFile)
+	if o.NodeCount > 0 {
+		add("nodes", fmt.Sprint(o.NodeCount))
 	}
-	if c.NoPeerMessages {
+	if o.NoPeerMessages {
 		out += " --alone"
 	}
 	return out
 }
 
-// Arrivals are the load of a run.
-func (c *RunOptions) Arrivals(s *scenario.Scenario, duration policy.Micros) ([]load.Arrival, error) {
-	file := c.TraceFile
+// Arrivals returns the load of a run: the arrivals of a trace, or generated ones.
+func (o *RunOptions) Arrivals(experiment *scenario.Scenario, duration policy.Micros) ([]load.Arrival, error) {
+	file := o.TraceFile
 	if file == "" {
-		file = s.Load.Trace
+		file = experiment.Load.Trace
 	}
 	if file == "" {
-		return load.Make(s, duration, c.Seed), nil
+		return load.Make(experiment, duration, o.Seed), nil
 	}
 	raw, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer raw.Close()
-	return load.Read(raw, s, duration)
+	return load.Read(raw, experiment, duration)
 }
 
-// length is how long the load of a run lasts.
-func (c *RunOptions) loadDuration(s *scenario.Scenario) policy.Micros {
-	if c.Short {
-		return s.Short.Micros()
+// loadDuration is how long the load of a run lasts.
+func (o *RunOptions) loadDuration(experiment *scenario.Scenario) policy.Micros {
+	if o.Short {
+		return experiment.Short.Micros()
 	}
-	return s.Duration.Micros()
+	return experiment.Duration.Micros()
 }
 
-// program is a node's process.
-func (c *RunOptions) nodeProgram() live.Program {
-	if c.NodeProgram != "" {
-		return live.Program{Path: c.NodeProgram}
+// nodeProgram is the command that starts a node.
+func (o *RunOptions) nodeProgram() live.Program {
+	if o.NodeProgram != "" {
+		return live.Program{Path: o.NodeProgram}
 	}
 	args := []string{"node"}
-	if c.Policy != "" {
-		args = append(args, "--policy", c.Policy)
+	if o.Policy != "" {
+		args = append(args, "--policy", o.Policy)
 	}
-	if c.InjectedFault != "" {
-		args = append(args, "--break", c.InjectedFault)
+	if o.InjectedFault != "" {
+		args = append(args, "--break", o.InjectedFault)
 	}
-	return live.Program{Path: c.SelfPath, Args: args, ExitsWithStdin: true}
+	return live.Program{Path: o.SelfPath, Args: args, ExitsWithStdin: true}
 }
 
-// Tick is called about once a second of a run.
+// ProgressFunc is called about once a second of a run with the time since the load began.
 type ProgressFunc func(now policy.Micros, a *ledger.Account)
 
-// Play plays an experiment and judges it. When ctx is done before the end the result is partial, and nothing but the
-// rules is judged.
-func Run(ctx context.Context, s *scenario.Scenario, options RunOptions, onSecond ProgressFunc) (*ledger.Result, error) {
+// Run runs an experiment and checks its result. When ctx is done before the end, the result is partial and only the
+// rules are checked.
+func Run(ctx context.Context, experiment *scenario.Scenario, options RunOptions, onSecond ProgressFunc) (*ledger.Result, error) {
 	if options.NodeCount > 0 {
-		s.Tiers[0].Nodes = options.NodeCount
+		experiment.Tiers[0].Nodes = options.NodeCount
 	}
-	if options.NoPeerMessages && s.Fleet != nil {
-		s.Fleet = &scenario.Fleet{}
+	if options.NoPeerMessages && experiment.Fleet != nil {
+		experiment.Fleet = &scenario.Fleet{}
 	}
-	duration := options.loadDuration(s)
-	arrivals, err := options.Arrivals(s, duration)
+	duration := options.loadDuration(experiment)
+	arrivals, err := options.Arrivals(experiment, duration)
 	if err != nil {
 		return nil, err
 	}
@@ -137,54 +137,74 @@
 	}
 	driver := options.Driver
 	if driver == "" {
-		driver = s.Driver
+		driver = experiment.Driver
 	}
 	var result *ledger.Result
 	var runLedger *ledger.Account
 	switch driver {
 	case "sim":
 		if options.NodeProgram != "" {
-			return nil, errors.New("another program's nodes can't be played in simulated time")
+			return nil, errors.New("nodes of another program can't be played in simulated time")
 		}
-		result, runLedger, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: options.Policy, Fault: options.InjectedFault, Seed: options.Seed,
-			Length: duration, Arrivals: arrivals, Tick: onSecond})
+		result, runLedger, err = sim.Run(ctx, sim.Options{
+			Scenario: experiment,
+			Policy:   options.Policy,
+			Fault:    options.InjectedFault,
+			Seed:     options.Seed,
+			Length:   duration,
+			Arrivals: arrivals,
+			Tick:     onSecond,
+		})
 	case "live":
-		result, runLedger, err = live.Run(ctx, live.Options{Scenario: s, Program: options.nodeProgram(), Seed: options.Seed,
-			LoadDuration: duration, Arrivals: arrivals, ListenAddr: options.ListenAddr, LogDir: options.LogDir, OnSecond: onSecond})
+		result, runLedger, err = live.Run(ctx, live.Options{
+			Scenario:     experiment,
+			Program:      options.nodeProgram(),
+			Seed:         options.Seed,
+			LoadDuration: duration,
+			Arrivals:     arrivals,
+			ListenAddr:   options.ListenAddr,
+			LogDir:       options.LogDir,
+			OnSecond:     onSecond,
+		})
 	default:
 		err = fmt.Errorf("driver %q is not one of live, sim", driver)
 	}
 	if err != nil {
 		return nil, err
 	}
-	result.Name, result.Driver, result.Seed, result.Command = s.Name, driver, options.Seed, options.Command()
+	result.Name = experiment.Name
+	result.Driver = driver
+	result.Seed = options.Seed
+	result.Command = options.Command()
 	result.Policy = options.Policy
 	if result.Policy == "" {
 		result.Policy = trial.Module
 	}
-	options.checkResult(result, runLedger, s)
+	options.checkResult(result, runLedger, experiment)
 	return result, nil
 }
 
-// judge writes down what was not met. With a fault, all that is expected is that the ledger catches it.
-func (c *RunOptions) checkResult(result *ledger.Result, runLedger *ledger.Account, s *scenario.Scenario) {
+// checkResult adds the expectations that were not met to the result. With an injected fault the only expectation is that
+// the ledger finds it. A partial result is checked against the rules only.
+func (o *RunOptions) checkResult(result *ledger.Result, runLedger *ledger.Account, experiment *scenario.Scenario) {
 	switch {
-	case c.InjectedFault != "":
+	case o.InjectedFault != "":
 		result.Failures = []string{}
-		rule := trial.Faults[c.InjectedFault]
+		rule := trial.Faults[o.InjectedFault]
 		for _, broken := range result.BrokenRules {
 			if broken == rule {
 				return
 			}
 		}
-		result.Failures = append(result.Failures, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.InjectedFault, rule))
+		result.Failures = append(result.Failures,
+			fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", o.InjectedFault, rule))
 	case result.Partial:
-		*s = scenario.Scenario{Categories: s.Categories, Tenants: s.Tenants, Limits: s.Limits}
+		*experiment = scenario.Scenario{Categories: experiment.Categories, Tenants: experiment.Tenants, Limits: experiment.Limits}
 		result.Judge(runLedger)
 	default:
-		if c.Short || result.Policy != trial.Module {
-			// Bounds are for the whole load and the module; the rules hold always.
-			s.Expect = scenario.Expect{Broken: s.Expect.Broken}
+		if o.Short || result.Policy != trial.Module {
+			// The bounds apply to the full load and the module. The rules always apply.
+			experiment.Expect = scenario.Expect{Broken: experiment.Expect.Broken}
 		}
 		result.Judge(runLedger)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -31,8 +31,8 @@
 	return s
 }
 
-// What an experiment expects is judged for the whole load by the module, and the rules always. A report of several
-// results is one page that needs no other file.
+// The expectations of an experiment are checked for the full load with the module, and the rules in every run. A report
+// on several results is one page that needs no other file.
 func TestRunCheckAndReport(t *testing.T) {
 	s := readExperiment(t, "all-slow")
 	c := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
@@ -58,7 +58,7 @@
 	raw, _ := os.ReadFile(page)
 	for _, want := range []string{module.Command, "data:image/png;base64,", "<td>random", "Core time"} {
 		if !bytes.Contains(raw, []byte(want)) {
-			t.Errorf("the page has no %q", want)
+			t.Errorf("the page doesn't contain %q", want)
 		}
 	}
 	if bytes.Contains(raw, []byte(`src="http`)) || bytes.Contains(raw, []byte("<script")) {
@@ -67,15 +67,16 @@
 	plots, _ := filepath.Glob(filepath.Join(dir, "*.png"))
 	for _, p := range plots {
 		if head, _ := os.ReadFile(p); !bytes.HasPrefix(head, []byte("\x89PNG")) {
-			t.Errorf("%s is no PNG", p)
+			t.Errorf("%s is not a PNG file", p)
 		}
 	}
 	if len(plots) != 8 {
-		t.Errorf("%d plots", len(plots))
+		t.Errorf("%d plots, want 8", len(plots))
 	}
 }
 
-// A run that was cut short is marked, keeps its JSON and report, and is judged by the rules alone.
+// The result of a cancelled run is marked as partial, can be written as JSON and as a report, and is checked against the
+// rules only.
 func TestCancelledRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := readExperiment(t, "steady")
@@ -95,6 +96,7 @@
 	}
 }
 
+// Invalid options and unknown names return an error that names them.
 func TestInvalidOptions(t *testing.T) {
 	s := readExperiment(t, "steady")
 	for want, c := range map[string]RunOptions{
@@ -117,7 +119,7 @@
 	}
 }
 
-// Real traffic that passes through is written down, and the trace can be played.
+// RecordTrace records the ops of known categories that pass through, and the trace can be read again.
 func TestRecordTrace(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "fine") }))
 	defer backend.Close()
@@ -144,7 +146,7 @@
 		request.Header.Set("X-Org", "chenku")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			time.Sleep(5 * time.Millisecond) // not up yet
+			time.Sleep(5 * time.Millisecond) // the proxy doesn't listen yet
 			continue
 		}
 		response.Body.Close()
@@ -152,7 +154,7 @@
 	}
 	cancel()
 	if n := <-done; n != 2 {
-		t.Errorf("%d arrivals recorded", n)
+		t.Errorf("%d arrivals recorded, want 2", n)
 	}
 	arrivals, err := load.Read(bytes.NewReader(file.Bytes()), s, 10*policy.Second)
 	if err != nil || len(arrivals) != 2 || arrivals[1].Category != 1 || arrivals[1].Tenant != 1 {
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -17,9 +17,10 @@
 	"canvasrouter/policy"
 )
 
-// Record passes traffic on to a node and writes down when each op of a known category came, until ctx is done. Only
-// times, categories and tenants are kept, no header and no body. It gives the number of arrivals.
-func RecordTrace(ctx context.Context, s *scenario.Scenario, listen, target string, out io.Writer) (int, error) {
+// RecordTrace is a reverse proxy in front of a node that records when each op of a known category arrives. It runs until
+// ctx is done, then writes the trace and returns the number of arrivals. The trace contains times, categories and tenants,
+// but no headers or bodies.
+func RecordTrace(ctx context.Context, experiment *scenario.Scenario, listen, target string, out io.Writer) (int, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return 0, err
@@ -29,14 +30,14 @@
 	startedAt := time.Now()
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: target})
 	proxy.ErrorLog = log.New(io.Discard, "", 0)
-	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if arrival, ok := requestArrival(s, r); ok {
+	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if arrival, ok := requestArrival(experiment, r); ok {
 			mu.Lock()
 			arrival.At = policy.Micros(time.Since(startedAt).Microseconds())
 			arrivals = append(arrivals, arrival)
 			mu.Unlock()
 		}
-		proxy.ServeHTTP(out, r)
+		proxy.ServeHTTP(w, r)
 	})}
 	stopClosing := context.AfterFunc(ctx, func() { server.Close() })
 	defer stopClosing()
@@ -48,22 +49,24 @@
 	return len(arrivals), load.Write(out, arrivals)
 }
 
-func requestArrival(s *scenario.Scenario, r *http.Request) (arrival load.Arrival, ok bool) {
-	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+// requestArrival turns a request into an arrival with the mean work of its category. It reports false if the path is of
+// no known category.
+func requestArrival(experiment *scenario.Scenario, request *http.Request) (arrival load.Arrival, ok bool) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	arrival.Tenant = -1
-	for i, t := range s.Tenants {
-		if t.Name == r.Header.Get("X-Org") {
+	for i, tenant := range experiment.Tenants {
+		if tenant.Name == request.Header.Get("X-Org") {
 			arrival.Tenant = i
 		}
 	}
-	for i, c := range s.Categories {
-		if c.Name != name {
+	for i, category := range experiment.Categories {
+		if category.Name != name {
 			continue
 		}
 		arrival.Category = i
-		for _, t := range s.Tiers {
-			arrival.Work = append(arrival.Work, c.Work.Micros())
-			arrival.Calls = append(arrival.Calls, int(t.Calls+0.5))
+		for _, tier := range experiment.Tiers {
+			arrival.Work = append(arrival.Work, category.Work.Micros())
+			arrival.Calls = append(arrival.Calls, int(tier.Calls+0.5))
 		}
 		return arrival, true
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what an experiment came to as one self-contained page, with its plots also as PNG files.
+// Package report writes the result of an experiment as one self-contained HTML page, and its plots also as PNG files.
 package report
 
 import (
@@ -26,14 +26,14 @@
 //go:embed page.html
 var pageTemplate string
 
-// figure is one plot as the page shows it.
+// figure is one plot of the page.
 type figure struct {
 	Title, File string
-	Data        template.URL
+	Data        template.URL // the PNG as a data URL
 }
 
-// Write writes index.html and the plots to a folder, which it makes, and gives the page's path. The first result is
-// the one that the page is about; the others are beside it for comparison.
+// Write creates the directory, writes index.html and the plots into it, and returns the path of the page. The page is
+// about the first result; the others are shown next to it for comparison.
 func Write(dir string, experiment *scenario.Scenario, results []*ledger.Result) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
@@ -47,8 +47,8 @@
 		return err
 	}
 	result := results[0]
-	for i, c := range experiment.Categories {
-		if err := addPlot("Ops of "+c.Name+" a second", fmt.Sprintf("ops-%d.png", i), opsPlot(result, experiment, i)); err != nil {
+	for i, category := range experiment.Categories {
+		if err := addPlot("Ops of "+category.Name+" a second", fmt.Sprintf("ops-%d.png", i), opsPlot(result, experiment, i)); err != nil {
 			return "", err
 		}
 	}
@@ -57,9 +57,9 @@
 		plot        *plot.Plot
 	}{
 		{"Latency from the intended send", "latency.png", latencyPlot(result, experiment)},
-		{"Core time whose answer reached nobody", "wasted.png", wastedWorkPlot(result, experiment)},
-		{"Rate that the throttles let pass at the cut, at node 0", "rate.png", throttlePlot(result, false)},
-		{"Cut of the throttles (level of benefit), at node 0", "cut.png", throttlePlot(result, true)},
+		{"Core time spent on answers that no client received", "wasted.png", wastedWorkPlot(result, experiment)},
+		{"Rate that the throttles admit at the cutoff level, at node 0", "rate.png", throttlePlot(result, false)},
+		{"Cutoff level of the throttles (benefit level), at node 0", "cut.png", throttlePlot(result, true)},
 		{"Served benefit over time, by policy", "policies.png", policiesPlot(results)},
 	} {
 		if err := addPlot(entry.title, entry.file, entry.plot); err != nil {
@@ -78,13 +78,20 @@
 	return path, os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-const width, height = 18 * vg.Centimeter, 6 * vg.Centimeter
+// Size of a plot.
+const (
+	width  = 18 * vg.Centimeter
+	height = 6 * vg.Centimeter
+)
 
+// renderPlot adds title, axes and legend to a plot, and writes it as a PNG file.
 func renderPlot(dir, title, file string, p *plot.Plot) (figure, error) {
-	p.Title.Text, p.X.Label.Text, p.X.Min = title, "seconds", 0
+	p.Title.Text = title
+	p.X.Label.Text = "seconds"
+	p.X.Min = 0
 	p.Y.Min = min(0, p.Y.Min)
 	p.Legend.Top = true
-	p.Y.Max += (p.Y.Max - p.Y.Min) / 2 // room for the legend above the curves
+	p.Y.Max += (p.Y.Max - p.Y.Min) / 2 // space for the legend above the curves
 	p.Add(plotter.NewGrid())
 	w, err := p.WriterTo(width, height, "png")
 	if err != nil {
@@ -100,88 +107,99 @@
 	return figure{title, file, template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(raw.Bytes()))}, nil
 }
 
-// line adds one curve; an empty one is left out.
+// addCurve adds a curve in the colour with this index. A curve without points is left out.
 func addCurve(p *plot.Plot, index int, name string, points plotter.XYs) {
 	if len(points) == 0 {
 		return
 	}
 	curve, err := plotter.NewLine(points)
 	if err != nil {
-		return // a point that is no number
+		return // a value is NaN or infinite
+	}
+	curve.LineStyle = draw.LineStyle{
+		Color:  plotutil.Color(index),
+		Width:  vg.Points(1.2),
+		Dashes: plotutil.Dashes(index / 7), // there are seven colours
 	}
-	curve.LineStyle = draw.LineStyle{Color: plotutil.Color(index), Width: vg.Points(1.2), Dashes: plotutil.Dashes(index / 7)}
 	p.Add(curve)
 	p.Legend.Add(name, curve)
 }
 
-// curve takes one figure of each bucket of a category, or of all with -1.
-func bucketValues(r *ledger.Result, category int, value func(*ledger.Bucket) float64) plotter.XYs {
+// bucketValues returns a value of each bucket of a category over time. With category -1 it sums the values of all
+// categories.
+func bucketValues(result *ledger.Result, category int, value func(*ledger.Bucket) float64) plotter.XYs {
 	var out plotter.XYs
-	for i := range r.Series {
-		b := &r.Series[i]
-		if category >= 0 && b.Category != category {
+	for i := range result.Series {
+		bucket := &result.Series[i]
+		if category >= 0 && bucket.Category != category {
 			continue
 		}
-		if n := len(out); n > 0 && out[n-1].X == b.AtMs/1000 {
-			out[n-1].Y += value(b)
+		if n := len(out); n > 0 && out[n-1].X == bucket.AtMs/1000 {
+			out[n-1].Y += value(bucket)
 			continue
 		}
-		out = append(out, plotter.XY{X: b.AtMs / 1000, Y: value(b)})
+		out = append(out, plotter.XY{X: bucket.AtMs / 1000, Y: value(bucket)})
 	}
 	return out
 }
 
-// perSecond is how many buckets make a second.
-func bucketsPerSecond(r *ledger.Result) float64 {
-	for i := range r.Series {
-		if r.Series[i].AtMs > 0 {
-			return 1000 / r.Series[i].AtMs
+// bucketsPerSecond returns how many buckets of the result make a second.
+func bucketsPerSecond(result *ledger.Result) float64 {
+	for i := range result.Series {
+		if result.Series[i].AtMs > 0 {
+			return 1000 / result.Series[i].AtMs
 		}
 	}
 	return 1
 }
 
-func opsPlot(r *ledger.Result, s *scenario.Scenario, category int) *plot.Plot {
-	p, scale := plot.New(), bucketsPerSecond(r)
-	for n, f := range []struct {
+// opsPlot shows the offered, served and nacked ops of a category per second.
+func opsPlot(result *ledger.Result, experiment *scenario.Scenario, category int) *plot.Plot {
+	p := plot.New()
+	scale := bucketsPerSecond(result)
+	for i, series := range []struct {
 		name  string
 		value func(*ledger.Bucket) float64
 	}{
-		{"offered", func(b *ledger.Bucket) float64 { return float64(b.Offered) * scale }},
-		{"served", func(b *ledger.Bucket) float64 { return float64(b.Served) * scale }},
-		{"nacked tries", func(b *ledger.Bucket) float64 { return float64(b.Nacked) * scale }},
+		{"offered", func(bucket *ledger.Bucket) float64 { return float64(bucket.Offered) * scale }},
+		{"served", func(bucket *ledger.Bucket) float64 { return float64(bucket.Served) * scale }},
+		{"nacked tries", func(bucket *ledger.Bucket) float64 { return float64(bucket.Nacked) * scale }},
 	} {
-		addCurve(p, n, f.name, bucketValues(r, category, f.value))
+		addCurve(p, i, series.name, bucketValues(result, category, series.value))
 	}
 	return p
 }
 
-func latencyPlot(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
+// latencyPlot shows the median and 99th percentile of the latency of each category.
+func latencyPlot(result *ledger.Result, experiment *scenario.Scenario) *plot.Plot {
 	p := plot.New()
 	p.Y.Label.Text = "ms"
-	for i, c := range s.Categories {
-		addCurve(p, 2*i, c.Name+" p50", bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.P50Ms }))
-		addCurve(p, 2*i+1, c.Name+" p99", bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.P99Ms }))
+	for i, category := range experiment.Categories {
+		addCurve(p, 2*i, category.Name+" p50", bucketValues(result, i, func(bucket *ledger.Bucket) float64 { return bucket.P50Ms }))
+		addCurve(p, 2*i+1, category.Name+" p99", bucketValues(result, i, func(bucket *ledger.Bucket) float64 { return bucket.P99Ms }))
 	}
 	return p
 }
 
-func wastedWorkPlot(r *ledger.Result, s *scenario.Scenario) *plot.Plot {
-	p, scale := plot.New(), bucketsPerSecond(r)
+// wastedWorkPlot shows the core time per second that served no client, for each category.
+func wastedWorkPlot(result *ledger.Result, experiment *scenario.Scenario) *plot.Plot {
+	p := plot.New()
+	scale := bucketsPerSecond(result)
 	p.Y.Label.Text = "ms a second"
-	for i, c := range s.Categories {
-		addCurve(p, i, c.Name, bucketValues(r, i, func(b *ledger.Bucket) float64 { return b.WastedMs * scale }))
+	for i, category := range experiment.Categories {
+		addCurve(p, i, category.Name, bucketValues(result, i, func(bucket *ledger.Bucket) float64 { return bucket.WastedMs * scale }))
 	}
 	return p
 }
 
-// mostCurves is how many servers one plot shows; the rest would hide them.
+// maxCurves is how many servers a throttle plot shows. More would hide each other.
 const maxCurves = 10
 
-func throttlePlot(r *ledger.Result, showCutoff bool) *plot.Plot {
+// throttlePlot shows the rate or the cutoff level of the throttles, for the servers with the most samples.
+func throttlePlot(result *ledger.Result, showCutoff bool) *plot.Plot {
 	p := plot.New()
 	servers := map[string]plotter.XYs{}
-	for _, t := range r.Throttles {
+	for _, t := range result.Throttles {
 		y := t.Rate
 		if showCutoff {
 			y = float64(t.Cut)
@@ -195,29 +213,33 @@
 	sort.Strings(names)
 	sort.SliceStable(names, func(i, j int) bool { return len(servers[names[i]]) > len(servers[names[j]]) })
 	for n, name := range names[:min(maxCurves, len(names))] {
-		if dots, err := plotter.NewScatter(servers[name]); err == nil { // a throttle acts for a while, and not between
+		if dots, err := plotter.NewScatter(servers[name]); err == nil { // points, since a throttle is active only part of the time
 			dots.GlyphStyle = draw.GlyphStyle{Color: plotutil.Color(n), Radius: vg.Points(1.5), Shape: draw.CircleGlyph{}}
 			p.Add(dots)
 			p.Legend.Add(name, dots)
 		}
 	}
 	if len(names) == 0 {
-		p.Legend.Add("no throttle acted")
-		p.X.Max, p.Y.Max = 1, 1
+		p.Legend.Add("no throttle was active")
+		p.X.Max = 1
+		p.Y.Max = 1
 		p.BackgroundColor = color.White
 	}
 	return p
 }
 
+// policiesPlot shows the served benefit of each policy over time. Of several results of a policy it takes the first.
 func policiesPlot(results []*ledger.Result) *plot.Plot {
 	p := plot.New()
 	names := []string{}
-	for n, r := range results {
-		if slices.Contains(names, r.Policy) {
+	for n, result := range results {
+		if slices.Contains(names, result.Policy) {
 			continue
 		}
-		names = append(names, r.Policy)
-		addCurve(p, n, r.Policy, bucketValues(r, -1, func(b *ledger.Bucket) float64 { return b.Benefit * bucketsPerSecond(r) }))
+		names = append(names, result.Policy)
+		addCurve(p, n, result.Policy, bucketValues(result, -1, func(bucket *ledger.Bucket) float64 {
+			return bucket.Benefit * bucketsPerSecond(result)
+		}))
 	}
 	return p
 }
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,9 +1,9 @@
-// Package lab holds the experiments that come with the program.
+// Package lab embeds the built-in experiments.
 package lab
 
 import "embed"
 
-// Files are the experiments, as NAME.toml.
+// Files contains each built-in experiment as NAME.toml.
 //
 //go:embed *.toml
 var Files embed.FS
