--- a/cmd/canvaslab/capacity.go
+++ b/cmd/canvaslab/capacity.go
@@ -7,12 +7,13 @@
 	"canvasrouter/internal/lab/scale"
 )
 
+// capacityCommand computes the capacity page from the records of the scale command.
 type capacityCommand struct {
 	Records string `help:"Directory of the records." default:"docs/capacity" placeholder:"DIR"`
-	Write   string `help:"Put the table into this page, between its marks." type:"existingfile" placeholder:"FILE"`
+	Write   string `help:"Write the table into this page, between its markers." type:"existingfile" placeholder:"FILE"`
 }
 
-// Run prints what the records come to. The exit code is 1 where a row passes its budget or was not measured.
+// Run prints the table or writes it into the page. The exit code is 1 if a row exceeds its budget or was not measured.
 func (c *capacityCommand) Run() error {
 	records, err := scale.All(c.Records)
 	if err != nil {
@@ -28,11 +29,11 @@
 		if err != nil {
 			return err
 		}
-		whole, err := scale.Replace(string(raw), text)
+		updated, err := scale.Replace(string(raw), text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Write, err)
 		}
-		if err := os.WriteFile(c.Write, []byte(whole), 0o644); err != nil {
+		if err := os.WriteFile(c.Write, []byte(updated), 0o644); err != nil {
 			return err
 		}
 	} else {
--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -16,15 +16,16 @@
 	"canvasrouter/internal/lab/trial"
 )
 
+// compareCommand compares two policies, node programs or experiment files on the same seeds.
 type compareCommand struct {
-	A          string `arg:"" help:"A policy, a node's program, or an experiment's file (other settings)."`
-	B          string `arg:"" help:"The other."`
-	Experiment string `name:"on" help:"The experiment, where A and B are no files of one." default:"overload"`
-	Runs       int    `help:"Seeds, each played with both." default:"5"`
+	A          string `arg:"" help:"A policy, a node program, or an experiment file with other settings."`
+	B          string `arg:"" help:"What A is compared with."`
+	Experiment string `name:"on" help:"The experiment, unless A or B is an experiment file." default:"overload"`
+	Runs       int    `help:"Number of seeds, each played with both." default:"5"`
 	runFlags   `embed:""`
 }
 
-// side makes one side's run out of its word.
+// optionsFor returns the options of a run for A or B.
 func (c *compareCommand) optionsFor(operand string, seed uint64) (lab.RunOptions, error) {
 	options := lab.RunOptions{Experiment: c.Experiment, Short: c.Short, Seed: seed, Driver: c.Driver, SelfPath: selfPath()}
 	switch {
@@ -41,11 +42,12 @@
 	return options, nil
 }
 
+// Run runs the pairs and prints the mean difference of each metric with its standard error.
 func (c *compareCommand) Run(ctx context.Context) error {
 	if c.Runs < 1 {
 		return fmt.Errorf("--runs %d is not above 0", c.Runs)
 	}
-	for _, operand := range []string{c.A, c.B} { // before the first run, and not between two
+	for _, operand := range []string{c.A, c.B} { // report a wrong operand before the first run
 		if _, err := c.optionsFor(operand, c.Seed); err != nil {
 			return err
 		}
@@ -53,7 +55,7 @@
 	var results [2][]*ledger.Result
 	for pair := range c.Runs {
 		order := []int{0, 1}
-		if pair%2 == 1 { // in turn, so that a machine that grows slower favours neither
+		if pair%2 == 1 { // alternate, so that a machine that becomes slower favours neither side
 			order = []int{1, 0}
 		}
 		for _, side := range order {
@@ -85,11 +87,12 @@
 	} {
 		var a, b, diff []float64
 		for pair := range results[0] {
-			a, b = append(a, metric.value(results[0][pair])), append(b, metric.value(results[1][pair]))
+			a = append(a, metric.value(results[0][pair]))
+			b = append(b, metric.value(results[1][pair]))
 			diff = append(diff, b[pair]-a[pair])
 		}
 		noise := "-"
-		if c.Runs > 1 { // standard error of the mean of the pairs' differences
+		if c.Runs > 1 { // the standard error of the mean difference of the pairs
 			noise = fmt.Sprintf("±%.4f", stat.StdDev(diff, nil)/math.Sqrt(float64(c.Runs)))
 		}
 		fmt.Printf("%-16s %10.4f %10.4f %+10.4f %10s\n", metric.name, stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil), noise)
@@ -98,13 +101,14 @@
 	return nil
 }
 
+// tableCommand prints a table of experiments by policies.
 type tableCommand struct {
 	Names    []string `arg:"" optional:"" help:"Experiments; all if left out."`
-	Runs     int      `help:"Seeds of each." default:"1"`
+	Runs     int      `help:"Number of seeds for each." default:"1"`
 	runFlags `embed:""`
 }
 
-// Run prints served benefit and broken rules of each experiment by each policy, on the same seeds.
+// Run prints the mean served benefit and the broken rules of each experiment with each policy, on the same seeds.
 func (t *tableCommand) Run(ctx context.Context) (err error) {
 	if len(t.Names) == 0 {
 		if t.Names, err = builtinExperiments(); err != nil {
@@ -115,20 +119,27 @@
 		strings.Repeat(" --- |", len(trial.Policies)))
 	for _, name := range t.Names {
 		row, driver := "", ""
-		for _, p := range trial.Policies {
-			served, broken := 0.0, map[string]bool{}
+		for _, policyName := range trial.Policies {
+			served := 0.0
+			broken := map[string]bool{}
 			for n := range t.Runs {
-				r, _, err := runExperiment(ctx, lab.RunOptions{Experiment: name, Short: t.Short, Seed: t.Seed + uint64(n), Driver: t.Driver,
-					Policy: p, SelfPath: selfPath()})
+				result, _, err := runExperiment(ctx, lab.RunOptions{
+					Experiment: name,
+					Short:      t.Short,
+					Seed:       t.Seed + uint64(n),
+					Driver:     t.Driver,
+					Policy:     policyName,
+					SelfPath:   selfPath(),
+				})
 				if err != nil {
 					return err
 				}
-				if r.Partial {
+				if result.Partial {
 					return fmt.Errorf("interrupted at %s", name)
 				}
-				driver = r.Driver
-				served += r.ServedBenefit / float64(t.Runs)
-				for _, rule := range r.BrokenRules {
+				driver = result.Driver
+				served += result.ServedBenefit / float64(t.Runs)
+				for _, rule := range result.BrokenRules {
 					broken[rule] = true
 				}
 			}
--- a/cmd/canvaslab/count.go
+++ b/cmd/canvaslab/count.go
@@ -9,13 +9,14 @@
 	"canvasrouter/internal/lab/fleetlog"
 )
 
+// countCommand counts events over the logs of all nodes of a fleet.
 type countCommand struct {
-	Dir            string        `arg:"" help:"A folder with a log file of each node, at level debug (NODE_LOG_LEVEL) for all that can be counted."`
-	WindowDuration time.Duration `name:"span" help:"Of a column." default:"2s"`
+	Dir            string        `arg:"" help:"A directory with a log file of each node. Only level debug (NODE_LOG_LEVEL) has all events."`
+	WindowDuration time.Duration `name:"span" help:"Length of the time window of a column." default:"2s"`
 	WarmUpTime     time.Duration `name:"warm" help:"A server that started less than this ago is cold." default:"8s"`
 }
 
-// Run counts over all nodes of a fleet.
+// Run reads all log files of the directory and prints the table of counts.
 func (c *countCommand) Run() error {
 	if c.WindowDuration <= 0 {
 		return fmt.Errorf("--span %v is not above 0", c.WindowDuration)
@@ -34,6 +35,7 @@
 	return counter.WriteTable(os.Stdout)
 }
 
+// readLogFile adds the log of one node to the counter.
 func readLogFile(counter *fleetlog.Counter, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -1,5 +1,5 @@
-// Command canvaslab tries nodes out: it starts a stand-in fleet that fails on purpose, offers a load, and judges from
-// outside what the nodes made of it.
+// Command canvaslab tests canvasrouter nodes. It starts a fleet of stand-in servers that fail on purpose, offers a load,
+// and checks from outside how the nodes handled it.
 package main
 
 import (
@@ -29,24 +29,25 @@
 	"canvasrouter/policy"
 )
 
+// commands are the subcommands of canvaslab.
 type commands struct {
-	List     listCommand     `cmd:"" help:"Show the experiments, or the kinds of trouble and faults."`
+	List     listCommand     `cmd:"" help:"Show the experiments, or the kinds of disturbances and faults."`
 	Run      runCommand      `cmd:"" help:"Play an experiment. The exit code is 1 if an expectation was not met."`
 	Compare  compareCommand  `cmd:"" help:"Play an experiment with A and B in turn, on the same seeds, and show the difference with its noise."`
 	Record   recordCommand   `cmd:"" help:"Write the arrivals of an experiment, or of real traffic that passes through, to a trace."`
-	Replay   replayCommand   `cmd:"" help:"Play an experiment's fleet and troubles with the arrivals of a trace."`
+	Replay   replayCommand   `cmd:"" help:"Play an experiment's fleet and disturbances with the arrivals of a trace."`
 	Up       upCommand       `cmd:"" help:"Start an experiment's fleet and nodes without a load, until interrupted."`
 	Table    tableCommand    `cmd:"" help:"Play experiments with the module and the baselines, and print a table in Markdown."`
 	Count    countCommand    `cmd:"" help:"Count over the logs of a whole fleet what all its nodes do together."`
-	Members  membersCommand  `cmd:"" help:"Start processes that hear each other, and measure how long they take to agree on who is there."`
-	Scale    scaleCommand    `cmd:"" help:"Measure what a part of the fleet costs at several sizes, and keep records for the page of capacity."`
-	Capacity capacityCommand `cmd:"" help:"Work the page of capacity out from the records."`
-	Versus   versusCommand   `cmd:"" help:"Compare the node's throughput and delay with net/http's reverse proxy, in one run."`
-	Proxy    proxyCommand    `cmd:"" hidden:"" help:"Be a plain reverse proxy."`
-	Node     nodeCommand     `cmd:"" hidden:"" help:"Be a node of the laboratory; NODE_CONFIG names its configuration."`
+	Members  membersCommand  `cmd:"" help:"Start processes that exchange peer messages, and measure how long they take to agree on the members."`
+	Scale    scaleCommand    `cmd:"" help:"Measure what a part of the fleet costs at several sizes, and keep records for the capacity page."`
+	Capacity capacityCommand `cmd:"" help:"Compute the capacity page from the records."`
+	Versus   versusCommand   `cmd:"" help:"Compare the node's throughput and latency with net/http's reverse proxy, in one run."`
+	Proxy    proxyCommand    `cmd:"" hidden:"" help:"Run as a plain reverse proxy."`
+	Node     nodeCommand     `cmd:"" hidden:"" help:"Run as a node of an experiment; NODE_CONFIG names its configuration file."`
 }
 
-// errNotMet says that an expectation was not met; what it was is printed already.
+// errNotMet means that an expectation was not met. The command has printed which one, so main only sets the exit code.
 var errNotMet = errors.New("an expectation was not met")
 
 func main() {
@@ -68,7 +69,7 @@
 	}
 }
 
-// self is this program, which the nodes are processes of.
+// selfPath is the path of this program, which is also the program of the nodes.
 func selfPath() string {
 	path, err := os.Executable()
 	if err != nil {
@@ -77,12 +78,14 @@
 	return path
 }
 
+// listCommand prints the built-in experiments, or the kinds of disturbances or faults.
 type listCommand struct {
-	Disturbances bool `name:"troubles" help:"The kinds of trouble."`
-	PeerFaults   bool `name:"between" help:"The kinds of fault between nodes."`
+	Disturbances bool `name:"troubles" help:"The kinds of disturbances."`
+	PeerFaults   bool `name:"between" help:"The kinds of faults between nodes."`
 	Faults       bool `help:"The faults for --break, and the rule that each breaks."`
 }
 
+// Run prints one line for each entry.
 func (l *listCommand) Run() error {
 	show := func(entries map[string]string) {
 		names := make([]string, 0, len(entries))
@@ -107,17 +110,17 @@
 			return err
 		}
 		for _, name := range all {
-			s, err := lab.ReadExperiment(experiments.Files, name)
+			experiment, err := lab.ReadExperiment(experiments.Files, name)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, s.Driver, s.Duration.Ms()/1000, s.About)
+			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, experiment.Driver, experiment.Duration.Ms()/1000, experiment.About)
 		}
 	}
 	return nil
 }
 
-// every gives the names of the experiments that come with the program.
+// builtinExperiments returns the names of the built-in experiments.
 func builtinExperiments() (names []string, err error) {
 	files, err := fs.Glob(experiments.Files, "*.toml")
 	for _, file := range files {
@@ -126,36 +129,52 @@
 	return names, err
 }
 
-// choice are the flags that runs share.
+// runFlags are the flags that all commands which run experiments have.
 type runFlags struct {
-	Short  bool   `help:"A load of a few seconds; only the rules are judged."`
-	Seed   uint64 `help:"Of all chance." default:"1"`
+	Short  bool   `help:"A load of a few seconds; only the rules are checked."`
+	Seed   uint64 `help:"Seed of all random numbers." default:"1"`
 	Driver string `help:"live (sockets) or sim (simulated time) in place of the experiment's own." enum:",live,sim" default:""`
 }
 
+// runCommand runs one experiment.
 type runCommand struct {
 	Name           string `arg:"" help:"An experiment of the list, or a file that ends in .toml."`
 	runFlags       `embed:""`
-	Policy         string `help:"In the module's place: random, round-robin or least-request, to compare." default:""`
+	Policy         string `help:"A baseline in place of the module: random, round-robin or least-request." default:""`
 	InjectedFault  string `name:"break" help:"Break a rule on purpose; the run succeeds if the ledger sees it." placeholder:"FAULT"`
-	Node           string `help:"Another program to be the nodes: another build." type:"existingfile" placeholder:"PATH"`
+	Node           string `help:"Another program to run as nodes, such as another build." type:"existingfile" placeholder:"PATH"`
 	Trace          string `help:"Arrivals in place of the experiment's load." type:"existingfile" placeholder:"FILE"`
 	JSON           string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
-	Report         string `help:"Write a page with plots, baselines beside it." placeholder:"DIR"`
+	Report         string `help:"Write a page with plots, and the baselines for comparison." placeholder:"DIR"`
 	NoBaselines    bool   `name:"bare" help:"Leave the baselines out of the report."`
 	Listen         string `help:"Address of the first node." placeholder:"ADDR"`
 	Logs           string `help:"Keep the nodes' logs here, at level info." type:"existingdir" placeholder:"DIR"`
 	Nodes          int    `help:"Nodes of the first tier in place of the experiment's." placeholder:"N"`
-	NoPeerMessages bool   `name:"alone" help:"Nodes don't hear each other, whatever the experiment says."`
+	NoPeerMessages bool   `name:"alone" help:"Nodes exchange no peer messages, whatever the experiment says."`
 }
 
+// options returns the options of the run that the flags ask for.
 func (r *runCommand) options() lab.RunOptions {
-	return lab.RunOptions{Experiment: r.Name, Short: r.Short, Seed: r.Seed, Driver: r.Driver, Policy: r.Policy, InjectedFault: r.InjectedFault,
-		NodeProgram: r.Node, TraceFile: r.Trace, ListenAddr: r.Listen, LogDir: r.Logs, NodeCount: r.Nodes, NoPeerMessages: r.NoPeerMessages, SelfPath: selfPath()}
+	return lab.RunOptions{
+		Experiment:     r.Name,
+		Short:          r.Short,
+		Seed:           r.Seed,
+		Driver:         r.Driver,
+		Policy:         r.Policy,
+		InjectedFault:  r.InjectedFault,
+		NodeProgram:    r.Node,
+		TraceFile:      r.Trace,
+		ListenAddr:     r.Listen,
+		LogDir:         r.Logs,
+		NodeCount:      r.Nodes,
+		NoPeerMessages: r.NoPeerMessages,
+		SelfPath:       selfPath(),
+	}
 }
 
+// Run runs the experiment, writes what the flags ask for, and prints a summary.
 func (r *runCommand) Run(ctx context.Context) error {
-	result, s, err := runExperiment(ctx, r.options())
+	result, experiment, err := runExperiment(ctx, r.options())
 	if err != nil {
 		return err
 	}
@@ -170,15 +189,15 @@
 			if r.NoBaselines || r.InjectedFault != "" || r.Node != "" || other == result.Policy || ctx.Err() != nil {
 				continue
 			}
-			c := r.options()
-			c.Policy = other
-			baseline, _, err := runExperiment(ctx, c)
+			options := r.options()
+			options.Policy = other
+			baseline, _, err := runExperiment(ctx, options)
 			if err != nil {
 				return err
 			}
 			all = append(all, baseline)
 		}
-		page, err := report.Write(r.Report, s, all)
+		page, err := report.Write(r.Report, experiment, all)
 		if err != nil {
 			return err
 		}
@@ -191,6 +210,7 @@
 	return nil
 }
 
+// writeJSON writes a result as indented JSON.
 func writeJSON(file string, result *ledger.Result) error {
 	raw, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
@@ -199,7 +219,8 @@
 	return os.WriteFile(file, append(raw, '\n'), 0o644)
 }
 
-// play reads and plays, with progress: one line that is written over on a terminal, one a second elsewhere.
+// runExperiment reads and runs an experiment, and returns its result and the experiment as it was read. Progress goes to
+// standard error once a second: on a terminal as one line that is overwritten, otherwise as a line each.
 func runExperiment(ctx context.Context, options lab.RunOptions) (*ledger.Result, *scenario.Scenario, error) {
 	s, err := lab.ReadExperiment(experiments.Files, options.Experiment)
 	if err != nil {
@@ -223,7 +244,7 @@
 	return result, &original, err
 }
 
-// summary prints what a run came to.
+// printSummary prints the most important figures of a result.
 func printSummary(w *os.File, r *ledger.Result) {
 	partial := ""
 	if r.Partial {
@@ -235,10 +256,10 @@
 	fmt.Fprintf(w, "  p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f pushes an op; wasted work %.3f\n", r.P50Ms, r.P99Ms,
 		r.P999Ms, r.PushesPerOp, r.Wasted)
 	if r.ColdFullest > 0 {
-		fmt.Fprintf(w, "  fullest window at a cold server: %.2f of its budget and chance; %d fell over\n", r.ColdFullest, r.TippedOver)
+		fmt.Fprintf(w, "  fullest window at a cold server: %.2f of its budget plus the allowance for chance; %d servers collapsed\n", r.ColdFullest, r.TippedOver)
 	}
 	if t := r.Between; t != nil {
-		fmt.Fprintf(w, "  between nodes: %.0f bytes and %.1f datagrams a node and second, the busiest node %.0f bytes; at most %.2f of a node's servers closed by hearsay; rig late %.1f ms\n",
+		fmt.Fprintf(w, "  between nodes: %.0f bytes and %.1f datagrams a node and second, the busiest node %.0f bytes; at most %.2f of a node's servers closed by reports of peers; harness late %.1f ms\n",
 			t.Bytes, t.Datagrams, t.MostBytes, t.Closed, r.RigLateMs)
 	}
 	if len(r.BrokenRules) == 0 {
@@ -256,18 +277,20 @@
 	for _, f := range r.Failures {
 		fmt.Fprintln(w, "  NOT MET:", f)
 	}
-	fmt.Fprintln(w, "  again:", r.Command)
+	fmt.Fprintln(w, "  to repeat:", r.Command)
 }
 
+// recordCommand writes a trace of generated or real arrivals.
 type recordCommand struct {
 	Name      string `arg:"" help:"The experiment whose load it is, or whose categories the traffic has."`
 	File      string `arg:"" help:"The trace to write."`
 	Short     bool   `help:"The short load."`
-	Seed      uint64 `help:"Of all chance." default:"1"`
-	Listen    string `help:"Take real traffic here and pass it on, recording its arrivals, until interrupted." placeholder:"ADDR"`
-	ForwardTo string `name:"to" help:"Where recorded traffic goes on to: a node's address." placeholder:"ADDR"`
+	Seed      uint64 `help:"Seed of all random numbers." default:"1"`
+	Listen    string `help:"Accept real traffic here, record its arrivals and pass it on, until interrupted." placeholder:"ADDR"`
+	ForwardTo string `name:"to" help:"Address of the node that recorded traffic is passed on to." placeholder:"ADDR"`
 }
 
+// Run writes the trace and prints how many arrivals it has.
 func (r *recordCommand) Run(ctx context.Context) error {
 	experiment, err := lab.ReadExperiment(experiments.Files, r.Name)
 	if err != nil {
@@ -283,7 +306,7 @@
 	defer file.Close()
 	count := 0
 	if r.Listen != "" {
-		fmt.Fprintf(os.Stderr, "recording what comes to %s and goes on to %s; interrupt to end\n", r.Listen, r.ForwardTo)
+		fmt.Fprintf(os.Stderr, "recording traffic from %s to %s; interrupt to end\n", r.Listen, r.ForwardTo)
 		count, err = lab.RecordTrace(ctx, experiment, r.Listen, r.ForwardTo, file)
 	} else {
 		length := experiment.Duration.Micros()
@@ -291,7 +314,8 @@
 			length = experiment.Short.Micros()
 		}
 		arrivals := load.Make(experiment, length, r.Seed)
-		count, err = len(arrivals), load.Write(file, arrivals)
+		count = len(arrivals)
+		err = load.Write(file, arrivals)
 	}
 	if err == nil {
 		err = file.Close()
@@ -303,23 +327,27 @@
 	return nil
 }
 
+// replayCommand runs an experiment with the arrivals of a trace.
 type replayCommand struct {
 	File       string `arg:"" type:"existingfile" help:"The trace."`
-	Experiment string `name:"on" help:"The experiment whose fleet and troubles it meets." default:"steady"`
+	Experiment string `name:"on" help:"The experiment whose fleet and disturbances are used." default:"steady"`
 	runFlags   `embed:""`
 	JSON       string `name:"json" help:"Write the result as JSON." placeholder:"FILE"`
 }
 
+// Run does the same as runCommand with a trace.
 func (r *replayCommand) Run(ctx context.Context) error {
 	run := runCommand{Name: r.Experiment, runFlags: r.runFlags, Trace: r.File, JSON: r.JSON}
 	return run.Run(ctx)
 }
 
+// upCommand starts a fleet without a load, for manual tests.
 type upCommand struct {
-	Name   string `arg:"" optional:"" help:"The experiment whose fleet it is." default:"steady"`
+	Name   string `arg:"" optional:"" help:"The experiment whose fleet is started." default:"steady"`
 	Listen string `help:"Address of the first node." default:"127.0.0.1:8081"`
 }
 
+// Run starts the fleet, prints how to send ops to it, and stops it when ctx is done.
 func (u *upCommand) Run(ctx context.Context) error {
 	experiment, err := lab.ReadExperiment(experiments.Files, u.Name)
 	if err != nil {
@@ -337,12 +365,13 @@
 	return err
 }
 
-// nodeCommand is a node of an experiment.
+// nodeCommand runs the process of a node. The live driver starts it.
 type nodeCommand struct {
 	Policy        string `default:""`
 	InjectedFault string `name:"break" default:""`
 }
 
+// Run exits with the code of the node.
 func (n *nodeCommand) Run() error {
 	os.Exit(labnode.Main(n.Policy, n.InjectedFault))
 	return nil
--- a/cmd/canvaslab/main_test.go
+++ b/cmd/canvaslab/main_test.go
@@ -14,7 +14,7 @@
 	"canvasrouter/internal/lab/ledger"
 )
 
-// asLab makes the test's own program canvaslab; its nodes are processes of the same.
+// runAsCanvaslabEnv makes the test binary run as canvaslab, also for the node processes that it starts.
 const runAsCanvaslabEnv = "CANVASLAB_TEST_AS_LAB"
 
 func TestMain(m *testing.M) {
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// canvaslab runs the program with arguments.
+// runCanvaslab runs canvaslab with arguments, and returns its output, its error output and its exit code.
 func runCanvaslab(t *testing.T, args ...string) (out, errors string, code int) {
 	t.Helper()
 	cmd := command(args...)
@@ -40,12 +40,15 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
+// command makes a command that runs the test binary as canvaslab.
 func command(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), runAsCanvaslabEnv+"=1")
 	return cmd
 }
 
+// Each command prints what it should and exits with 0, with 1 if an expectation was not met, or with 2 and one line about
+// the error.
 func TestCommandOutputAndExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	inDir := func(name string) string { return filepath.Join(dir, name) }
@@ -86,11 +89,11 @@
 	a, _ := os.ReadFile(inDir("a.json"))
 	b, _ := os.ReadFile(inDir("b.json"))
 	if len(a) == 0 || !bytes.Equal(a, b) {
-		t.Error("the same seed gave other bytes")
+		t.Error("two runs with the same seed gave different results")
 	}
 }
 
-// Ctrl-C leaves a readable partial result and report, and no process.
+// An interrupted run writes a partial result and a partial report.
 func TestInterruptLeavesPartialResult(t *testing.T) {
 	dir := t.TempDir()
 	resultFile := filepath.Join(dir, "r.json")
@@ -104,7 +107,7 @@
 	}
 	stop := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
 	defer stop.Stop()
-	progress.Read(make([]byte, 1)) // the first second is over
+	progress.Read(make([]byte, 1)) // until the first second has passed
 	cmd.Process.Signal(syscall.SIGINT)
 	cmd.Wait()
 	var r ledger.Result
@@ -114,6 +117,6 @@
 	}
 	page, _ := os.ReadFile(filepath.Join(dir, "report", "index.html"))
 	if !bytes.Contains(page, []byte("cut short")) {
-		t.Error("no partial report")
+		t.Error("the report doesn't say that the run was cut short")
 	}
 }
--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -14,19 +14,20 @@
 	experiments "canvasrouter/lab"
 )
 
+// membersCommand measures how long nodes take to agree on the members of the fleet.
 type membersCommand struct {
-	Nodes        []int         `help:"How many processes, one run each." default:"10,50"`
+	Nodes        []int         `help:"Numbers of processes, one run each." default:"10,50"`
 	Node         string        `help:"The node's program." type:"existingfile" placeholder:"PATH" required:""`
-	CutCount     int           `name:"cuts" help:"Cut and heal so often at the end of each run, and look for what is left over." default:"0"`
-	IdleDuration time.Duration `name:"calm" help:"How long bytes and CPU are counted while nothing happens." default:"10s"`
-	Seed         uint64        `help:"Of the relay's chance." default:"1"`
+	CutCount     int           `name:"cuts" help:"Number of short partitions at the end of each run, after which memory and descriptors are measured again." default:"0"`
+	IdleDuration time.Duration `name:"calm" help:"How long traffic and CPU time of the idle fleet are measured." default:"10s"`
+	Seed         uint64        `help:"Seed of the relay's random numbers." default:"1"`
 }
 
-// mostAgree ends a wait for agreement.
+// maxAgreementTime limits each wait for agreement.
 const maxAgreementTime = 90 * time.Second
 
-// Run starts processes that hear each other, without servers and clients, and measures how long they take to agree on who
-// is there, and what that costs.
+// Run starts processes that exchange peer messages, without servers and clients, and prints how long they take to agree
+// on the members, and the cost in traffic, CPU time, memory and descriptors.
 func (m *membersCommand) Run(ctx context.Context) error {
 	fmt.Println("| processes | joined | a tenth killed | one side, the other of a cut (a third) | healed | bytes, datagrams a node and s | CPU a node | MB, descriptors |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -41,6 +42,8 @@
 	return nil
 }
 
+// measure runs one fleet: it measures agreement after the start, after a tenth of the nodes is killed, and during and
+// after a partition that separates a third of the nodes.
 func (m *membersCommand) measure(ctx context.Context, nodes int) (err error) {
 	experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 	if err != nil {
@@ -58,26 +61,26 @@
 			return err
 		}
 	}
-	agree := func(places []int) time.Duration {
+	agree := func(members []int) time.Duration {
 		if err != nil {
 			return 0
 		}
 		var took time.Duration
-		took, err = processes.Agree(ctx, places, maxAgreementTime)
-		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(places), nodes, took.Round(10*time.Millisecond))
+		took, err = processes.Agree(ctx, members, maxAgreementTime)
+		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(members), nodes, took.Round(10*time.Millisecond))
 		return took.Round(10 * time.Millisecond)
 	}
 	joined := agree(all)
 	bytes, datagrams, cpu := m.measureIdle(ctx, processes, nodes)
 	killCount := max(1, nodes/10)
-	for _, place := range all[nodes-killCount:] {
-		if err := processes.Signal(place, syscall.SIGKILL); err != nil {
+	for _, node := range all[nodes-killCount:] {
+		if err := processes.Signal(node, syscall.SIGKILL); err != nil {
 			return err
 		}
 	}
 	killed := agree(all[:nodes-killCount])
-	for _, place := range all[nodes-killCount:] {
-		if err := processes.Start(place); err != nil {
+	for _, node := range all[nodes-killCount:] {
+		if err := processes.Start(node); err != nil {
 			return err
 		}
 	}
@@ -97,36 +100,45 @@
 	}
 	var maxMemory float64
 	maxDescriptors := 0
-	for _, place := range all {
-		_, memory, descriptors := processes.CPU(place)
-		maxMemory, maxDescriptors = max(maxMemory, memory), max(maxDescriptors, descriptors)
+	for _, node := range all {
+		_, memory, descriptors := processes.CPU(node)
+		maxMemory = max(maxMemory, memory)
+		maxDescriptors = max(maxDescriptors, descriptors)
 	}
-	fmt.Printf("| %d | %v | %v | %v, %v | %v | %.0f, %.1f | %.2f%% | %.1f, %d |\n", nodes, joined, killed, smallSide, largeSide, healed, bytes, datagrams, 100*cpu, maxMemory, maxDescriptors)
+	fmt.Printf("| %d | %v | %v | %v, %v | %v | %.0f, %.1f | %.2f%% | %.1f, %d |\n", nodes, joined, killed, smallSide, largeSide,
+		healed, bytes, datagrams, 100*cpu, maxMemory, maxDescriptors)
 	return m.repeatCuts(ctx, processes, all, separated, maxMemory, maxDescriptors)
 }
 
-// calm counts what is said, and the CPU used, while nothing happens: a node and second.
+// measureIdle returns the bytes, datagrams and CPU seconds that an idle fleet uses per node and second.
 func (m *membersCommand) measureIdle(ctx context.Context, processes *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
-	sum := func() (b, d, c float64) {
+	totals := func() (bytes, datagrams, cpu float64) {
 		for i := range nodes {
-			n := processes.Relay.Count(i)
+			traffic := processes.Relay.Count(i)
 			used, _, _ := processes.CPU(i)
-			b, d, c = b+float64(n.SentBytes+n.StreamBytes), d+float64(n.SentDatagrams), c+used
+			bytes += float64(traffic.SentBytes + traffic.StreamBytes)
+			datagrams += float64(traffic.SentDatagrams)
+			cpu += used
 		}
-		return b, d, c
+		return bytes, datagrams, cpu
 	}
-	b0, d0, c0 := sum()
+	bytesBefore, datagramsBefore, cpuBefore := totals()
 	select {
 	case <-time.After(m.IdleDuration):
 	case <-ctx.Done():
 	}
-	b1, d1, c1 := sum()
+	bytesAfter, datagramsAfter, cpuAfter := totals()
 	nodeSeconds := float64(nodes) * m.IdleDuration.Seconds()
-	return (b1 - b0) / nodeSeconds, (d1 - d0) / nodeSeconds, (c1 - c0) / nodeSeconds
+	bytes = (bytesAfter - bytesBefore) / nodeSeconds
+	datagrams = (datagramsAfter - datagramsBefore) / nodeSeconds
+	cpu = (cpuAfter - cpuBefore) / nodeSeconds
+	return bytes, datagrams, cpu
 }
 
-// cuts cuts and heals again and again, and says what is left over.
-func (m *membersCommand) repeatCuts(ctx context.Context, processes *together.Processes, all []int, separated func(int, int) relay.Way, memoryBefore float64, descriptorsBefore int) error {
+// repeatCuts partitions and heals the fleet many times, and prints memory and descriptors afterwards. More than before
+// indicates a leak.
+func (m *membersCommand) repeatCuts(ctx context.Context, processes *together.Processes, all []int,
+	separated func(int, int) relay.Way, memoryBefore float64, descriptorsBefore int) error {
 	if m.CutCount == 0 {
 		return nil
 	}
@@ -139,13 +151,15 @@
 	if _, err := processes.Agree(ctx, all, maxAgreementTime); err != nil {
 		return err
 	}
-	time.Sleep(3 * time.Second) // streams that were open have ended
+	time.Sleep(3 * time.Second) // until streams that were open have ended
 	var maxMemory float64
 	maxDescriptors := 0
-	for _, place := range all {
-		_, memory, descriptors := processes.CPU(place)
-		maxMemory, maxDescriptors = max(maxMemory, memory), max(maxDescriptors, descriptors)
+	for _, node := range all {
+		_, memory, descriptors := processes.CPU(node)
+		maxMemory = max(maxMemory, memory)
+		maxDescriptors = max(maxDescriptors, descriptors)
 	}
-	fmt.Printf("\nafter %d cuts of 0.4 s: %.1f MB and %d descriptors at the most (%.1f and %d before)\n", m.CutCount, maxMemory, maxDescriptors, memoryBefore, descriptorsBefore)
+	fmt.Printf("\nafter %d cuts of 0.4 s: %.1f MB and %d descriptors at the most (%.1f and %d before)\n", m.CutCount, maxMemory,
+		maxDescriptors, memoryBefore, descriptorsBefore)
 	return nil
 }
--- a/cmd/canvaslab/scale.go
+++ b/cmd/canvaslab/scale.go
@@ -14,32 +14,35 @@
 	experiments "canvasrouter/lab"
 )
 
+// scaleCommand measures the cost of one part of the fleet at several sizes.
 type scaleCommand struct {
 	Role            string        `arg:"" help:"What is measured: members, judgements, view, changes, list, start or path." enum:"members,judgements,view,changes,list,start,path"`
 	Nodes           []int         `help:"Sizes, one after another." default:"25,50,100"`
-	Runs            int           `name:"plays" help:"Plays of each size." default:"3"`
-	FirstRun        int           `name:"first" help:"Number of the first play: records keep one of each size and number." default:"1"`
-	Node            string        `help:"The node's program: then nodes are processes of it. Left out they are hollow, many in this process." type:"existingfile" placeholder:"PATH"`
+	Runs            int           `name:"plays" help:"Number of runs of each size." default:"3"`
+	FirstRun        int           `name:"first" help:"Number of the first run: records keep one run of each size and number." default:"1"`
+	Node            string        `help:"The program to run as nodes, one process each. Without it nodes are hollow: many run in this process." type:"existingfile" placeholder:"PATH"`
 	ServicesPerNode int           `name:"called" help:"Services that a node calls, of eight servers each." default:"5"`
-	PhaseDuration   time.Duration `name:"calm" help:"How long each phase is counted; calm of members a minute at the least." default:"10s"`
-	ClockSlowdown   int           `name:"slow" help:"All clocks of hollow nodes that hear each other, by this factor; figures are told for a second of that clock." default:"1"`
-	Seed            uint64        `help:"Of all chance." default:"1"`
+	PhaseDuration   time.Duration `name:"calm" help:"How long each phase is measured; the idle phase of members takes at least a minute." default:"10s"`
+	ClockSlowdown   int           `name:"slow" help:"Factor that slows all clocks of hollow nodes that exchange peer messages; figures are per second of the slowed clock." default:"1"`
+	Seed            uint64        `help:"Seed of all random numbers." default:"1"`
 	RecordDir       string        `name:"out" help:"Directory of the records." default:"docs/capacity" placeholder:"DIR"`
 }
 
-// most nodes of a kind: a few hundred processes, and a thousand hollow nodes in half of a machine's memory.
 const (
 	maxProcessNodes   = 300
-	maxInProcessNodes = 1000
-	// mostSlow keeps the relay's own waits, which are of real time, above those that are slowed.
+	maxInProcessNodes = 1000 // they take half of a machine's memory
+	// maxClockSlowdown keeps the relay's own delays, which are in real time, above the delays that are slowed.
 	maxClockSlowdown = 10
 )
 
-// Run plays each size, writes down what smaller ones predict before it, and keeps what was measured.
+// Run measures each size several times and saves each measurement to the record. Before a size is measured, Run saves
+// the values that the smaller sizes predict for it.
 func (s *scaleCommand) Run(ctx context.Context) error {
-	kind, maxNodes := scale.Hollow, maxInProcessNodes
+	kind := scale.Hollow
+	maxNodes := maxInProcessNodes
 	if s.Node != "" {
-		kind, maxNodes = scale.Real, maxProcessNodes
+		kind = scale.Real
+		maxNodes = maxProcessNodes
 	}
 	if s.Role == "path" {
 		maxNodes = 20
@@ -47,11 +50,13 @@
 	if err := scale.ParseSizes(s.Nodes, maxNodes); err != nil {
 		return err
 	}
-	if s.Runs < 1 || s.Runs > 10 || s.FirstRun < 1 || s.PhaseDuration < time.Second || s.PhaseDuration > time.Minute || s.ServicesPerNode < 1 {
+	if s.Runs < 1 || s.Runs > 10 || s.FirstRun < 1 || s.PhaseDuration < time.Second || s.PhaseDuration > time.Minute ||
+		s.ServicesPerNode < 1 {
 		return errors.New("--plays is from 1 to 10, --first and --called at least 1, --calm from 1s to 1m")
 	}
-	if slowable := s.Role == "members" || s.Role == "judgements" || s.Role == "view"; s.ClockSlowdown < 1 || s.ClockSlowdown > maxClockSlowdown || s.ClockSlowdown > 1 && (!slowable || kind == scale.Real) {
-		return fmt.Errorf("--slow is from 1 to %d, for hollow members, judgements and view alone", maxClockSlowdown)
+	slowable := s.Role == "members" || s.Role == "judgements" || s.Role == "view"
+	if s.ClockSlowdown < 1 || s.ClockSlowdown > maxClockSlowdown || s.ClockSlowdown > 1 && (!slowable || kind == scale.Real) {
+		return fmt.Errorf("--slow is from 1 to %d, and for hollow nodes with members, judgements or view only", maxClockSlowdown)
 	}
 	name := s.Role
 	if s.ServicesPerNode != 5 {
@@ -61,12 +66,13 @@
 	if err != nil {
 		return err
 	}
-	record.Command = "canvaslab scale " + strings.Join(strings.Fields(fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Runs, s.ServicesPerNode, s.PhaseDuration)), " ")
+	arguments := fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Runs, s.ServicesPerNode, s.PhaseDuration)
+	record.Command = "canvaslab scale " + strings.Join(strings.Fields(arguments), " ")
 	if kind == scale.Real {
 		record.Command += " --node bin/canvasrouter"
 	}
 	record.Cores = runtime.NumCPU()
-	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d plays each: %s\n", s.Role, kind, s.Nodes, s.Runs, scale.Bounds(kind, s.Nodes))
+	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d runs each: %s\n", s.Role, kind, s.Nodes, s.Runs, scale.Bounds(kind, s.Nodes))
 	for _, nodes := range s.Nodes {
 		if point := record.Predict(nodes); point != nil {
 			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, point.From, point.Values)
@@ -84,12 +90,13 @@
 			if err := record.Save(s.RecordDir); err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "%d nodes, play %d: %v %s\n", nodes, point.Play, point.Values, point.Void)
+			fmt.Fprintf(os.Stderr, "%d nodes, run %d: %v %s\n", nodes, point.Play, point.Values, point.Void)
 		}
 	}
 	return nil
 }
 
+// measure measures the role once at one size.
 func (s *scaleCommand) measure(ctx context.Context, nodes int, kind string, seed uint64) (point scale.Point, err error) {
 	progress := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	switch s.Role {
@@ -128,7 +135,7 @@
 	if s.Role == "judgements" {
 		inProcess, isInProcess := cluster.(*scale.HollowCluster)
 		if !isInProcess {
-			return point, errors.New("judgements are measured with hollow nodes: leave --node out")
+			return point, errors.New("judgements are measured with hollow nodes only: leave --node out")
 		}
 		return scale.Judgements(ctx, inProcess, s.PhaseDuration, progress)
 	}
