--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -85,17 +85,17 @@
 		{"wasted_work", func(r *ledger.Result) float64 { return r.Wasted }},
 		{"broken_rules", func(r *ledger.Result) float64 { return float64(len(r.BrokenRules)) }},
 	} {
-		var a, b, diff []float64
+		var a, b, differences []float64
 		for pair := range results[0] {
 			a = append(a, metric.value(results[0][pair]))
 			b = append(b, metric.value(results[1][pair]))
-			diff = append(diff, b[pair]-a[pair])
+			differences = append(differences, b[pair]-a[pair])
 		}
 		noise := "-"
 		if c.Runs > 1 { // the standard error of the mean difference of the pairs
-			noise = fmt.Sprintf("±%.4f", stat.StdDev(diff, nil)/math.Sqrt(float64(c.Runs)))
+			noise = fmt.Sprintf("±%.4f", stat.StdDev(differences, nil)/math.Sqrt(float64(c.Runs)))
 		}
-		fmt.Printf("%-16s %10.4f %10.4f %+10.4f %10s\n", metric.name, stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil), noise)
+		fmt.Printf("%-16s %10.4f %10.4f %+10.4f %10s\n", metric.name, stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(differences, nil), noise)
 	}
 	fmt.Printf("A %s, B %s; %d seeds from %d, each played with both in turn; noise is one standard error\n", c.A, c.B, c.Runs, c.Seed)
 	return nil
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -51,8 +51,8 @@
 var errNotMet = errors.New("an expectation was not met")
 
 func main() {
-	var c commands
-	parser := kong.Must(&c, kong.Name("canvaslab"), kong.UsageOnError(),
+	var parsedCommands commands
+	parser := kong.Must(&parsedCommands, kong.Name("canvaslab"), kong.UsageOnError(),
 		kong.Description("Stand-in fleets, load and experiments for canvasrouter nodes, on loopback."))
 	parsed, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
@@ -222,16 +222,16 @@
 // runExperiment reads and runs an experiment, and returns its result and the experiment as it was read. Progress goes to
 // standard error once a second: on a terminal as one line that is overwritten, otherwise as a line each.
 func runExperiment(ctx context.Context, options lab.RunOptions) (*ledger.Result, *scenario.Scenario, error) {
-	s, err := lab.ReadExperiment(experiments.Files, options.Experiment)
+	experiment, err := lab.ReadExperiment(experiments.Files, options.Experiment)
 	if err != nil {
 		return nil, nil, err
 	}
-	original := *s
+	original := *experiment
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	result, err := lab.Run(ctx, s, options, func(now policy.Micros, a *ledger.Account) {
-		p := a.Progress()
-		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", original.Name, float64(now)/1e6, p.Offered,
-			p.Served, p.Nacked, p.Open)
+	result, err := lab.Run(ctx, experiment, options, func(now policy.Micros, runLedger *ledger.Account) {
+		progress := runLedger.Progress()
+		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", original.Name, float64(now)/1e6, progress.Offered,
+			progress.Served, progress.Nacked, progress.Open)
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%s", line)
 		} else {
@@ -245,39 +245,40 @@
 }
 
 // printSummary prints the most important figures of a result.
-func printSummary(w *os.File, r *ledger.Result) {
+func printSummary(w *os.File, result *ledger.Result) {
 	partial := ""
-	if r.Partial {
+	if result.Partial {
 		partial = ", cut short: what follows is partial"
 	}
-	fmt.Fprintf(w, "%s, %s, %s, seed %d%s\n", r.Name, r.Policy, r.Driver, r.Seed, partial)
-	fmt.Fprintf(w, "  ops %d: served %d, nacked %d, dead-lettered %d, left %d; served benefit %.3f\n", r.Ops, r.Served,
-		r.Nacked, r.DeadLettered, r.Left, r.ServedBenefit)
-	fmt.Fprintf(w, "  p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f pushes an op; wasted work %.3f\n", r.P50Ms, r.P99Ms,
-		r.P999Ms, r.PushesPerOp, r.Wasted)
-	if r.ColdFullest > 0 {
-		fmt.Fprintf(w, "  fullest window at a cold server: %.2f of its budget plus the allowance for chance; %d servers collapsed\n", r.ColdFullest, r.TippedOver)
+	fmt.Fprintf(w, "%s, %s, %s, seed %d%s\n", result.Name, result.Policy, result.Driver, result.Seed, partial)
+	fmt.Fprintf(w, "  ops %d: served %d, nacked %d, dead-lettered %d, left %d; served benefit %.3f\n", result.Ops, result.Served,
+		result.Nacked, result.DeadLettered, result.Left, result.ServedBenefit)
+	fmt.Fprintf(w, "  p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f pushes an op; wasted work %.3f\n", result.P50Ms, result.P99Ms,
+		result.P999Ms, result.PushesPerOp, result.Wasted)
+	if result.ColdFullest > 0 {
+		fmt.Fprintf(w, "  highest load of a cold server in a window: %.2f of its budget plus the allowance for chance; %d servers collapsed\n",
+			result.ColdFullest, result.TippedOver)
 	}
-	if t := r.Between; t != nil {
+	if traffic := result.Between; traffic != nil {
 		fmt.Fprintf(w, "  between nodes: %.0f bytes and %.1f datagrams a node and second, the busiest node %.0f bytes; at most %.2f of a node's servers closed by reports of peers; harness late %.1f ms\n",
-			t.Bytes, t.Datagrams, t.MostBytes, t.Closed, r.RigLateMs)
+			traffic.Bytes, traffic.Datagrams, traffic.MostBytes, traffic.Closed, result.RigLateMs)
 	}
-	if len(r.BrokenRules) == 0 {
+	if len(result.BrokenRules) == 0 {
 		fmt.Fprintln(w, "  the four rules hold")
 	} else {
-		fmt.Fprintf(w, "  broken rules: %s\n", strings.Join(r.BrokenRules, ", "))
+		fmt.Fprintf(w, "  broken rules: %s\n", strings.Join(result.BrokenRules, ", "))
 	}
-	for i, breach := range r.Breaches {
+	for i, breach := range result.Breaches {
 		if i == 5 {
-			fmt.Fprintf(w, "    and %d more\n", len(r.Breaches)-i)
+			fmt.Fprintf(w, "    and %d more\n", len(result.Breaches)-i)
 			break
 		}
 		fmt.Fprintln(w, "   ", breach)
 	}
-	for _, f := range r.Failures {
-		fmt.Fprintln(w, "  NOT MET:", f)
+	for _, failure := range result.Failures {
+		fmt.Fprintln(w, "  NOT MET:", failure)
 	}
-	fmt.Fprintln(w, "  to repeat:", r.Command)
+	fmt.Fprintln(w, "  to repeat:", result.Command)
 }
 
 // recordCommand writes a trace of generated or real arrivals.
@@ -309,11 +310,11 @@
 		fmt.Fprintf(os.Stderr, "recording traffic from %s to %s; interrupt to end\n", r.Listen, r.ForwardTo)
 		count, err = lab.RecordTrace(ctx, experiment, r.Listen, r.ForwardTo, file)
 	} else {
-		length := experiment.Duration.Micros()
+		duration := experiment.Duration.Micros()
 		if r.Short {
-			length = experiment.Short.Micros()
+			duration = experiment.Short.Micros()
 		}
-		arrivals := load.Make(experiment, length, r.Seed)
+		arrivals := load.Make(experiment, duration, r.Seed)
 		count = len(arrivals)
 		err = load.Write(file, arrivals)
 	}
@@ -353,8 +354,13 @@
 	if err != nil {
 		return err
 	}
-	err = live.Serve(ctx, live.Options{Scenario: experiment, Program: live.Program{Path: selfPath(), Args: []string{"node"}, ExitsWithStdin: true},
-		Seed: 1, ListenAddr: u.Listen}, func(nodes []string) {
+	options := live.Options{
+		Scenario:   experiment,
+		Program:    live.Program{Path: selfPath(), Args: []string{"node"}, ExitsWithStdin: true},
+		Seed:       1,
+		ListenAddr: u.Listen,
+	}
+	err = live.Serve(ctx, options, func(nodes []string) {
 		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(experiment.Machines()))
 		for _, category := range experiment.Categories {
 			if category.Repeat == "redeliverable" {
--- a/cmd/canvaslab/main_test.go
+++ b/cmd/canvaslab/main_test.go
@@ -29,15 +29,16 @@
 func runCanvaslab(t *testing.T, args ...string) (out, errors string, code int) {
 	t.Helper()
 	cmd := command(args...)
-	var o, e bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &o, &e
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout = &stdout
+	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	stop := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
 	defer stop.Stop()
 	cmd.Wait()
-	return o.String(), e.String(), cmd.ProcessState.ExitCode()
+	return stdout.String(), stderr.String(), cmd.ProcessState.ExitCode()
 }
 
 // command makes a command that runs the test binary as canvaslab.
@@ -52,9 +53,9 @@
 func TestCommandOutputAndExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	inDir := func(name string) string { return filepath.Join(dir, name) }
-	bad := inDir("bad.toml")
-	os.WriteFile(bad, []byte("name = \"x\"\nspeed = 1\n"), 0o600)
-	for _, c := range []struct {
+	invalidExperiment := inDir("bad.toml")
+	os.WriteFile(invalidExperiment, []byte("name = \"x\"\nspeed = 1\n"), 0o600)
+	for _, test := range []struct {
 		args []string
 		code int
 		want string // in either output
@@ -68,7 +69,7 @@
 		{[]string{"run", "steady", "--driver", "sim", "--short", "--break", "drained-send"}, 1, "the ledger did not see it"},
 		{[]string{"run", "steady", "--driver", "sim", "--break", "rust"}, 2, `fault "rust" is not one of`},
 		{[]string{"run", "nothing"}, 2, `no experiment "nothing"`},
-		{[]string{"run", bad}, 2, "bad.toml: line 2, column 1: key speed: "},
+		{[]string{"run", invalidExperiment}, 2, "bad.toml: line 2, column 1: key speed: "},
 		{[]string{"run", "steady", "--driver", "sim", "--short", "--report", inDir("r")}, 0, "index.html"},
 		{[]string{"record", "steady", inDir("t.jsonl"), "--short"}, 0, "arrivals"},
 		{[]string{"record", "steady", inDir("u.jsonl"), "--listen", "127.0.0.1:1"}, 2, "--listen and --to go together"},
@@ -78,17 +79,17 @@
 		{[]string{"table", "steady", "sinkhole", "--driver", "sim", "--short"}, 0, "| sinkhole | sim |"},
 		{[]string{"run", "steady", "--short", "--node", "/bin/false"}, 2, "did not start"},
 	} {
-		out, errors, code := runCanvaslab(t, c.args...)
-		if code != c.code || !strings.Contains(out+errors, c.want) {
-			t.Errorf("%v: exit %d, %s%s", c.args, code, out, errors)
+		out, errors, code := runCanvaslab(t, test.args...)
+		if code != test.code || !strings.Contains(out+errors, test.want) {
+			t.Errorf("%v: exit %d, %s%s", test.args, code, out, errors)
 		}
 		if code == 2 && strings.Count(errors, "\n") != 1 {
-			t.Errorf("%v: not one line: %q", c.args, errors)
+			t.Errorf("%v: not one line: %q", test.args, errors)
 		}
 	}
-	a, _ := os.ReadFile(inDir("a.json"))
-	b, _ := os.ReadFile(inDir("b.json"))
-	if len(a) == 0 || !bytes.Equal(a, b) {
+	first, _ := os.ReadFile(inDir("a.json"))
+	second, _ := os.ReadFile(inDir("b.json"))
+	if len(first) == 0 || !bytes.Equal(first, second) {
 		t.Error("two runs with the same seed gave different results")
 	}
 }
@@ -110,10 +111,10 @@
 	progress.Read(make([]byte, 1)) // until the first second has passed
 	cmd.Process.Signal(syscall.SIGINT)
 	cmd.Wait()
-	var r ledger.Result
+	var result ledger.Result
 	raw, _ := os.ReadFile(resultFile)
-	if err := json.Unmarshal(raw, &r); err != nil || !r.Partial || r.Served == 0 || len(r.BrokenRules) > 0 {
-		t.Errorf("%v: %+v", err, r)
+	if err := json.Unmarshal(raw, &result); err != nil || !result.Partial || result.Served == 0 || len(result.BrokenRules) > 0 {
+		t.Errorf("%v: %+v", err, result)
 	}
 	page, _ := os.ReadFile(filepath.Join(dir, "report", "index.html"))
 	if !bytes.Contains(page, []byte("cut short")) {
--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -85,13 +85,15 @@
 		}
 	}
 	agree(all)
-	third := nodes / 3
-	separated := func(from, to int) relay.Way { return relay.Way{Cut: (from%nodes < third) != (to%nodes < third)} }
+	thirdOfNodes := nodes / 3
+	separated := func(from, to int) relay.Way {
+		return relay.Way{Cut: (from%nodes < thirdOfNodes) != (to%nodes < thirdOfNodes)}
+	}
 	cut := processes.Relay.Begin(separated)
 	cutAt := time.Now()
-	agree(all[:third])
+	agree(all[:thirdOfNodes])
 	smallSide := time.Since(cutAt).Round(10 * time.Millisecond)
-	agree(all[third:])
+	agree(all[thirdOfNodes:])
 	largeSide := time.Since(cutAt).Round(10 * time.Millisecond)
 	processes.Relay.End(cut)
 	healed := agree(all)
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -184,7 +184,7 @@
 		fmt.Fprintf(&text, " %g s |", window.Start.Seconds())
 	}
 	text.WriteString("\n| --- |" + strings.Repeat(" --- |", len(c.windows)) + "\n")
-	row := func(name string, value func(*Window) string) {
+	writeRow := func(name string, value func(*Window) string) {
 		text.WriteString("| " + name + " |")
 		for _, window := range c.windows {
 			text.WriteString(" " + value(window) + " |")
@@ -192,11 +192,11 @@
 		text.WriteString("\n")
 	}
 	for _, name := range names {
-		row(name, func(window *Window) string { return fmt.Sprint(window.Counts[name]) })
+		writeRow(name, func(window *Window) string { return fmt.Sprint(window.Counts[name]) })
 	}
-	row("pushes a server, most", func(window *Window) string { return maximum(window.PushesByServer) })
-	row("pushes a server, mean", func(window *Window) string { return mean(window.PushesByServer) })
-	row("connections opened a server, most", func(window *Window) string { return maximum(window.DialsByServer) })
+	writeRow("pushes a server, most", func(window *Window) string { return maximum(window.PushesByServer) })
+	writeRow("pushes a server, mean", func(window *Window) string { return mean(window.PushesByServer) })
+	writeRow("connections opened a server, most", func(window *Window) string { return maximum(window.DialsByServer) })
 	_, err := io.WriteString(w, text.String())
 	return err
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -42,11 +42,11 @@
 	if strings.HasSuffix(name, ".toml") {
 		return scenario.Read(os.DirFS(filepath.Dir(name)), filepath.Base(name))
 	}
-	s, err := scenario.Read(builtin, name+".toml")
+	experiment, err := scenario.Read(builtin, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("no experiment %q; canvaslab list shows them, and a file ends in .toml", name)
 	}
-	return s, err
+	return experiment, err
 }
 
 // Command returns the command line that repeats the run.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -24,29 +24,29 @@
 
 func readExperiment(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
-	s, err := ReadExperiment(experiments.Files, name)
+	experiment, err := ReadExperiment(experiments.Files, name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return experiment
 }
 
 // The expectations of an experiment are checked for the full load with the module, and the rules in every run. A report
 // on several results is one page that needs no other file.
 func TestRunCheckAndReport(t *testing.T) {
-	s := readExperiment(t, "all-slow")
-	c := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
-	module, err := Run(t.Context(), s, c, nil)
+	experiment := readExperiment(t, "all-slow")
+	options := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
+	module, err := Run(t.Context(), experiment, options, nil)
 	if err != nil || len(module.Failures) > 0 {
 		t.Fatalf("%v %v", err, module.Failures)
 	}
-	high := 1.0
-	s.Expect.Served = &high
-	if r, _ := Run(t.Context(), s, c, nil); len(r.Failures) != 1 || !strings.Contains(r.Failures[0], "served_benefit") {
-		t.Errorf("failures %v", r.Failures)
+	unreachable := 1.0
+	experiment.Expect.Served = &unreachable
+	if result, _ := Run(t.Context(), experiment, options, nil); len(result.Failures) != 1 || !strings.Contains(result.Failures[0], "served_benefit") {
+		t.Errorf("failures %v", result.Failures)
 	}
-	c.Policy = "random"
-	random, err := Run(t.Context(), readExperiment(t, "all-slow"), c, nil)
+	options.Policy = "random"
+	random, err := Run(t.Context(), readExperiment(t, "all-slow"), options, nil)
 	if err != nil || random.Policy != "random" || random.ServedBenefit >= module.ServedBenefit {
 		t.Errorf("%v: random served %v, the module %v", err, random.ServedBenefit, module.ServedBenefit)
 	}
@@ -55,19 +55,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, _ := os.ReadFile(page)
+	html, _ := os.ReadFile(page)
 	for _, want := range []string{module.Command, "data:image/png;base64,", "<td>random", "Core time"} {
-		if !bytes.Contains(raw, []byte(want)) {
+		if !bytes.Contains(html, []byte(want)) {
 			t.Errorf("the page doesn't contain %q", want)
 		}
 	}
-	if bytes.Contains(raw, []byte(`src="http`)) || bytes.Contains(raw, []byte("<script")) {
+	if bytes.Contains(html, []byte(`src="http`)) || bytes.Contains(html, []byte("<script")) {
 		t.Error("the page needs another file")
 	}
 	plots, _ := filepath.Glob(filepath.Join(dir, "*.png"))
-	for _, p := range plots {
-		if head, _ := os.ReadFile(p); !bytes.HasPrefix(head, []byte("\x89PNG")) {
-			t.Errorf("%s is not a PNG file", p)
+	for _, plotFile := range plots {
+		if head, _ := os.ReadFile(plotFile); !bytes.HasPrefix(head, []byte("\x89PNG")) {
+			t.Errorf("%s is not a PNG file", plotFile)
 		}
 	}
 	if len(plots) != 8 {
@@ -79,27 +79,27 @@
 // rules only.
 func TestCancelledRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := readExperiment(t, "steady")
-	r, err := Run(ctx, s, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Account) {
+	experiment := readExperiment(t, "steady")
+	result, err := Run(ctx, experiment, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Account) {
 		if now >= 3*policy.Second {
 			cancel()
 		}
 	})
-	if err != nil || !r.Partial || len(r.Failures) > 0 {
-		t.Fatalf("%v %+v", err, r)
+	if err != nil || !result.Partial || len(result.Failures) > 0 {
+		t.Fatalf("%v %+v", err, result)
 	}
-	if _, err := json.Marshal(r); err != nil {
+	if _, err := json.Marshal(result); err != nil {
 		t.Error(err)
 	}
-	if _, err := report.Write(t.TempDir(), readExperiment(t, "steady"), []*ledger.Result{r}); err != nil {
+	if _, err := report.Write(t.TempDir(), readExperiment(t, "steady"), []*ledger.Result{result}); err != nil {
 		t.Error(err)
 	}
 }
 
 // Invalid options and unknown names return an error that names them.
 func TestInvalidOptions(t *testing.T) {
-	s := readExperiment(t, "steady")
-	for want, c := range map[string]RunOptions{
+	experiment := readExperiment(t, "steady")
+	for want, options := range map[string]RunOptions{
 		"driver":                          {Driver: "paper"},
 		`policy "luck"`:                   {Driver: "sim", Policy: "luck"},
 		`fault "rust"`:                    {Driver: "sim", InjectedFault: "rust"},
@@ -108,10 +108,10 @@
 		`no experiment "nothing of mine"`: {Experiment: "nothing of mine"},
 	} {
 		var err error
-		if c.Experiment != "" {
-			_, err = ReadExperiment(experiments.Files, c.Experiment)
+		if options.Experiment != "" {
+			_, err = ReadExperiment(experiments.Files, options.Experiment)
 		} else {
-			_, err = Run(t.Context(), s, c, nil)
+			_, err = Run(t.Context(), experiment, options, nil)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -123,25 +123,25 @@
 func TestRecordTrace(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "fine") }))
 	defer backend.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
-	s := readExperiment(t, "noisy-tenant")
+	addr := listener.Addr().String()
+	listener.Close()
+	experiment := readExperiment(t, "noisy-tenant")
 	ctx, cancel := context.WithCancel(t.Context())
 	var file bytes.Buffer
 	done := make(chan int)
 	go func() {
-		n, err := RecordTrace(ctx, s, addr, strings.TrimPrefix(backend.URL, "http://"), &file)
+		count, err := RecordTrace(ctx, experiment, addr, strings.TrimPrefix(backend.URL, "http://"), &file)
 		if err != nil {
 			t.Error(err)
 		}
-		done <- n
+		done <- count
 	}()
 	sent := 0
-	for begun := time.Now(); sent < 3 && time.Since(begun) < 5*time.Second; {
+	for startedAt := time.Now(); sent < 3 && time.Since(startedAt) < 5*time.Second; {
 		request, _ := http.NewRequest("GET", "http://"+addr+[]string{"/slots/1", "/booking", "/elsewhere"}[sent], nil)
 		request.Header.Set("X-Org", "chenku")
 		response, err := http.DefaultClient.Do(request)
@@ -153,10 +153,10 @@
 		sent++
 	}
 	cancel()
-	if n := <-done; n != 2 {
-		t.Errorf("%d arrivals recorded, want 2", n)
+	if count := <-done; count != 2 {
+		t.Errorf("%d arrivals recorded, want 2", count)
 	}
-	arrivals, err := load.Read(bytes.NewReader(file.Bytes()), s, 10*policy.Second)
+	arrivals, err := load.Read(bytes.NewReader(file.Bytes()), experiment, 10*policy.Second)
 	if err != nil || len(arrivals) != 2 || arrivals[1].Category != 1 || arrivals[1].Tenant != 1 {
 		t.Errorf("%v %+v", err, arrivals)
 	}
--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -31,8 +31,8 @@
 	for range maxIPTries {
 		id := uint32(os.Getpid())*7 + poolCount.Add(1)
 		ip := fmt.Sprintf("127.%d.%d.%d", 1+id>>16%254, id>>8&255, 1+id%254)
-		if l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, firstPort-1)); err == nil {
-			return &addressPool{reservation: l, ip: ip, lastPort: firstPort}, nil
+		if listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, firstPort-1)); err == nil {
+			return &addressPool{reservation: listener, ip: ip, lastPort: firstPort}, nil
 		}
 	}
 	return nil, fmt.Errorf("no loopback address of 127.0.0.0/8 is free for this run")
--- a/internal/lab/live/compare_targets.go
+++ b/internal/lab/live/compare_targets.go
@@ -106,23 +106,23 @@
 func startInstantServers(count int) (addrs []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
-		for _, s := range servers {
-			s.Close()
+		for _, server := range servers {
+			server.Close()
 		}
 	}
 	for range count {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			stop()
 			return nil, nil, err
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "11")
 			io.WriteString(w, `{"ok":true}`)
 		})}
-		servers = append(servers, s)
-		addrs = append(addrs, l.Addr().String())
-		go s.Serve(l)
+		servers = append(servers, server)
+		addrs = append(addrs, listener.Addr().String())
+		go server.Serve(listener)
 	}
 	return addrs, stop, nil
 }
--- a/internal/lab/live/process_faults_test.go
+++ b/internal/lab/live/process_faults_test.go
@@ -12,17 +12,17 @@
 
 // runUntilValid repeats a run, at most six times, until it is not void. On a machine that is too busy the harness itself
 // is late, which looks like a fault of a node.
-func runUntilValid(t *testing.T, o Options) *ledger.Result {
+func runUntilValid(t *testing.T, options Options) *ledger.Result {
 	t.Helper()
 	for range 6 {
-		r, _, err := Run(t.Context(), o)
+		result, _, err := Run(t.Context(), options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Void == "" {
-			return r
+		if result.Void == "" {
+			return result
 		}
-		t.Log(r.Void)
+		t.Log(result.Void)
 	}
 	t.Fatal("all six runs were void")
 	return nil
@@ -35,10 +35,10 @@
 // not answer are counted as lost to the pause.
 func TestProcessFaults(t *testing.T) {
 	t.Parallel()
-	s := readScenario(t, "fleet-pause")
-	s.Tiers[0].Nodes = 6
-	s.Load.Rate = 120
-	s.Troubles = []scenario.Trouble{
+	experiment := readScenario(t, "fleet-pause")
+	experiment.Tiers[0].Nodes = 6
+	experiment.Load.Rate = 120
+	experiment.Troubles = []scenario.Trouble{
 		{Kind: "node-pause", At: second, For: 2 * second, Count: 1, Tier: "front"},
 		{Kind: "node-empty", At: second, For: second, Count: 1, Tier: "front"},
 		{Kind: "node-move", At: 2 * second, For: second / 2, Count: 1, Tier: "front"},
@@ -47,30 +47,30 @@
 		{Kind: "liar-well", At: second / 2, Tier: "front"},
 		{Kind: "drain", At: second * 3 / 2, For: second, Count: 1, Tier: "front"},
 	}
-	s.Between = []scenario.Between{{Kind: "groups", At: second, For: 2 * second, Parts: []int{1, 2}}}
-	r := runUntilValid(t, testOptions(t, s, "", 5*policy.Second))
-	if len(r.BrokenRules) > 0 || r.LostToPause == 0 || r.LostToCrash == 0 || r.Served < r.Ops*2/3 {
-		t.Errorf("broken %v, lost to pauses %d and to crashes %d, served %d of %d: %s", r.BrokenRules, r.LostToPause, r.LostToCrash,
-			r.Served, r.Ops, strings.Join(r.Breaches, "; "))
+	experiment.Between = []scenario.Between{{Kind: "groups", At: second, For: 2 * second, Parts: []int{1, 2}}}
+	result := runUntilValid(t, testOptions(t, experiment, "", 5*policy.Second))
+	if len(result.BrokenRules) > 0 || result.LostToPause == 0 || result.LostToCrash == 0 || result.Served < result.Ops*2/3 {
+		t.Errorf("broken %v, lost to pauses %d and to crashes %d, served %d of %d: %s", result.BrokenRules, result.LostToPause, result.LostToCrash,
+			result.Served, result.Ops, strings.Join(result.Breaches, "; "))
 	}
 }
 
 // The total load that 5, 20 or 30 processes send to cold servers stays within the servers' budget plus the allowance for
 // chance, with low and uneven traffic, a burst and node restarts. Nodes that send a cold server all their load are found.
 func TestColdFleet(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		nodes int
 		fault string
 	}{{5, ""}, {20, ""}, {30, ""}, {20, "cold-flood"}} {
-		s := readScenario(t, "cold-fleet")
-		s.Tiers[0].Nodes = c.nodes
-		r := runUntilValid(t, testOptions(t, s, c.fault, 7*policy.Second))
-		t.Logf("%d nodes %s: fullest window %.2f, %d collapsed, served %d of %d", c.nodes, c.fault, r.ColdFullest, r.TippedOver, r.Served, r.Ops)
-		if overloaded := r.ColdFullest > 1; overloaded != (c.fault != "") || r.ColdFullest < 0.1 {
-			t.Errorf("%d nodes %s: fullest window at a cold server %.2f of its capacity", c.nodes, c.fault, r.ColdFullest)
+		experiment := readScenario(t, "cold-fleet")
+		experiment.Tiers[0].Nodes = test.nodes
+		result := runUntilValid(t, testOptions(t, experiment, test.fault, 7*policy.Second))
+		t.Logf("%d nodes %s: highest load in a window %.2f, %d collapsed, served %d of %d", test.nodes, test.fault, result.ColdFullest, result.TippedOver, result.Served, result.Ops)
+		if overloaded := result.ColdFullest > 1; overloaded != (test.fault != "") || result.ColdFullest < 0.1 {
+			t.Errorf("%d nodes %s: highest load of a cold server in a window %.2f of its capacity", test.nodes, test.fault, result.ColdFullest)
 		}
-		if broken := strings.Join(r.BrokenRules, " "); broken != trial.Faults[c.fault] {
-			t.Errorf("%d nodes %s: broken %q: %v", c.nodes, c.fault, broken, r.Breaches)
+		if broken := strings.Join(result.BrokenRules, " "); broken != trial.Faults[test.fault] {
+			t.Errorf("%d nodes %s: broken %q: %v", test.nodes, test.fault, broken, result.Breaches)
 		}
 	}
 }
@@ -78,10 +78,10 @@
 // The rules hold when servers don't answer half of the nodes, and those nodes repeat pushes at other servers.
 func TestPartialPushLoss(t *testing.T) {
 	t.Parallel()
-	s := readScenario(t, "fleet-partial")
-	s.Tiers[0].Nodes = 6
-	r := runUntilValid(t, testOptions(t, s, "", 4*policy.Second))
-	if len(r.BrokenRules) > 0 || r.PushesPerOp < 1.01 {
-		t.Errorf("broken %v, %v pushes an op", r.BrokenRules, r.PushesPerOp)
+	experiment := readScenario(t, "fleet-partial")
+	experiment.Tiers[0].Nodes = 6
+	result := runUntilValid(t, testOptions(t, experiment, "", 4*policy.Second))
+	if len(result.BrokenRules) > 0 || result.PushesPerOp < 1.01 {
+		t.Errorf("broken %v, %v pushes an op", result.BrokenRules, result.PushesPerOp)
 	}
 }
