--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -21,7 +21,7 @@
 	A          string `arg:"" help:"A policy, a node program, or an experiment file with other settings."`
 	B          string `arg:"" help:"What A is compared with."`
 	Experiment string `name:"on" help:"The experiment, unless A or B is an experiment file." default:"overload"`
-	Runs       int    `help:"Number of seeds, each played with both." default:"5"`
+	Runs       int    `help:"Seeds, each played with both." default:"5"`
 	runFlags   `embed:""`
 }
 
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -35,9 +35,9 @@
 	nodeIndex    int // index in run.nodes; a duplicate has that of the node whose name it uses
 	endpoint     *endpoint
 	registryAddr string
-	networkSlot  int  // index of its addresses in the run's network; differs from nodeIndex once it has moved
-	hasPeers     bool // exchanges peer messages
-	duplicate    bool // a second process with the name of another node; the ledger doesn't record it
+	networkSlot  int            // index of its addresses in the run's network; differs from nodeIndex once it has moved
+	hasPeers     bool           // exchanges peer messages
+	duplicate    bool           // a second process with the name of another node; the ledger doesn't record it
 	falseReport  string         // not used
 	cachedList   []byte         // the server list that its configuration contains; nil: none
 	mu           sync.Mutex     // guards the fields below
