--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -278,7 +278,7 @@
 	for _, failure := range result.Failures {
 		fmt.Fprintln(w, "  NOT MET:", failure)
 	}
-	fmt.Fprintln(w, "  to repeat:", result.Command)
+	fmt.Fprintln(w, "  again:", result.Command)
 }
 
 // recordCommand writes a trace of generated or real arrivals.
