--- a/cmd/canvaslab/capacity.go
+++ b/cmd/canvaslab/capacity.go
@@ -15,7 +15,7 @@
 
 // Run prints the table or writes it into the page. The exit code is 1 if a row exceeds its budget or was not measured.
 func (c *capacityCommand) Run() error {
-	records, err := scale.All(c.Records)
+	records, err := scale.LoadAll(c.Records)
 	if err != nil {
 		return err
 	}
@@ -23,13 +23,13 @@
 		return fmt.Errorf("no record in %s: canvaslab scale makes them", c.Records)
 	}
 	page := scale.NewPage(records)
-	text := page.Generated()
+	text := page.Render()
 	if c.Write != "" {
 		raw, err := os.ReadFile(c.Write)
 		if err != nil {
 			return err
 		}
-		updated, err := scale.Replace(string(raw), text)
+		updated, err := scale.ReplaceGenerated(string(raw), text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Write, err)
 		}
@@ -39,13 +39,13 @@
 	} else {
 		fmt.Print(text)
 	}
-	for _, line := range page.Over {
+	for _, line := range page.OverBudget {
 		fmt.Fprintln(os.Stderr, "over its budget:", line)
 	}
 	for _, line := range page.Missing {
 		fmt.Fprintln(os.Stderr, "not measured, or nothing carries it:", line)
 	}
-	if len(page.Over)+len(page.Missing) > 0 {
+	if len(page.OverBudget)+len(page.Missing) > 0 {
 		return errNotMet
 	}
 	return nil
--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -66,7 +66,7 @@
 			return 0
 		}
 		var took time.Duration
-		took, err = processes.Agree(ctx, members, maxAgreementTime)
+		took, err = processes.WaitForAgreement(ctx, members, maxAgreementTime)
 		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(members), nodes, took.Round(10*time.Millisecond))
 		return took.Round(10 * time.Millisecond)
 	}
@@ -86,16 +86,16 @@
 	}
 	agree(all)
 	thirdOfNodes := nodes / 3
-	separated := func(from, to int) relay.Way {
-		return relay.Way{Cut: (from%nodes < thirdOfNodes) != (to%nodes < thirdOfNodes)}
+	separated := func(from, to int) relay.Impairment {
+		return relay.Impairment{Cut: (from%nodes < thirdOfNodes) != (to%nodes < thirdOfNodes)}
 	}
-	cut := processes.Relay.Begin(separated)
+	cut := processes.Relay.AddFault(separated)
 	cutAt := time.Now()
 	agree(all[:thirdOfNodes])
 	smallSide := time.Since(cutAt).Round(10 * time.Millisecond)
 	agree(all[thirdOfNodes:])
 	largeSide := time.Since(cutAt).Round(10 * time.Millisecond)
-	processes.Relay.End(cut)
+	processes.Relay.RemoveFault(cut)
 	healed := agree(all)
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 	var maxMemory float64
 	maxDescriptors := 0
 	for _, node := range all {
-		_, memory, descriptors := processes.CPU(node)
+		_, memory, descriptors := processes.ProcessUsage(node)
 		maxMemory = max(maxMemory, memory)
 		maxDescriptors = max(maxDescriptors, descriptors)
 	}
@@ -116,9 +116,9 @@
 func (m *membersCommand) measureIdle(ctx context.Context, processes *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
 	totals := func() (bytes, datagrams, cpu float64) {
 		for i := range nodes {
-			traffic := processes.Relay.Count(i)
-			used, _, _ := processes.CPU(i)
-			bytes += float64(traffic.SentBytes + traffic.StreamBytes)
+			traffic := processes.Relay.Traffic(i)
+			used, _, _ := processes.ProcessUsage(i)
+			bytes += float64(traffic.SentBytes + traffic.SentStreamBytes)
 			datagrams += float64(traffic.SentDatagrams)
 			cpu += used
 		}
@@ -140,24 +140,24 @@
 // repeatCuts partitions and heals the fleet many times, and prints memory and descriptors afterwards. More than before
 // indicates a leak.
 func (m *membersCommand) repeatCuts(ctx context.Context, processes *together.Processes, all []int,
-	separated func(int, int) relay.Way, memoryBefore float64, descriptorsBefore int) error {
+	separated func(int, int) relay.Impairment, memoryBefore float64, descriptorsBefore int) error {
 	if m.CutCount == 0 {
 		return nil
 	}
 	for range m.CutCount {
-		cut := processes.Relay.Begin(separated)
+		cut := processes.Relay.AddFault(separated)
 		time.Sleep(400 * time.Millisecond)
-		processes.Relay.End(cut)
+		processes.Relay.RemoveFault(cut)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if _, err := processes.Agree(ctx, all, maxAgreementTime); err != nil {
+	if _, err := processes.WaitForAgreement(ctx, all, maxAgreementTime); err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second) // until streams that were open have ended
 	var maxMemory float64
 	maxDescriptors := 0
 	for _, node := range all {
-		_, memory, descriptors := processes.CPU(node)
+		_, memory, descriptors := processes.ProcessUsage(node)
 		maxMemory = max(maxMemory, memory)
 		maxDescriptors = max(maxDescriptors, descriptors)
 	}
--- a/cmd/canvaslab/scale.go
+++ b/cmd/canvaslab/scale.go
@@ -38,16 +38,16 @@
 // Run measures each size several times and saves each measurement to the record. Before a size is measured, Run saves
 // the values that the smaller sizes predict for it.
 func (s *scaleCommand) Run(ctx context.Context) error {
-	kind := scale.Hollow
+	kind := scale.KindInProcess
 	maxNodes := maxInProcessNodes
 	if s.Node != "" {
-		kind = scale.Real
+		kind = scale.KindReal
 		maxNodes = maxProcessNodes
 	}
 	if s.Role == "path" {
 		maxNodes = 20
 	}
-	if err := scale.ParseSizes(s.Nodes, maxNodes); err != nil {
+	if err := scale.ValidateSizes(s.Nodes, maxNodes); err != nil {
 		return err
 	}
 	if s.Runs < 1 || s.Runs > 10 || s.FirstRun < 1 || s.PhaseDuration < time.Second || s.PhaseDuration > time.Minute ||
@@ -55,7 +55,7 @@
 		return errors.New("--plays is from 1 to 10, --first and --called at least 1, --calm from 1s to 1m")
 	}
 	slowable := s.Role == "members" || s.Role == "judgements" || s.Role == "view"
-	if s.ClockSlowdown < 1 || s.ClockSlowdown > maxClockSlowdown || s.ClockSlowdown > 1 && (!slowable || kind == scale.Real) {
+	if s.ClockSlowdown < 1 || s.ClockSlowdown > maxClockSlowdown || s.ClockSlowdown > 1 && (!slowable || kind == scale.KindReal) {
 		return fmt.Errorf("--slow is from 1 to %d, and for hollow nodes with members, judgements or view only", maxClockSlowdown)
 	}
 	name := s.Role
@@ -68,14 +68,14 @@
 	}
 	arguments := fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Runs, s.ServicesPerNode, s.PhaseDuration)
 	record.Command = "canvaslab scale " + strings.Join(strings.Fields(arguments), " ")
-	if kind == scale.Real {
+	if kind == scale.KindReal {
 		record.Command += " --node bin/canvasrouter"
 	}
 	record.Cores = runtime.NumCPU()
-	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d runs each: %s\n", s.Role, kind, s.Nodes, s.Runs, scale.Bounds(kind, s.Nodes))
+	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d runs each: %s\n", s.Role, kind, s.Nodes, s.Runs, scale.ResourceEstimate(kind, s.Nodes))
 	for _, nodes := range s.Nodes {
 		if point := record.Predict(nodes); point != nil {
-			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, point.From, point.Values)
+			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, point.FromSizes, point.Values)
 			if err := record.Save(s.RecordDir); err != nil {
 				return err
 			}
@@ -85,12 +85,12 @@
 			if err != nil {
 				return fmt.Errorf("%s, %d nodes: %w", s.Role, nodes, err)
 			}
-			point.Play = run + s.FirstRun
+			point.Run = run + s.FirstRun
 			record.Add(point)
 			if err := record.Save(s.RecordDir); err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "%d nodes, run %d: %v %s\n", nodes, point.Play, point.Values, point.Void)
+			fmt.Fprintf(os.Stderr, "%d nodes, run %d: %v %s\n", nodes, point.Run, point.Values, point.VoidReason)
 		}
 	}
 	return nil
@@ -101,46 +101,46 @@
 	progress := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	switch s.Role {
 	case "list":
-		if kind == scale.Real {
-			return scale.ListReal(ctx, s.Node, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
+		if kind == scale.KindReal {
+			return scale.MeasureListReal(ctx, s.Node, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
 		}
-		return scale.List(ctx, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
+		return scale.MeasureList(ctx, nodes, s.ServicesPerNode, s.PhaseDuration, seed, progress)
 	case "changes":
-		return scale.Changes(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
+		return scale.MeasureChanges(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
 	case "start":
-		return scale.Starts(ctx, s.Node, nodes, seed, progress)
+		return scale.MeasureStarts(ctx, s.Node, nodes, seed, progress)
 	case "path":
-		return scale.Path(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
+		return scale.MeasureCallPath(ctx, s.Node, nodes, s.PhaseDuration, seed, progress)
 	}
 	var cluster scale.Cluster
-	if kind == scale.Real {
+	if kind == scale.KindReal {
 		experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 		if err != nil {
 			return point, err
 		}
-		cluster, err = scale.NewReal(s.Node, experiment, nodes, seed)
+		cluster, err = scale.NewProcessCluster(s.Node, experiment, nodes, seed)
 		if err != nil {
 			return point, err
 		}
 	} else {
 		retention := time.Duration(0)
 		if s.Role == "members" {
-			retention = scale.KeepScaled
+			retention = scale.ScaledRetention
 		}
-		if cluster, err = scale.NewHollow(nodes, s.ServicesPerNode, retention, s.ClockSlowdown, seed); err != nil {
+		if cluster, err = scale.NewInProcessCluster(nodes, s.ServicesPerNode, retention, s.ClockSlowdown, seed); err != nil {
 			return point, err
 		}
 	}
 	defer func() { err = errors.Join(err, cluster.Close()) }()
 	if s.Role == "judgements" {
-		inProcess, isInProcess := cluster.(*scale.HollowCluster)
+		inProcess, isInProcess := cluster.(*scale.InProcessCluster)
 		if !isInProcess {
 			return point, errors.New("judgements are measured with hollow nodes only: leave --node out")
 		}
-		return scale.Judgements(ctx, inProcess, s.PhaseDuration, progress)
+		return scale.MeasureServerReports(ctx, inProcess, s.PhaseDuration, progress)
 	}
 	if s.Role == "view" {
-		return scale.Views(ctx, cluster, progress)
+		return scale.MeasureViews(ctx, cluster, progress)
 	}
-	return scale.Members(ctx, cluster, s.PhaseDuration, progress)
+	return scale.MeasureMembers(ctx, cluster, s.PhaseDuration, progress)
 }
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -40,7 +40,7 @@
 		os.Exit(3)
 	}()
 	return serve.Main(serve.Options{
-		Decider: func(settings *config.Config) (policy.Decider, error) {
+		NewDecider: func(settings *config.Config) (policy.Decider, error) {
 			decider, module, err := trial.New(name, fault, settings.Rules, settings.Seed)
 			path := os.Getenv(ThrottleFileEnv)
 			if err != nil || module == nil || path == "" {
@@ -57,7 +57,7 @@
 				encoder:     json.NewEncoder(samples),
 			}, nil
 		},
-		Slack: func(configured policy.Micros) policy.Micros { return trial.Slack(fault, configured) },
+		AdjustAnswerSlack: func(configured policy.Micros) policy.Micros { return trial.Slack(fault, configured) },
 	})
 }
 
@@ -74,7 +74,7 @@
 func (s *throttleSampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if now >= s.nextSample {
 		s.nextSample = now + sampleInterval
-		s.module.Throttles(func(server policy.ServerID, rate float64, cutoffLevel int) {
+		s.module.VisitThrottles(func(server policy.ServerID, rate float64, cutoffLevel int) {
 			name := s.serverNames[server]
 			if server == 0 {
 				name = "all"
@@ -92,7 +92,7 @@
 func serverNames() map[policy.ServerID]string {
 	names := make(map[policy.ServerID]string)
 	for i := range maxServers {
-		names[ServerID(i)] = registry.ID(i)
+		names[ServerID(i)] = registry.InstanceID(i)
 	}
 	return names
 }
@@ -100,6 +100,6 @@
 // ServerID returns the numeric id that nodes derive from the instance id of the server with this index.
 func ServerID(index int) policy.ServerID {
 	hash := fnv.New64a()
-	fmt.Fprint(hash, registry.ID(index))
+	fmt.Fprint(hash, registry.InstanceID(index))
 	return policy.ServerID(hash.Sum64() >> 16)
 }
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -196,7 +196,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		var answer server.Body
+		var answer server.AnswerBody
 		if json.Unmarshal(body, &answer) == nil {
 			r.ledger.ServedBy(answer.Push)
 		}
--- a/internal/lab/live/compare_targets.go
+++ b/internal/lab/live/compare_targets.go
@@ -165,14 +165,14 @@
 		entries = append(entries, registry.Entry{Server: i, Weight: 1})
 		list += server + " "
 	}
-	listOptions := registry.Words{
-		Zones: experiment.Zones,
-		Kinds: []string{"std"},
-		Addr:  func(i int) string { return servers[i] },
+	listOptions := registry.Options{
+		Zones:        experiment.Zones,
+		MachineTypes: []string{"std"},
+		Addr:         func(i int) string { return servers[i] },
 	}
 	file := filepath.Join(dir, strconv.Quote(target.Name)+".json")
 	config := experiment.Config(scenario.Balancer{Of: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1,
-		listOptions.Line(1, entries, true), nil)
+		listOptions.EncodeList(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
--- a/internal/lab/live/disturbances.go
+++ b/internal/lab/live/disturbances.go
@@ -47,31 +47,31 @@
 	}
 	switch step.Verb {
 	case scenario.Slow:
-		standinServer.Slow(step.Factor)
+		standinServer.SetSlowdown(step.Factor)
 	case scenario.Stall:
 		standinServer.Stall(r.loadStart + step.Until)
 	case scenario.Crash, scenario.Silence:
-		standinServer.Down(step.Verb == scenario.Silence)
+		standinServer.Stop(step.Verb == scenario.Silence)
 		if node := r.nextTierNode(step.Server); node != nil {
 			check(node.kill())
 		}
 	case scenario.Start:
-		check(standinServer.Up(true))
+		check(standinServer.Start(true))
 		if node := r.nextTierNode(step.Server); node != nil {
 			background.Go(func() { check(node.start(ctx)) })
 		}
 	case scenario.Behave:
-		standinServer.Behave(step.Mode)
+		standinServer.SetMode(step.Mode)
 	case scenario.List:
 		machine := r.plan.Machines[step.Server]
-		r.registries[machine.Tier].Change(func(catalog *registry.Catalog) {
-			entry, known := catalog.Entry(step.Server)
+		r.registries[machine.Tier].Update(func(catalog *registry.Catalog) {
+			entry, known := catalog.Lookup(step.Server)
 			if !known {
 				entry = machine.Entry(step.Server)
 			}
 			entry.State = step.State
-			entry.Started = standinServer.Started()
-			catalog.Set(entry)
+			entry.StartedAt = standinServer.StartedAt()
+			catalog.SetEntry(entry)
 		})
 	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
 		scenario.RegistryTrue:
@@ -92,7 +92,7 @@
 		background.Go(func() { check(node.start(ctx)) })
 	case scenario.NodeMove:
 		node := r.nodes[step.Node]
-		slot, err := r.network.Further(node.networkSlot)
+		slot, err := r.network.NextSlot(node.networkSlot)
 		check(err)
 		node.networkSlot = slot
 		background.Go(func() { check(node.start(ctx)) })
@@ -107,9 +107,9 @@
 	case scenario.LieDown, scenario.LieWell:
 		check(r.startFalseReporter(step))
 	case scenario.BetweenOn, scenario.BetweenOff:
-		r.network.Carry(step)
+		r.network.ApplyStep(step)
 	case scenario.OneSided:
-		standinServer.Ignore(step.Factor, r.hitByPartialLoss)
+		standinServer.SetIgnoredShare(step.Factor, r.hitByPartialLoss)
 	case scenario.ClockStep:
 		r.clockStep.Store(int64(step.Until))
 	}
@@ -119,7 +119,7 @@
 // send to it.
 func (r *run) newDuplicate(node int) (*nodeProcess, error) {
 	original := r.nodes[node]
-	slot, err := r.network.Further(original.networkSlot)
+	slot, err := r.network.NextSlot(original.networkSlot)
 	if err != nil {
 		return nil, err
 	}
@@ -143,8 +143,8 @@
 	if !r.nodes[step.Node].hasPeers {
 		return nil // without peer messages no node would receive the reports
 	}
-	condition := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
-	slot, err := r.network.Further(step.Node)
+	condition := map[scenario.Verb]judged.Condition{scenario.LieDown: judged.Down, scenario.LieWell: judged.Healthy}[step.Verb]
+	slot, err := r.network.NextSlot(step.Node)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 			servers = append(servers, labnode.ServerID(i))
 		}
 	}
-	reporter, err := r.network.NewLiar(slot, r.Scenario.Tiers[0].Nodes, condition, servers)
+	reporter, err := r.network.NewFalseReporter(slot, r.Scenario.Tiers[0].Nodes, condition, servers)
 	if err == nil {
 		r.falseReporters = append(r.falseReporters, reporter)
 	}
@@ -172,15 +172,15 @@
 func (r *run) applyRegistryStep(service *registry.Service, step *scenario.Step) {
 	switch step.Verb {
 	case scenario.RegistryDown, scenario.RegistryUp:
-		service.Down(step.Verb == scenario.RegistryDown)
+		service.SetDown(step.Verb == scenario.RegistryDown)
 	case scenario.RegistrySlow:
-		service.Slow(toDuration(r.Scenario.Registry.Delay.Micros() + step.Until))
+		service.SetDelay(toDuration(r.Scenario.Registry.Delay.Micros() + step.Until))
 	case scenario.RegistryFreeze:
-		service.Change((*registry.Catalog).Freeze)
+		service.Update((*registry.Catalog).SaveSnapshot)
 	case scenario.RegistryThaw:
-		service.Change((*registry.Catalog).Thaw)
+		service.Update((*registry.Catalog).ServeSnapshot)
 	case scenario.RegistryTrue:
-		service.Change((*registry.Catalog).Correct)
+		service.Update((*registry.Catalog).ServeCurrent)
 	}
 }
 
@@ -222,12 +222,12 @@
 			calls = arrival.Calls[machine.Tier]
 		}
 		op := &server.Op{
-			Key:      request.Header.Get("Idempotency-Key"),
-			Category: i,
-			Work:     arrival.Work[machine.Tier],
-			Calls:    calls,
-			Memory:   r.dedupMemory(i, machine),
-			Lock:     &r.dedupLock,
+			Key:             request.Header.Get("Idempotency-Key"),
+			Category:        i,
+			Work:            arrival.Work[machine.Tier],
+			DownstreamCalls: calls,
+			Dedup:           r.dedupMemory(i, machine),
+			DedupLock:       &r.dedupLock,
 		}
 		return try, op, true
 	}
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -71,19 +71,19 @@
 	servers        []*server.Server
 	nodes          []*nodeProcess
 	duplicates     map[int]*nodeProcess // second processes with the name of a node, by the index of that node
-	network        *together.Rig
-	falseReporters []*together.Liar
+	network        *together.Network
+	falseReporters []*together.FalseReporter
 	// maxClosedPermille is the largest share of a node's servers, in thousandths, that reports of peers reduced to less
 	// than a third of their weight.
 	maxClosedPermille atomic.Int64
-	timerLag          *together.Lag
+	timerLag          *together.TimerLag
 	registries        []*registry.Service
 	loadStart         policy.Micros
-	picks             atomic.Int64  // picks of a node by clients so far
-	clockStep         atomic.Int64  // current offset of the clients' clocks, in microseconds
-	trafficBefore     []relay.Count // peer traffic of each node when the load began
-	failed            chan error    // holds the first fatal error
-	mu                sync.Mutex    // guards requests, dedupMemories and acceptUnknown
+	picks             atomic.Int64    // picks of a node by clients so far
+	clockStep         atomic.Int64    // current offset of the clients' clocks, in microseconds
+	trafficBefore     []relay.Traffic // peer traffic of each node when the load began
+	failed            chan error      // holds the first fatal error
+	mu                sync.Mutex      // guards requests, dedupMemories and acceptUnknown
 	requests          map[ledger.TryID]opRequest
 	dedupMemories     scenario.Memories
 	dedupLock         sync.Mutex // guards the content of each memory in dedupMemories
@@ -120,8 +120,8 @@
 	result := r.ledger.Finish(r.loadStart + min(options.LoadDuration, r.now()-r.loadStart))
 	result.Partial = partial
 	result.Between = r.peerTraffic()
-	late, _ := r.timerLag.End()
-	late = max(late, r.network.Late())
+	late, _ := r.timerLag.Stop()
+	late = max(late, r.network.MaxLateness())
 	result.RigLateMs = float64(late.Microseconds()) / 1000
 	// A machine that is too busy makes nodes look faulty, so a run whose harness itself was late is void.
 	if tolerance := toDuration(r.ledger.Tolerance()); late > tolerance {
@@ -135,9 +135,9 @@
 }
 
 // trafficCounts returns the peer traffic that each node of the first tier has sent and received so far.
-func (r *run) trafficCounts() (counts []relay.Count) {
+func (r *run) trafficCounts() (counts []relay.Traffic) {
 	for i := 0; r.network.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
-		counts = append(counts, r.network.Relay.Count(i))
+		counts = append(counts, r.network.Relay.Traffic(i))
 	}
 	return counts
 }
@@ -152,12 +152,12 @@
 	nodes := float64(len(r.trafficBefore))
 	for i, now := range r.trafficCounts() {
 		before := r.trafficBefore[i]
-		bytes := float64(now.SentBytes - before.SentBytes + now.StreamBytes - before.StreamBytes)
+		bytes := float64(now.SentBytes - before.SentBytes + now.SentStreamBytes - before.SentStreamBytes)
 		traffic.Bytes += bytes / nodes / seconds
 		traffic.MostBytes = max(traffic.MostBytes, bytes/seconds)
 		traffic.Datagrams += float64(now.SentDatagrams-before.SentDatagrams) / nodes / seconds
 		traffic.Streams += float64(now.SentStreams-before.SentStreams) / nodes / seconds
-		traffic.StreamedBytes += float64(now.StreamBytes-before.StreamBytes) / nodes / seconds
+		traffic.StreamedBytes += float64(now.SentStreamBytes-before.SentStreamBytes) / nodes / seconds
 	}
 	traffic.Closed = float64(r.maxClosedPermille.Load()) / 1000
 	return traffic
@@ -182,17 +182,17 @@
 			if !node.hasPeers {
 				continue
 			}
-			view, err := fleet.Ask(ctx, r.network.Place(node.networkSlot).Control)
+			view, err := fleet.FetchView(ctx, r.network.Addresses(node.networkSlot).ControlSocket)
 			if err != nil {
 				continue // the node is down or paused
 			}
 			closed := 0
 			for _, server := range view.Servers {
-				if server.Part < 1.0/3 {
+				if server.RemainingFraction < 1.0/3 {
 					closed++
 				}
 			}
-			if permille := int64(1000 * closed / max(1, view.Listed)); permille > r.maxClosedPermille.Load() {
+			if permille := int64(1000 * closed / max(1, view.ReadyServers)); permille > r.maxClosedPermille.Load() {
 				r.maxClosedPermille.Store(permille)
 			}
 		}
@@ -242,12 +242,12 @@
 	if r.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
 		return nil, err
 	}
-	r.network, err = together.New(options.Scenario, r.plan, r.dir, options.Seed, stream.New(options.Seed, "between"))
+	r.network, err = together.NewNetwork(options.Scenario, r.plan, r.dir, options.Seed, stream.New(options.Seed, "between"))
 	if err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.timerLag = together.NewLag()
+	r.timerLag = together.NewTimerLag()
 	for _, step := range []func(context.Context) error{r.startServers, r.startRegistry, r.startNodes} {
 		if err := step(ctx); err != nil {
 			r.stop()
@@ -260,20 +260,20 @@
 // startServers creates a stand-in server for each machine of the plan, and starts those that are up from the beginning.
 func (r *run) startServers(context.Context) error {
 	for i, machine := range r.plan.Machines {
-		environment := server.World{
-			Account: r.ledger,
-			Now:     r.now,
-			Find: func(id string, request *http.Request) (ledger.TryID, *server.Op, bool) {
+		environment := server.Environment{
+			Ledger: r.ledger,
+			Now:    r.now,
+			FindOp: func(id string, request *http.Request) (ledger.TryID, *server.Op, bool) {
 				return r.findOp(id, request, machine)
 			},
-			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool {
+			CallNextTier: func(try ledger.TryID, op *server.Op, until policy.Micros) bool {
 				return r.callNextTier(i, try, op, until)
 			},
 		}
 		standinServer := server.New(i, machine.Kind, machine.Traits(r.Scenario), r.addresses.nextAddr(), environment)
 		r.servers = append(r.servers, standinServer)
 		if i < r.plan.Standing {
-			if err := standinServer.Up(false); err != nil {
+			if err := standinServer.Start(false); err != nil {
 				return err
 			}
 		}
@@ -290,13 +290,13 @@
 				standing = append(standing, machine.Entry(i))
 			}
 		}
-		serviceOptions := registry.Words{
-			Zones: r.Scenario.Zones,
-			Told:  r.listRecorder(tierIndex),
-			Addr:  func(i int) string { return r.servers[i].Addr() },
+		serviceOptions := registry.Options{
+			Zones:  r.Scenario.Zones,
+			OnSent: r.listRecorder(tierIndex),
+			Addr:   func(i int) string { return r.servers[i].Addr() },
 		}
 		for _, machineType := range tier.Kinds {
-			serviceOptions.Kinds = append(serviceOptions.Kinds, machineType.Name)
+			serviceOptions.MachineTypes = append(serviceOptions.MachineTypes, machineType.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
 		service := registry.NewService(catalog, toDuration(r.Scenario.Registry.Delay.Micros()), serviceOptions)
@@ -321,7 +321,7 @@
 				networkSlot:  i,
 				hasPeers:     r.nodeHasPeers(node),
 				registryAddr: addr,
-				cachedList:   serviceOptions.Line(1, standing, true),
+				cachedList:   serviceOptions.EncodeList(1, standing, true),
 			})
 		}
 	}
@@ -344,14 +344,14 @@
 		listed := make(map[int]bool)
 		for _, entry := range entries {
 			listed[entry.Server] = true
-			r.ledger.Told(node, entry.Server, entry.State, entry.Started, r.now())
+			r.ledger.Told(node, entry.Server, entry.State, entry.StartedAt, r.now())
 		}
 		if !full {
 			return
 		}
 		for i, machine := range r.plan.Machines {
 			if machine.Tier == tier && !listed[i] {
-				r.ledger.Told(node, i, policy.Gone, r.servers[i].Started(), r.now())
+				r.ledger.Told(node, i, policy.Gone, r.servers[i].StartedAt(), r.now())
 			}
 		}
 	}
@@ -404,7 +404,7 @@
 	}
 	ends.Wait() // each kill has its own timeout
 	for _, server := range r.servers {
-		server.Down(false)
+		server.Stop(false)
 	}
 	for _, service := range r.registries {
 		service.Close()
@@ -414,7 +414,7 @@
 	}
 	r.network.Close()
 	if r.timerLag != nil {
-		r.timerLag.End()
+		r.timerLag.Stop()
 	}
 	r.addresses.close()
 	os.RemoveAll(r.dir)
@@ -426,7 +426,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.loadStart = r.now() + r.Scenario.Load.Lead.Micros()
-	r.timerLag.Begin()
+	r.timerLag.Reset()
 	r.trafficBefore = r.trafficCounts()
 	r.ledger.Begin(r.loadStart)
 	var clients, background sync.WaitGroup
@@ -556,20 +556,20 @@
 		return 0, nil, false
 	}
 	op := &server.Op{
-		Key:      strconv.Itoa(int(req.op)),
-		Category: req.category,
-		Work:     req.arrival.Work[machine.Tier],
-		Lock:     &r.dedupLock,
+		Key:       strconv.Itoa(int(req.op)),
+		Category:  req.category,
+		Work:      req.arrival.Work[machine.Tier],
+		DedupLock: &r.dedupLock,
 	}
 	if machine.Tier+1 < len(r.Scenario.Tiers) {
-		op.Calls = req.arrival.Calls[machine.Tier]
+		op.DownstreamCalls = req.arrival.Calls[machine.Tier]
 	}
-	op.Memory = r.dedupMemory(req.category, machine)
+	op.Dedup = r.dedupMemory(req.category, machine)
 	return try, op, true
 }
 
 // dedupMemory returns the deduplication memory of a category at a machine, or nil. The caller holds r.mu.
-func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.Memory {
+func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.DedupMemory {
 	return r.dedupMemories.Of(r.Scenario, category, machine, r.ledger.Tolerance())
 }
 
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -283,8 +283,8 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	standinServer := server.New(3, &scenario.Kind{}, fleet.Traits{Cores: 1, Speed: 1}, listener.Addr().String(), server.World{})
-	if err := standinServer.Up(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
+	standinServer := server.New(3, &scenario.Kind{}, fleet.Spec{Cores: 1, Speed: 1}, listener.Addr().String(), server.Environment{})
+	if err := standinServer.Start(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -193,16 +193,16 @@
 	if !p.hasPeers {
 		return nil
 	}
-	slot := p.run.network.Place(p.networkSlot)
+	slot := p.run.network.Addresses(p.networkSlot)
 	join := []string{}
 	for i := range min(3, len(p.run.nodes)) { // every node joins through the same few
-		join = append(join, p.run.network.Place(i).Advertise.String())
+		join = append(join, p.run.network.Addresses(i).Advertise.String())
 	}
 	return map[string]any{
 		"listen":    slot.Listen.String(),
 		"advertise": slot.Advertise.String(),
 		"join":      join,
-		"control":   slot.Control,
+		"control":   slot.ControlSocket,
 	}
 }
 
--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -66,7 +66,7 @@
 	"at_most_once": "at_most_once"}
 
 // Repeats are the categories' kinds of repeat, as the module has them.
-var Repeats = map[string]policy.Repeat{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
+var Repeats = map[string]policy.DeliverySemantics{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.AtMostOnce}
 
 // Config is a node's configuration in the platform's form. Known is the list that it starts with, in the registry's; fleet
@@ -124,11 +124,11 @@
 }
 
 // Traits are a machine's, as the model takes them.
-func (m Machine) Traits(s *Scenario) fleet.Traits {
+func (m Machine) Traits(s *Scenario) fleet.Spec {
 	k := m.Kind
-	return fleet.Traits{Cores: k.Cores, Speed: k.Speed, Queue: k.Queue, JamOver: k.JamOver, JamAfter: k.JamAfter.Micros(),
-		JamFactor: k.JamFactor, JamIdle: k.JamIdle.Micros(), CrowdOver: k.CrowdOver, CrowdLoss: k.CrowdLoss, Cold: fleet.Cold{From: s.Limits.ColdFrom,
-			Warm: s.Limits.ColdWarm.Micros(), Factor: s.Limits.ColdFactor, Window: s.Limits.ColdWindow.Micros(), Mean: s.MeanWork()}}
+	return fleet.Spec{Cores: k.Cores, Speed: k.Speed, QueueLimit: k.Queue, JamQueuePerCore: k.JamOver, JamDelay: k.JamAfter.Micros(),
+		JamSlowdown: k.JamFactor, JamRecoveryTime: k.JamIdle.Micros(), CrowdingPerCore: k.CrowdOver, CrowdingSlowdown: k.CrowdLoss, ColdStart: fleet.ColdStart{InitialShare: s.Limits.ColdFrom,
+			WarmUpTime: s.Limits.ColdWarm.Micros(), OverloadFactor: s.Limits.ColdFactor, OverloadWindow: s.Limits.ColdWindow.Micros(), MeanWork: s.MeanWork()}}
 }
 
 // MeanWork is that of an op of the load.
@@ -154,23 +154,23 @@
 }
 
 // Memories are the groups' memories of a run, by category, tier and group.
-type Memories map[[3]int]*fleet.Memory
+type Memories map[[3]int]*fleet.DedupMemory
 
 // Of gives the memory of a category's group at a machine, or nil where repeats are not dropped. It remembers for slack
 // longer than the category's window.
-func (all Memories) Of(s *Scenario, category int, m Machine, slack policy.Micros) *fleet.Memory {
+func (all Memories) Of(s *Scenario, category int, m Machine, slack policy.Micros) *fleet.DedupMemory {
 	group, window, kept := m.Group(s, category)
 	if !kept {
 		return nil
 	}
 	key := [3]int{category, m.Tier, group}
 	if all[key] == nil {
-		all[key] = fleet.NewMemory(window + slack)
+		all[key] = fleet.NewDedupMemory(window + slack)
 	}
 	return all[key]
 }
 
 // Entry is how the registry lists a machine that has been up for long, by its place in the plan.
 func (m Machine) Entry(place int) registry.Entry {
-	return registry.Entry{Server: place, Zone: m.Zone, Kind: m.KindNo, Cell: m.Cell, Weight: float64(m.Kind.Cores) * m.Kind.Speed}
+	return registry.Entry{Server: place, Zone: m.Zone, MachineType: m.KindNo, Cell: m.Cell, Weight: float64(m.Kind.Cores) * m.Kind.Speed}
 }
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -75,7 +75,7 @@
 		return
 	}
 	b.slack = trial.Slack(r.Fault, c.AnswerSlack)
-	b.node = node.New(node.Options{MostOpen: min(most, c.MostOpen), Slack: b.slack}, decider, b.clock, quiet)
+	b.node = node.New(node.Options{MaxPendingOps: min(most, c.MaxPendingOps), AnswerSlack: b.slack}, decider, b.clock, quiet)
 	known := &node.List{Form: policy.ListCached}
 	r.account.Anew(b.place)
 	for i, m := range r.plan.Machines[:r.plan.Standing] {
@@ -93,7 +93,7 @@
 // work lets the node do what has come and is due, then sees what it did.
 func (b *balancer) work() {
 	b.clock.Set(b.run.now)
-	next, set := b.node.Turn()
+	next, set := b.node.RunPending()
 	b.look()
 	if set && (b.wakes <= b.run.now || next < b.wakes) {
 		b.wakes = next
@@ -159,7 +159,7 @@
 	delete(b.byRequest, &h.node.Request)
 	a.Body.Release()
 	verdict := map[node.Verdict]ledger.Verdict{node.Acked: ledger.Served, node.Nacked: ledger.Nacked,
-		node.DeadLettered: ledger.Failed, node.Left: ledger.Left}[a.Verdict]
+		node.DeadLettered: ledger.Failed, node.ClientLeft: ledger.Left}[a.Verdict]
 	if verdict == ledger.Left {
 		return
 	}
@@ -205,13 +205,13 @@
 	op.Body, _ = node.ReadPayload(strings.NewReader(""), 0)
 	op.Category = policy.CategoryID(h.category)
 	op.Tenant = policy.TenantID(max(0, h.arrival.Tenant))
-	op.NotAfter = r.now + max(0, left)/policy.Millisecond*policy.Millisecond
-	op.Repeated = h.repeated
+	op.Deadline = r.now + max(0, left)/policy.Millisecond*policy.Millisecond
+	op.ClientRetry = h.repeated
 	h.node = op
 	b.byRequest[&op.Request] = h
 	b.hands = append(b.hands, h)
 	b.clock.Set(r.now)
-	b.node.Arrive(op)
+	b.node.Submit(op)
 	b.work()
 }
 
@@ -228,7 +228,7 @@
 func (b *balancer) Push(p *node.Push) {
 	r := b.run
 	h := b.byRequest[p.Request]
-	p.Begin() // simulated connections are up at once
+	p.TryBegin() // simulated connections are up at once
 	to, known := r.byID[p.Server]
 	f := &flight{node: b, handle: p, hand: h, push: -1}
 	b.flights = append(b.flights, f)
@@ -239,14 +239,14 @@
 		return
 	}
 	f.to, f.arrival, f.try = r.servers[to], h.arrival, h.try
-	f.work, f.until = h.arrival.Work[b.Tier], r.now+p.For
+	f.work, f.until = h.arrival.Work[b.Tier], r.now+p.Timeout
 	if way, lost := r.way(b, f.to); !lost {
 		r.at(r.now+r.hop()+way, func() { f.to.arrive(f) })
 	}
 }
 
 // Follow implements node.Servers: nothing is kept that a list would change.
-func (b *balancer) Follow(*node.List) {}
+func (b *balancer) UpdateList(*node.List) {}
 
 // CloseIdle does nothing: simulated connections don't die unseen.
 func (b *balancer) CloseIdle(policy.ServerID) {}
@@ -275,7 +275,7 @@
 		f.hand.acked = f
 	}
 	b.clock.Set(b.run.now)
-	b.node.Ended(f.handle, node.Result{Outcome: how})
+	b.node.PushEnded(f.handle, node.Result{Outcome: how})
 	b.work()
 }
 
@@ -336,7 +336,7 @@
 func (b *balancer) listed(life int, list *node.List) {
 	if b.up && b.lives == life {
 		b.clock.Set(b.run.now)
-		b.node.Listed(list)
+		b.node.ListReceived(list)
 		b.work()
 	}
 }
@@ -354,17 +354,17 @@
 	if catalog.Generation() == b.generation && !first {
 		return
 	}
-	entries, whole := catalog.Since(b.generation)
+	entries, whole := catalog.ChangesSince(b.generation)
 	b.generation = catalog.Generation()
 	list := &node.List{Form: policy.ListChanges}
 	if whole {
-		list.Form = policy.ListWhole
+		list.Form = policy.ListFull
 	}
 	list.Entries, list.Addrs = r.list(entries...)
 	listed := make(map[int]bool)
 	for _, e := range entries {
 		listed[e.Server] = true
-		r.account.Told(b.place, e.Server, e.State, e.Started, r.now)
+		r.account.Told(b.place, e.Server, e.State, e.StartedAt, r.now)
 	}
 	if whole {
 		for i := range r.servers {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -32,7 +32,7 @@
 func (s *server) start() {
 	s.up, s.silent, s.started, s.open = true, false, s.run.now, 0
 	clear(s.idle)
-	s.model.Start(s.run.now)
+	s.model.RestartCold(s.run.now)
 	if s.node != nil && !s.node.up {
 		s.node.start() // a server's own node starts with it
 	}
@@ -46,7 +46,7 @@
 	s.up, s.open = false, 0
 	clear(s.idle)
 	for _, j := range s.model.Crash() {
-		f := j.Note.(*flight)
+		f := j.Context.(*flight)
 		s.book(j, f)
 		if !s.silent {
 			f.answer(policy.Reset)
@@ -143,21 +143,21 @@
 	}
 	key, category := r.account.KeyOf(f.try)
 	memory := r.memory(category, s.machine)
-	if memory != nil && memory.Repeat(r.now, keyText(key)) {
+	if memory != nil && memory.CheckAndRemember(r.now, keyText(key)) {
 		f.answer(policy.Acked)
 		return
 	}
 	f.key = keyText(key)
-	f.job = &fleet.Job{Work: f.work + price, Told: r.account.KnowsStart(f.node.place, s.place, s.started), Note: f}
+	f.job = &fleet.Job{Work: f.work + price, StartKnown: r.account.KnowsStart(f.node.place, s.place, s.started), Context: f}
 	got := s.model.Arrive(r.now, f.job)
-	r.account.Pressed(s.model.Pressed())
+	r.account.Pressed(s.model.PeakLoad())
 	switch got {
-	case fleet.Taken:
+	case fleet.Accepted:
 		if down := f.arrival.Kills; down > 0 && f.arrival.In == s.machine.Tier {
 			r.at(r.now+policy.Millisecond, func() { s.die(f.life, down) })
 		}
-	case fleet.Tips, fleet.TipsUnseen:
-		r.account.Tipped(s.place, got == fleet.Tips)
+	case fleet.CollapsedByInformed, fleet.CollapsedByUninformed:
+		r.account.Tipped(s.place, got == fleet.CollapsedByInformed)
 		fallthrough
 	default:
 		if memory != nil {
@@ -171,7 +171,7 @@
 
 // wake sets the event at which the next job's own work is over.
 func (s *server) wake() {
-	next := s.model.Next()
+	next := s.model.NextCompletion()
 	if next == fleet.Never || s.wakes <= next && s.wakes > s.run.now {
 		return
 	}
@@ -190,7 +190,7 @@
 
 // book writes down what a job was. One that never ran is no repeat's first.
 func (s *server) book(j *fleet.Job, f *flight) {
-	if j.Begun() {
+	if j.Started() {
 		s.run.account.Effect(f.push)
 		s.run.account.Worked(f.push, j.Work)
 		return
@@ -203,7 +203,7 @@
 
 // done is the end of a job's own work. What it needs of the next tier comes now, one call after another.
 func (s *server) done(j *fleet.Job) {
-	f := j.Note.(*flight)
+	f := j.Context.(*flight)
 	s.book(j, f)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
@@ -254,7 +254,7 @@
 	if f.job == nil || f.life != s.started || !s.up {
 		return
 	}
-	if s.model.Leave(s.run.now, f.job) {
+	if s.model.Cancel(s.run.now, f.job) {
 		s.book(f.job, f)
 	}
 	s.disconnect(f)
@@ -262,7 +262,7 @@
 }
 
 // memory is that of a category's group, or nil.
-func (r *run) memory(category int, m scenario.Machine) *fleet.Memory {
+func (r *run) memory(category int, m scenario.Machine) *fleet.DedupMemory {
 	return r.memories.Of(r.Scenario, category, m, r.account.Tolerance())
 }
 
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -206,11 +206,11 @@
 }
 
 // list is the catalog's entries as the module takes them.
-func (r *run) list(entries ...registry.Entry) ([]policy.Entry, []string) {
-	var out []policy.Entry
+func (r *run) list(entries ...registry.Entry) ([]policy.ListEntry, []string) {
+	var out []policy.ListEntry
 	for _, e := range entries {
-		out = append(out, policy.Entry{Server: id(e.Server), Started: e.Started, Weight: e.Weight,
-			Cell: policy.CellID(e.Cell), Kind: policy.KindID(e.Kind), Zone: policy.ZoneID(e.Zone), State: e.State})
+		out = append(out, policy.ListEntry{Server: id(e.Server), StartedAt: e.StartedAt, Weight: e.Weight,
+			Cell: policy.CellID(e.Cell), MachineType: policy.MachineTypeID(e.MachineType), Zone: policy.ZoneID(e.Zone), State: e.State})
 	}
 	return out, make([]string, len(out))
 }
@@ -223,7 +223,7 @@
 	server := r.servers[step.Server]
 	switch step.Verb {
 	case scenario.Slow:
-		server.model.Slow(step.Factor)
+		server.model.SetSlowdown(step.Factor)
 	case scenario.Stall:
 		server.model.Stall(r.now, start+step.Until)
 	case scenario.Crash:
@@ -248,8 +248,8 @@
 		r.slow = step.Until
 	case scenario.RegistryFreeze, scenario.RegistryThaw, scenario.RegistryTrue:
 		for _, c := range r.catalogs {
-			map[scenario.Verb]func(){scenario.RegistryFreeze: c.Freeze, scenario.RegistryThaw: c.Thaw,
-				scenario.RegistryTrue: c.Correct}[step.Verb]()
+			map[scenario.Verb]func(){scenario.RegistryFreeze: c.SaveSnapshot, scenario.RegistryThaw: c.ServeSnapshot,
+				scenario.RegistryTrue: c.ServeCurrent}[step.Verb]()
 		}
 		r.publish()
 	case scenario.NodeCrash:
@@ -269,12 +269,12 @@
 
 func (r *run) listed(place int, state policy.ServerState) {
 	m := r.plan.Machines[place]
-	e, known := r.catalogs[m.Tier].Entry(place)
+	e, known := r.catalogs[m.Tier].Lookup(place)
 	if !known {
 		e = m.Entry(place)
 	}
-	e.State, e.Started = state, r.servers[place].started
-	r.catalogs[m.Tier].Set(e)
+	e.State, e.StartedAt = state, r.servers[place].started
+	r.catalogs[m.Tier].SetEntry(e)
 	r.publish()
 }
 
@@ -293,7 +293,7 @@
 	if n.module == nil || !n.up {
 		return
 	}
-	n.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+	n.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
 		name := "all"
 		if server != 0 {
 			name = fmt.Sprintf("s-%d", r.byID[server])
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -44,11 +44,11 @@
 	ops     map[policy.OpID]*plainOp
 	turn    int
 	effects []policy.Effect
-	token   policy.Token
+	token   policy.TimerToken
 }
 
 type plain struct {
-	policy.Entry
+	policy.ListEntry
 	out int
 }
 
@@ -59,8 +59,8 @@
 	out      int
 	risky    bool // a push may have run
 	over     bool
-	to       policy.Entry // of the last push, as it was listed then: it may have left the list since
-	first    policy.Entry // of the first push that may have run
+	to       policy.ListEntry // of the last push, as it was listed then: it may have left the list since
+	first    policy.ListEntry // of the first push that may have run
 	risk     policy.Micros
 }
 
@@ -79,7 +79,7 @@
 	b.effects = b.effects[:0]
 	switch in.Kind {
 	case policy.OpArrived:
-		o := &plainOp{category: in.Category, notAfter: in.NotAfter}
+		o := &plainOp{category: in.Category, notAfter: in.Deadline}
 		b.ops[in.Op] = o
 		b.push(now, in.Op, o)
 	case policy.PushEnded:
@@ -95,11 +95,11 @@
 			o.over = true
 			b.forget(in.Op, o)
 		}
-	case policy.Woken:
+	case policy.TimerFired:
 		if in.Token == b.token {
-			b.emit(policy.Effect{Kind: policy.Watch})
+			b.emit(policy.Effect{Kind: policy.WatchRegistry})
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		b.list(now, in)
 	}
 	return b.effects
@@ -111,18 +111,18 @@
 	switch in.Form {
 	case policy.ListFailed:
 		b.token++
-		b.emit(policy.Effect{Kind: policy.Wake, At: now + relist, Token: b.token})
+		b.emit(policy.Effect{Kind: policy.SetTimer, TimerAt: now + relist, Token: b.token})
 		return
 	case policy.ListCached:
-		b.emit(policy.Effect{Kind: policy.Watch})
+		b.emit(policy.Effect{Kind: policy.WatchRegistry})
 	}
 	listed := make(map[policy.ServerID]bool, len(in.List))
 	for _, e := range in.List {
 		listed[e.Server] = e.State != policy.Gone
 		if at, known := b.place[e.Server]; known {
-			b.servers[at].Entry = e
+			b.servers[at].ListEntry = e
 		} else if e.State != policy.Gone {
-			b.servers = append(b.servers, plain{Entry: e})
+			b.servers = append(b.servers, plain{ListEntry: e})
 			b.place[e.Server] = len(b.servers) - 1
 		}
 	}
@@ -141,23 +141,23 @@
 }
 
 // allowed says whether an op may go to a server by its kind of repeat.
-func (b *baseline) allowed(now policy.Micros, o *plainOp, e *policy.Entry) bool {
+func (b *baseline) allowed(now policy.Micros, o *plainOp, e *policy.ListEntry) bool {
 	c := &b.rules.Categories[o.category]
 	if e.State != policy.Ready {
 		return false
 	}
-	if !o.risky || c.Repeat == policy.Redeliverable {
+	if !o.risky || c.Delivery == policy.Redeliverable {
 		return true
 	}
-	return c.Repeat == policy.Deduplicated && now < o.risk+c.Window && (c.Scope == policy.ScopeAll ||
-		c.Scope == policy.ScopeZone && e.Zone == o.first.Zone || c.Scope == policy.ScopeCell && e.Cell == o.first.Cell)
+	return c.Delivery == policy.Deduplicated && now < o.risk+c.DedupWindow && (c.DedupScope == policy.DedupScopeAll ||
+		c.DedupScope == policy.DedupScopeZone && e.Zone == o.first.Zone || c.DedupScope == policy.DedupScopeCell && e.Cell == o.first.Cell)
 }
 
 func (b *baseline) push(now policy.Micros, id policy.OpID, o *plainOp) {
 	var can []int
-	if o.pushes < b.rules.Push.Max && now < o.notAfter {
+	if o.pushes < b.rules.PushLimits.MaxPushes && now < o.notAfter {
 		for i := range b.servers {
-			if b.allowed(now, o, &b.servers[i].Entry) && (b.servers[i].Server != o.to.Server || o.pushes == 0) {
+			if b.allowed(now, o, &b.servers[i].ListEntry) && (b.servers[i].Server != o.to.Server || o.pushes == 0) {
 				can = append(can, i)
 			}
 		}
@@ -165,7 +165,7 @@
 	if len(can) == 0 {
 		o.over = true
 		kind := policy.Nack
-		if o.risky && b.rules.Categories[o.category].Repeat != policy.Redeliverable {
+		if o.risky && b.rules.Categories[o.category].Delivery != policy.Redeliverable {
 			kind = policy.DeadLetter
 		}
 		b.emit(policy.Effect{Kind: kind, Op: id})
@@ -188,19 +188,19 @@
 	s.out++
 	o.pushes++
 	o.out++
-	o.to = s.Entry
+	o.to = s.ListEntry
 	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: s.Server,
-		For: min(o.notAfter-now, b.rules.Categories[o.category].Target)})
+		Duration: min(o.notAfter-now, b.rules.Categories[o.category].TargetLatency)})
 }
 
 func (b *baseline) ended(now policy.Micros, in *policy.Input, o *plainOp) {
-	if in.Settled {
+	if in.OpSettled {
 		o.over = true
 	}
 	switch in.Outcome {
 	case policy.Acked, policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
 		if !o.risky {
-			o.first, o.risk = o.to, now-in.Took
+			o.first, o.risk = o.to, now-in.Latency
 		}
 		o.risky = true
 	}
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -51,7 +51,7 @@
 	case "drained-send":
 		return drainedSend{d}, nil
 	case "cold-flood":
-		return &coldFlood{inner: d, meant: make(map[pushOf]policy.ServerID), pushes: make(map[policy.OpID]policy.PushNo)}, nil
+		return &coldFlood{inner: d, meant: make(map[pushOf]policy.ServerID), pushes: make(map[policy.OpID]policy.PushNumber)}, nil
 	}
 	names := make([]string, 0, len(Faults))
 	for name := range Faults {
@@ -84,7 +84,7 @@
 		if d.extra[in.Op] && in.Push > 1 {
 			told.Push--
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		for _, e := range in.List {
 			if e.State == policy.Ready {
 				d.servers = append(d.servers, e.Server)
@@ -97,7 +97,7 @@
 			e.Push++
 		}
 		d.out = append(d.out, e)
-		if e.Kind != policy.Push || d.extra[e.Op] || d.rules.Categories[d.category[e.Op]].Repeat == policy.Redeliverable {
+		if e.Kind != policy.Push || d.extra[e.Op] || d.rules.Categories[d.category[e.Op]].Delivery == policy.Redeliverable {
 			continue
 		}
 		for _, other := range d.servers {
@@ -140,11 +140,11 @@
 type drainedSend struct{ inner policy.Decider }
 
 func (d drainedSend) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	if in.Kind != policy.ListCame {
+	if in.Kind != policy.ListReceived {
 		return d.inner.Step(now, in)
 	}
 	told := *in
-	told.List = append([]policy.Entry(nil), in.List...)
+	told.List = append([]policy.ListEntry(nil), in.List...)
 	for i := range told.List {
 		told.List[i].State = policy.Ready
 	}
@@ -153,7 +153,7 @@
 
 type pushOf struct {
 	op   policy.OpID
-	push policy.PushNo
+	push policy.PushNumber
 }
 
 // coldFlood sends every push to the server that started last.
@@ -162,7 +162,7 @@
 	cold   policy.ServerID
 	until  policy.Micros
 	meant  map[pushOf]policy.ServerID
-	pushes map[policy.OpID]policy.PushNo
+	pushes map[policy.OpID]policy.PushNumber
 	out    []policy.Effect
 }
 
@@ -175,12 +175,12 @@
 		if meant, other := c.meant[pushOf{in.Op, in.Push}]; other {
 			told.Server = meant
 			// The module would hold back as soon as its pushes take long, wherever it thinks they went.
-			told.Took = min(told.Took, unseen)
+			told.Latency = min(told.Latency, unseen)
 			delete(c.meant, pushOf{in.Op, in.Push})
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		for _, e := range in.List {
-			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.Started < policy.Second {
+			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.StartedAt < policy.Second {
 				c.cold, c.until = e.Server, now+flood
 			}
 		}
