--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -14,19 +14,20 @@
 	experiments "canvasrouter/lab"
 )
 
+// membersCommand measures how long nodes take to agree on the members of the fleet.
 type membersCommand struct {
-	Nodes []int         `help:"How many processes, one run each." default:"10,50"`
-	Node  string        `help:"The node's program." type:"existingfile" placeholder:"PATH" required:""`
-	Cuts  int           `help:"Cut and heal so often at the end of each run, and look for what is left over." default:"0"`
-	Calm  time.Duration `help:"How long bytes and CPU are counted while nothing happens." default:"10s"`
-	Seed  uint64        `help:"Of the relay's chance." default:"1"`
+	Nodes        []int         `help:"Numbers of processes, one run each." default:"10,50"`
+	Node         string        `help:"The node's program." type:"existingfile" placeholder:"PATH" required:""`
+	CutCount     int           `name:"cuts" help:"Number of short partitions at the end of each run, after which memory and descriptors are measured again." default:"0"`
+	IdleDuration time.Duration `name:"calm" help:"How long traffic and CPU time of the idle fleet are measured." default:"10s"`
+	Seed         uint64        `help:"Seed of the relay's random numbers." default:"1"`
 }
 
-// mostAgree ends a wait for agreement.
-const mostAgree = 90 * time.Second
+// maxAgreementTime limits each wait for agreement.
+const maxAgreementTime = 90 * time.Second
 
-// Run starts processes that hear each other, without servers and clients, and measures how long they take to agree on who
-// is there, and what that costs.
+// Run starts processes that exchange peer messages, without servers and clients, and prints how long they take to agree
+// on the members, and the cost in traffic, CPU time, memory and descriptors.
 func (m *membersCommand) Run(ctx context.Context) error {
 	fmt.Println("| processes | joined | a tenth killed | one side, the other of a cut (a third) | healed | bytes, datagrams a node and s | CPU a node | MB, descriptors |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -41,113 +42,126 @@
 	return nil
 }
 
+// measure runs one fleet: it measures agreement after the start, after a tenth of the nodes is killed, and during and
+// after a partition that separates a third of the nodes.
 func (m *membersCommand) measure(ctx context.Context, nodes int) (err error) {
-	s, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
+	experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 	if err != nil {
 		return err
 	}
-	p, err := together.NewProcesses(m.Node, s, nodes, m.Seed)
+	processes, err := together.NewProcesses(m.Node, experiment, nodes, m.Seed)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, p.Close()) }()
+	defer func() { err = errors.Join(err, processes.Close()) }()
 	all := make([]int, nodes)
 	for i := range all {
 		all[i] = i
-		if err := p.Start(i); err != nil {
+		if err := processes.Start(i); err != nil {
 			return err
 		}
 	}
-	agree := func(places []int) time.Duration {
+	agree := func(members []int) time.Duration {
 		if err != nil {
 			return 0
 		}
 		var took time.Duration
-		took, err = p.WaitForAgreement(ctx, places, mostAgree)
-		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(places), nodes, took.Round(10*time.Millisecond))
+		took, err = processes.WaitForAgreement(ctx, members, maxAgreementTime)
+		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(members), nodes, took.Round(10*time.Millisecond))
 		return took.Round(10 * time.Millisecond)
 	}
 	joined := agree(all)
-	bytes, datagrams, cpu := m.calm(ctx, p, nodes)
-	dead := max(1, nodes/10)
-	for _, place := range all[nodes-dead:] {
-		if err := p.Signal(place, syscall.SIGKILL); err != nil {
+	bytes, datagrams, cpu := m.measureIdle(ctx, processes, nodes)
+	killCount := max(1, nodes/10)
+	for _, node := range all[nodes-killCount:] {
+		if err := processes.Signal(node, syscall.SIGKILL); err != nil {
 			return err
 		}
 	}
-	killed := agree(all[:nodes-dead])
-	for _, place := range all[nodes-dead:] {
-		if err := p.Start(place); err != nil {
+	killed := agree(all[:nodes-killCount])
+	for _, node := range all[nodes-killCount:] {
+		if err := processes.Start(node); err != nil {
 			return err
 		}
 	}
 	agree(all)
-	third := nodes / 3
-	apart := func(from, to int) relay.Impairment {
-		return relay.Impairment{Cut: (from%nodes < third) != (to%nodes < third)}
-	}
-	cut := p.Relay.AddFault(apart)
-	begun := time.Now()
-	agree(all[:third])
-	small := time.Since(begun).Round(10 * time.Millisecond)
-	agree(all[third:])
-	large := time.Since(begun).Round(10 * time.Millisecond)
-	p.Relay.RemoveFault(cut)
+	thirdOfNodes := nodes / 3
+	separated := func(from, to int) relay.Impairment {
+		return relay.Impairment{Cut: (from%nodes < thirdOfNodes) != (to%nodes < thirdOfNodes)}
+	}
+	cut := processes.Relay.AddFault(separated)
+	cutAt := time.Now()
+	agree(all[:thirdOfNodes])
+	smallSide := time.Since(cutAt).Round(10 * time.Millisecond)
+	agree(all[thirdOfNodes:])
+	largeSide := time.Since(cutAt).Round(10 * time.Millisecond)
+	processes.Relay.RemoveFault(cut)
 	healed := agree(all)
 	if err != nil {
 		return err
 	}
-	var mb float64
-	descriptors := 0
-	for _, place := range all {
-		_, of, open := p.ProcessUsage(place)
-		mb, descriptors = max(mb, of), max(descriptors, open)
+	var maxMemory float64
+	maxDescriptors := 0
+	for _, node := range all {
+		_, memory, descriptors := processes.ProcessUsage(node)
+		maxMemory = max(maxMemory, memory)
+		maxDescriptors = max(maxDescriptors, descriptors)
 	}
-	fmt.Printf("| %d | %v | %v | %v, %v | %v | %.0f, %.1f | %.2f%% | %.1f, %d |\n", nodes, joined, killed, small, large, healed, bytes, datagrams, 100*cpu, mb, descriptors)
-	return m.cuts(ctx, p, all, apart, mb, descriptors)
+	fmt.Printf("| %d | %v | %v | %v, %v | %v | %.0f, %.1f | %.2f%% | %.1f, %d |\n", nodes, joined, killed, smallSide, largeSide,
+		healed, bytes, datagrams, 100*cpu, maxMemory, maxDescriptors)
+	return m.repeatCuts(ctx, processes, all, separated, maxMemory, maxDescriptors)
 }
 
-// calm counts what is said, and the CPU used, while nothing happens: a node and second.
-func (m *membersCommand) calm(ctx context.Context, p *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
-	sum := func() (b, d, c float64) {
+// measureIdle returns the bytes, datagrams and CPU seconds that an idle fleet uses per node and second.
+func (m *membersCommand) measureIdle(ctx context.Context, processes *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
+	totals := func() (bytes, datagrams, cpu float64) {
 		for i := range nodes {
-			n := p.Relay.Traffic(i)
-			used, _, _ := p.ProcessUsage(i)
-			b, d, c = b+float64(n.SentBytes+n.SentStreamBytes), d+float64(n.SentDatagrams), c+used
+			traffic := processes.Relay.Traffic(i)
+			used, _, _ := processes.ProcessUsage(i)
+			bytes += float64(traffic.SentBytes + traffic.SentStreamBytes)
+			datagrams += float64(traffic.SentDatagrams)
+			cpu += used
 		}
-		return b, d, c
+		return bytes, datagrams, cpu
 	}
-	b0, d0, c0 := sum()
+	bytesBefore, datagramsBefore, cpuBefore := totals()
 	select {
-	case <-time.After(m.Calm):
+	case <-time.After(m.IdleDuration):
 	case <-ctx.Done():
 	}
-	b1, d1, c1 := sum()
-	per := float64(nodes) * m.Calm.Seconds()
-	return (b1 - b0) / per, (d1 - d0) / per, (c1 - c0) / per
+	bytesAfter, datagramsAfter, cpuAfter := totals()
+	nodeSeconds := float64(nodes) * m.IdleDuration.Seconds()
+	bytes = (bytesAfter - bytesBefore) / nodeSeconds
+	datagrams = (datagramsAfter - datagramsBefore) / nodeSeconds
+	cpu = (cpuAfter - cpuBefore) / nodeSeconds
+	return bytes, datagrams, cpu
 }
 
-// cuts cuts and heals again and again, and says what is left over.
-func (m *membersCommand) cuts(ctx context.Context, p *together.Processes, all []int, apart func(int, int) relay.Impairment, mb float64, descriptors int) error {
-	if m.Cuts == 0 {
+// repeatCuts partitions and heals the fleet many times, and prints memory and descriptors afterwards. More than before
+// indicates a leak.
+func (m *membersCommand) repeatCuts(ctx context.Context, processes *together.Processes, all []int,
+	separated func(int, int) relay.Impairment, memoryBefore float64, descriptorsBefore int) error {
+	if m.CutCount == 0 {
 		return nil
 	}
-	for range m.Cuts {
-		cut := p.Relay.AddFault(apart)
+	for range m.CutCount {
+		cut := processes.Relay.AddFault(separated)
 		time.Sleep(400 * time.Millisecond)
-		p.Relay.RemoveFault(cut)
+		processes.Relay.RemoveFault(cut)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if _, err := p.WaitForAgreement(ctx, all, mostAgree); err != nil {
+	if _, err := processes.WaitForAgreement(ctx, all, maxAgreementTime); err != nil {
 		return err
 	}
-	time.Sleep(3 * time.Second) // streams that were open have ended
-	var most float64
-	open := 0
-	for _, place := range all {
-		_, of, n := p.ProcessUsage(place)
-		most, open = max(most, of), max(open, n)
+	time.Sleep(3 * time.Second) // until streams that were open have ended
+	var maxMemory float64
+	maxDescriptors := 0
+	for _, node := range all {
+		_, memory, descriptors := processes.ProcessUsage(node)
+		maxMemory = max(maxMemory, memory)
+		maxDescriptors = max(maxDescriptors, descriptors)
 	}
-	fmt.Printf("\nafter %d cuts of 0.4 s: %.1f MB and %d descriptors at the most (%.1f and %d before)\n", m.Cuts, most, open, mb, descriptors)
+	fmt.Printf("\nafter %d cuts of 0.4 s: %.1f MB and %d descriptors at the most (%.1f and %d before)\n", m.CutCount, maxMemory,
+		maxDescriptors, memoryBefore, descriptorsBefore)
 	return nil
 }
