--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -99,9 +99,9 @@
 	}
 	switch {
 	case l.Disturbances:
-		show(scenario.TroubleKinds)
+		show(scenario.DisturbanceKinds)
 	case l.PeerFaults:
-		show(scenario.BetweenKinds)
+		show(scenario.PeerFaultKinds)
 	case l.Faults:
 		show(trial.Faults)
 	default:
@@ -114,7 +114,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, experiment.Driver, experiment.Duration.Ms()/1000, experiment.About)
+			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, experiment.Driver, experiment.Duration.Milliseconds()/1000, experiment.Description)
 		}
 	}
 	return nil
@@ -204,7 +204,7 @@
 		fmt.Println("report:", page)
 	}
 	printSummary(os.Stdout, result)
-	if len(result.Failures) > 0 {
+	if len(result.FailedExpectations) > 0 {
 		return errNotMet
 	}
 	return nil
@@ -228,10 +228,10 @@
 	}
 	original := *experiment
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	result, err := lab.Run(ctx, experiment, options, func(now policy.Micros, runLedger *ledger.Account) {
+	result, err := lab.Run(ctx, experiment, options, func(now policy.Micros, runLedger *ledger.Ledger) {
 		progress := runLedger.Progress()
 		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", original.Name, float64(now)/1e6, progress.Offered,
-			progress.Served, progress.Nacked, progress.Open)
+			progress.Served, progress.Nacked, progress.Pending)
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%s", line)
 		} else {
@@ -252,30 +252,30 @@
 	}
 	fmt.Fprintf(w, "%s, %s, %s, seed %d%s\n", result.Name, result.Policy, result.Driver, result.Seed, partial)
 	fmt.Fprintf(w, "  ops %d: served %d, nacked %d, dead-lettered %d, left %d; served benefit %.3f\n", result.Ops, result.Served,
-		result.Nacked, result.DeadLettered, result.Left, result.ServedBenefit)
+		result.Nacked, result.DeadLettered, result.ClientLeft, result.ServedBenefit)
 	fmt.Fprintf(w, "  p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f pushes an op; wasted work %.3f\n", result.P50Ms, result.P99Ms,
-		result.P999Ms, result.PushesPerOp, result.Wasted)
-	if result.ColdFullest > 0 {
+		result.P999Ms, result.PushesPerOp, result.WastedWork)
+	if result.ColdPeakLoad > 0 {
 		fmt.Fprintf(w, "  highest load of a cold server in a window: %.2f of its budget plus the allowance for chance; %d servers collapsed\n",
-			result.ColdFullest, result.TippedOver)
+			result.ColdPeakLoad, result.CollapsedServers)
 	}
-	if traffic := result.Between; traffic != nil {
+	if traffic := result.PeerTraffic; traffic != nil {
 		fmt.Fprintf(w, "  between nodes: %.0f bytes and %.1f datagrams a node and second, the busiest node %.0f bytes; at most %.2f of a node's servers closed by reports of peers; harness late %.1f ms\n",
-			traffic.Bytes, traffic.Datagrams, traffic.MostBytes, traffic.Closed, result.RigLateMs)
+			traffic.BytesPerSecond, traffic.DatagramsPerSecond, traffic.MaxBytesPerSecond, traffic.MaxClosedByPeers, result.HarnessLateMs)
 	}
 	if len(result.BrokenRules) == 0 {
 		fmt.Fprintln(w, "  the four rules hold")
 	} else {
 		fmt.Fprintf(w, "  broken rules: %s\n", strings.Join(result.BrokenRules, ", "))
 	}
-	for i, breach := range result.Breaches {
+	for i, breach := range result.BreachMessages {
 		if i == 5 {
-			fmt.Fprintf(w, "    and %d more\n", len(result.Breaches)-i)
+			fmt.Fprintf(w, "    and %d more\n", len(result.BreachMessages)-i)
 			break
 		}
 		fmt.Fprintln(w, "   ", breach)
 	}
-	for _, failure := range result.Failures {
+	for _, failure := range result.FailedExpectations {
 		fmt.Fprintln(w, "  NOT MET:", failure)
 	}
 	fmt.Fprintln(w, "  again:", result.Command)
@@ -312,11 +312,11 @@
 	} else {
 		duration := experiment.Duration.Micros()
 		if r.Short {
-			duration = experiment.Short.Micros()
+			duration = experiment.ShortDuration.Micros()
 		}
-		arrivals := load.Make(experiment, duration, r.Seed)
+		arrivals := load.Generate(experiment, duration, r.Seed)
 		count = len(arrivals)
-		err = load.Write(file, arrivals)
+		err = load.WriteTrace(file, arrivals)
 	}
 	if err == nil {
 		err = file.Close()
@@ -363,7 +363,7 @@
 	err = live.Serve(ctx, options, func(nodes []string) {
 		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(experiment.Machines()))
 		for _, category := range experiment.Categories {
-			if category.Repeat == "redeliverable" {
+			if category.Delivery == "redeliverable" {
 				fmt.Printf("  curl -i -H 'X-Txn: 1' -H 'X-Remaining-Ms: 900' %s/%s\n", nodes[0], category.Name)
 			}
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -79,23 +79,23 @@
 func (o *RunOptions) Arrivals(experiment *scenario.Scenario, duration policy.Micros) ([]load.Arrival, error) {
 	file := o.TraceFile
 	if file == "" {
-		file = experiment.Load.Trace
+		file = experiment.Load.TraceFile
 	}
 	if file == "" {
-		return load.Make(experiment, duration, o.Seed), nil
+		return load.Generate(experiment, duration, o.Seed), nil
 	}
 	raw, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer raw.Close()
-	return load.Read(raw, experiment, duration)
+	return load.ReadTrace(raw, experiment, duration)
 }
 
 // loadDuration is how long the load of a run lasts.
 func (o *RunOptions) loadDuration(experiment *scenario.Scenario) policy.Micros {
 	if o.Short {
-		return experiment.Short.Micros()
+		return experiment.ShortDuration.Micros()
 	}
 	return experiment.Duration.Micros()
 }
@@ -116,13 +116,13 @@
 }
 
 // ProgressFunc is called about once a second of a run with the time since the load began.
-type ProgressFunc func(now policy.Micros, a *ledger.Account)
+type ProgressFunc func(now policy.Micros, a *ledger.Ledger)
 
 // Run runs an experiment and checks its result. When ctx is done before the end, the result is partial and only the
 // rules are checked.
 func Run(ctx context.Context, experiment *scenario.Scenario, options RunOptions, onSecond ProgressFunc) (*ledger.Result, error) {
 	if options.NodeCount > 0 {
-		experiment.Tiers[0].Nodes = options.NodeCount
+		experiment.Tiers[0].NodeCount = options.NodeCount
 	}
 	if options.NoPeerMessages && experiment.Fleet != nil {
 		experiment.Fleet = &scenario.Fleet{}
@@ -140,20 +140,20 @@
 		driver = experiment.Driver
 	}
 	var result *ledger.Result
-	var runLedger *ledger.Account
+	var runLedger *ledger.Ledger
 	switch driver {
 	case "sim":
 		if options.NodeProgram != "" {
 			return nil, errors.New("nodes of another program can't be played in simulated time")
 		}
 		result, runLedger, err = sim.Run(ctx, sim.Options{
-			Scenario: experiment,
-			Policy:   options.Policy,
-			Fault:    options.InjectedFault,
-			Seed:     options.Seed,
-			Length:   duration,
-			Arrivals: arrivals,
-			Tick:     onSecond,
+			Scenario:     experiment,
+			Policy:       options.Policy,
+			Fault:        options.InjectedFault,
+			Seed:         options.Seed,
+			LoadDuration: duration,
+			Arrivals:     arrivals,
+			OnSecond:     onSecond,
 		})
 	case "live":
 		result, runLedger, err = live.Run(ctx, live.Options{
@@ -186,29 +186,29 @@
 
 // checkResult adds the expectations that were not met to the result. With an injected fault the only expectation is that
 // the ledger finds it. A partial result is checked against the rules only.
-func (o *RunOptions) checkResult(result *ledger.Result, runLedger *ledger.Account, experiment *scenario.Scenario) {
+func (o *RunOptions) checkResult(result *ledger.Result, runLedger *ledger.Ledger, experiment *scenario.Scenario) {
 	switch {
 	case o.InjectedFault != "":
-		result.Failures = []string{}
+		result.FailedExpectations = []string{}
 		rule := trial.Faults[o.InjectedFault]
 		for _, broken := range result.BrokenRules {
 			if broken == rule {
 				return
 			}
 		}
-		result.Failures = append(result.Failures,
+		result.FailedExpectations = append(result.FailedExpectations,
 			fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", o.InjectedFault, rule))
 	case result.Partial:
 		*experiment = scenario.Scenario{Categories: experiment.Categories, Tenants: experiment.Tenants, Limits: experiment.Limits}
-		result.Judge(runLedger)
+		result.CheckExpectations(runLedger)
 	default:
 		if o.Short || result.Policy != trial.Module {
 			// The bounds apply to the full load and the module. The rules always apply.
-			experiment.Expect = scenario.Expect{Broken: experiment.Expect.Broken}
+			experiment.Expect = scenario.Expect{BrokenRules: experiment.Expect.BrokenRules}
 		}
-		result.Judge(runLedger)
+		result.CheckExpectations(runLedger)
 	}
-	if result.Void != "" {
-		result.Failures = append(result.Failures, "the run is void: "+result.Void)
+	if result.VoidReason != "" {
+		result.FailedExpectations = append(result.FailedExpectations, "the run is void: "+result.VoidReason)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -37,13 +37,13 @@
 	experiment := readExperiment(t, "all-slow")
 	options := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
 	module, err := Run(t.Context(), experiment, options, nil)
-	if err != nil || len(module.Failures) > 0 {
-		t.Fatalf("%v %v", err, module.Failures)
+	if err != nil || len(module.FailedExpectations) > 0 {
+		t.Fatalf("%v %v", err, module.FailedExpectations)
 	}
 	unreachable := 1.0
-	experiment.Expect.Served = &unreachable
-	if result, _ := Run(t.Context(), experiment, options, nil); len(result.Failures) != 1 || !strings.Contains(result.Failures[0], "served_benefit") {
-		t.Errorf("failures %v", result.Failures)
+	experiment.Expect.MinServedBenefit = &unreachable
+	if result, _ := Run(t.Context(), experiment, options, nil); len(result.FailedExpectations) != 1 || !strings.Contains(result.FailedExpectations[0], "served_benefit") {
+		t.Errorf("failures %v", result.FailedExpectations)
 	}
 	options.Policy = "random"
 	random, err := Run(t.Context(), readExperiment(t, "all-slow"), options, nil)
@@ -80,12 +80,12 @@
 func TestCancelledRunIsPartial(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	experiment := readExperiment(t, "steady")
-	result, err := Run(ctx, experiment, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Account) {
+	result, err := Run(ctx, experiment, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Ledger) {
 		if now >= 3*policy.Second {
 			cancel()
 		}
 	})
-	if err != nil || !result.Partial || len(result.Failures) > 0 {
+	if err != nil || !result.Partial || len(result.FailedExpectations) > 0 {
 		t.Fatalf("%v %+v", err, result)
 	}
 	if _, err := json.Marshal(result); err != nil {
@@ -156,7 +156,7 @@
 	if count := <-done; count != 2 {
 		t.Errorf("%d arrivals recorded, want 2", count)
 	}
-	arrivals, err := load.Read(bytes.NewReader(file.Bytes()), experiment, 10*policy.Second)
+	arrivals, err := load.ReadTrace(bytes.NewReader(file.Bytes()), experiment, 10*policy.Second)
 	if err != nil || len(arrivals) != 2 || arrivals[1].Category != 1 || arrivals[1].Tenant != 1 {
 		t.Errorf("%v %+v", err, arrivals)
 	}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -57,7 +57,7 @@
 				encoder:     json.NewEncoder(samples),
 			}, nil
 		},
-		AdjustAnswerSlack: func(configured policy.Micros) policy.Micros { return trial.Slack(fault, configured) },
+		AdjustAnswerSlack: func(configured policy.Micros) policy.Micros { return trial.AnswerSlack(fault, configured) },
 	})
 }
 
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -69,13 +69,13 @@
 
 // closeIdle closes all idle connections. Bytes that are readable on one of them are recorded as an extra answer to its
 // last try, since no request is outstanding.
-func (e *endpoint) closeIdle(runLedger *ledger.Account) {
+func (e *endpoint) closeIdle(runLedger *ledger.Ledger) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.idleConns {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.Peek(1); err == nil {
-			runLedger.Extra(c.lastTry)
+			runLedger.RecordExtraAnswer(c.lastTry)
 		}
 		c.Close()
 	}
@@ -85,12 +85,12 @@
 // sendTry sends one try of an op to a node, records it in the ledger, and returns the verdict that the client saw and
 // the Retry-After time of a nack.
 func (r *run) sendTry(ctx context.Context, target *endpoint, node int, req opRequest) (ledger.Verdict, policy.Micros) {
-	try := r.ledger.Try(req.op, node, r.now(), req.deadline)
+	try := r.ledger.RecordTry(req.op, node, r.now(), req.deadline)
 	r.registerTry(try, req)
 	for {
 		verdict, retryAfter, resend := r.exchange(ctx, target, try, req)
 		if !resend {
-			r.ledger.End(try, r.now(), verdict)
+			r.ledger.RecordTryEnd(try, r.now(), verdict)
 			return verdict, retryAfter
 		}
 	}
@@ -112,7 +112,7 @@
 	category := &r.Scenario.Categories[req.category]
 	method := http.MethodPost
 	body := io.Reader(strings.NewReader(fmt.Sprintf(`{"op":%d}`, req.op)))
-	if category.Repeat == "redeliverable" {
+	if category.Delivery == "redeliverable" {
 		method = http.MethodGet
 		body = nil
 	}
@@ -122,7 +122,7 @@
 	}
 	request.Header.Set("X-Txn", transactionID(try))
 	request.Header.Set("X-Remaining-Ms", strconv.FormatInt(max(0, int64((req.deadline-r.now())/policy.Millisecond)), 10))
-	if category.Repeat != "redeliverable" {
+	if category.Delivery != "redeliverable" {
 		request.Header.Set("Idempotency-Key", fmt.Sprintf("k-%d", req.op))
 	}
 	if req.clientRetry {
@@ -146,7 +146,7 @@
 	c, err := target.acquire(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
-			return ledger.Left, 0, false
+			return ledger.ClientLeft, 0, false
 		}
 		return ledger.Refused, 0, false
 	}
@@ -158,7 +158,7 @@
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if c.Buffered() > 0 {
-		r.ledger.Extra(c.lastTry)
+		r.ledger.RecordExtraAnswer(c.lastTry)
 	}
 	err = r.httpRequest(try, req).Write(c)
 	if err == nil {
@@ -171,11 +171,11 @@
 			(errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
 			return 0, 0, true
 		case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded) && req.leavesAfter > 0:
-			return ledger.Left, 0, false
+			return ledger.ClientLeft, 0, false
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return ledger.Unanswered, 0, false
 		}
-		return ledger.Broken, 0, false
+		return ledger.ConnectionLost, 0, false
 	}
 	c.answered = true
 	c.lastTry = try
@@ -198,7 +198,7 @@
 	case http.StatusOK:
 		var answer server.AnswerBody
 		if json.Unmarshal(body, &answer) == nil {
-			r.ledger.ServedBy(answer.Push)
+			r.ledger.RecordServedBy(answer.Push)
 		}
 		return ledger.Served, 0, false
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -211,17 +211,17 @@
 // truncatedVerdict is the verdict on an incomplete answer: the connection broke, unless the run itself was cancelled.
 func truncatedVerdict(ctx context.Context) ledger.Verdict {
 	if ctx.Err() != nil {
-		return ledger.Left
+		return ledger.ClientLeft
 	}
-	return ledger.Broken
+	return ledger.ConnectionLost
 }
 
 // pickNode deals requests out among the nodes of the first tier. It skips nodes that refused a connection within the
 // last second, unless all of them did.
 func (r *run) pickNode() int {
-	nodeCount := r.Scenario.Tiers[0].Nodes
+	nodeCount := r.Scenario.Tiers[0].NodeCount
 	for range nodeCount {
-		node := r.Scenario.Deal(int(r.picks.Add(1)))
+		node := r.Scenario.AssignNode(int(r.picks.Add(1)))
 		target := r.nodes[node].endpoint
 		target.mu.Lock()
 		available := time.Now().After(target.skippedUntil)
@@ -230,46 +230,46 @@
 			return node
 		}
 	}
-	return r.Scenario.Deal(int(r.picks.Add(1)))
+	return r.Scenario.AssignNode(int(r.picks.Add(1)))
 }
 
 // runOp plays one client's op from the first try to the last retry.
 func (r *run) runOp(ctx context.Context, arrival *load.Arrival, intendedAt policy.Micros) {
 	category := &r.Scenario.Categories[arrival.Category]
-	op := r.ledger.Offer(intendedAt, arrival.Category, arrival.Tenant, 0)
+	op := r.ledger.RecordOp(intendedAt, arrival.Category, arrival.Tenant, 0)
 	refusals := 0
 	for attempt := 0; ctx.Err() == nil; {
 		req := opRequest{
 			op:          op,
 			arrival:     arrival,
 			category:    arrival.Category,
-			clientRetry: attempt > 0 && r.Scenario.Load.MarksRetry,
+			clientRetry: attempt > 0 && r.Scenario.Load.MarksRetries,
 			deadline:    max(r.now(), intendedAt+category.TTL.Micros()+policy.Micros(r.clockStep.Load())),
 		}
 		if attempt == 0 {
-			req.leavesAfter = arrival.Leaves
+			req.leavesAfter = arrival.LeavesAfter
 		}
 		node := r.pickNode()
 		verdict, retryAfter := r.sendTry(ctx, r.nodes[node].endpoint, node, req)
 		switch verdict {
-		case ledger.Served, ledger.Left:
+		case ledger.Served, ledger.ClientLeft:
 			return
 		case ledger.Refused:
 			target := r.nodes[node].endpoint
 			target.mu.Lock()
 			target.skippedUntil = time.Now().Add(time.Second)
 			target.mu.Unlock()
-			if refusals++; refusals <= r.Scenario.Tiers[0].Nodes && r.now()-intendedAt < category.TTL.Micros() {
+			if refusals++; refusals <= r.Scenario.Tiers[0].NodeCount && r.now()-intendedAt < category.TTL.Micros() {
 				continue // another node is picked at once; this doesn't count as a retry of the client
 			}
 			return
 		}
 		refusals = 0
-		delay, retry := load.Again(r.Scenario, arrival.Category, load.Try{
-			Number:  attempt,
-			Nacked:  verdict == ledger.Nacked,
-			Advice:  retryAfter,
-			Elapsed: r.now() - intendedAt,
+		delay, retry := load.ShouldRetry(r.Scenario, arrival.Category, load.Try{
+			Index:      attempt,
+			Nacked:     verdict == ledger.Nacked,
+			RetryAfter: retryAfter,
+			Elapsed:    r.now() - intendedAt,
 		})
 		if !retry {
 			return
--- a/internal/lab/live/compare_targets.go
+++ b/internal/lab/live/compare_targets.go
@@ -139,24 +139,24 @@
 		Name:  "versus",
 		Zones: []string{"a"},
 		Categories: []scenario.Category{
-			{Name: "slots", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"},
+			{Name: "slots", Benefit: 1, TargetLatency: 500_000, TTL: 1_000_000, Delivery: "redeliverable"},
 		},
 		Tiers: []scenario.Tier{{
-			Name:  "front",
-			Nodes: 1,
-			Kinds: []scenario.Kind{{Name: "std", Count: len(servers), IdleClose: 60_000_000}},
+			Name:         "front",
+			NodeCount:    1,
+			MachineTypes: []scenario.MachineType{{Name: "std", Count: len(servers), IdleTimeout: 60_000_000}},
 		}},
 		Limits: scenario.Limits{
-			MaxPushes:   3,
-			Dial:        100_000,
-			Sockets:     2048,
-			MemoryMB:    192,
-			AnswerSlack: 20_000,
-			ColdFrom:    0.3,
-			ColdWarm:    4_000_000,
-			ColdFactor:  3,
-			ColdWindow:  1_000_000,
-			DrainGrace:  1_500_000,
+			MaxPushes:          3,
+			DialTimeout:        100_000,
+			Sockets:            2048,
+			MemoryMB:           192,
+			AnswerSlack:        20_000,
+			ColdInitialShare:   0.3,
+			ColdWarmUpTime:     4_000_000,
+			ColdOverloadFactor: 3,
+			ColdOverloadWindow: 1_000_000,
+			DrainGrace:         1_500_000,
 		},
 	}
 	var entries []registry.Entry
@@ -171,7 +171,7 @@
 		Addr:         func(i int) string { return servers[i] },
 	}
 	file := filepath.Join(dir, strconv.Quote(target.Name)+".json")
-	config := experiment.Config(scenario.Balancer{Of: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1,
+	config := experiment.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, target.Name, addr, "127.0.0.1:1", 1,
 		listOptions.EncodeList(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
--- a/internal/lab/live/disturbances.go
+++ b/internal/lab/live/disturbances.go
@@ -30,8 +30,8 @@
 		case <-ctx.Done():
 			return
 		}
-		if step.Text != "" {
-			r.ledger.Note(fmt.Sprintf("%.1f s: %s", float64(r.now()-r.loadStart)/1e6, step.Text))
+		if step.Event != "" {
+			r.ledger.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now()-r.loadStart)/1e6, step.Event))
 		}
 		r.applyStep(ctx, step, background)
 	}
@@ -45,36 +45,36 @@
 			r.fail(err)
 		}
 	}
-	switch step.Verb {
-	case scenario.Slow:
+	switch step.Action {
+	case scenario.ServerSlow:
 		standinServer.SetSlowdown(step.Factor)
-	case scenario.Stall:
-		standinServer.Stall(r.loadStart + step.Until)
-	case scenario.Crash, scenario.Silence:
-		standinServer.Stop(step.Verb == scenario.Silence)
+	case scenario.ServerStall:
+		standinServer.Stall(r.loadStart + step.Time)
+	case scenario.ServerCrash, scenario.ServerSilence:
+		standinServer.Stop(step.Action == scenario.ServerSilence)
 		if node := r.nextTierNode(step.Server); node != nil {
 			check(node.kill())
 		}
-	case scenario.Start:
+	case scenario.ServerStart:
 		check(standinServer.Start(true))
 		if node := r.nextTierNode(step.Server); node != nil {
 			background.Go(func() { check(node.start(ctx)) })
 		}
-	case scenario.Behave:
+	case scenario.ServerSetMode:
 		standinServer.SetMode(step.Mode)
-	case scenario.List:
+	case scenario.ServerSetListed:
 		machine := r.plan.Machines[step.Server]
 		r.registries[machine.Tier].Update(func(catalog *registry.Catalog) {
 			entry, known := catalog.Lookup(step.Server)
 			if !known {
-				entry = machine.Entry(step.Server)
+				entry = machine.RegistryEntry(step.Server)
 			}
 			entry.State = step.State
 			entry.StartedAt = standinServer.StartedAt()
 			catalog.SetEntry(entry)
 		})
-	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
-		scenario.RegistryTrue:
+	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistryDelay, scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot,
+		scenario.RegistryServeCurrent:
 		for _, service := range r.registries {
 			r.applyRegistryStep(service, step)
 		}
@@ -82,36 +82,36 @@
 		check(r.nodes[step.Node].kill())
 	case scenario.NodeStart:
 		background.Go(func() { check(r.nodes[step.Node].start(ctx)) })
-	case scenario.NodeTerm:
+	case scenario.NodeTerminate:
 		background.Go(func() { check(r.nodes[step.Node].restart(ctx)) })
-	case scenario.NodeStop, scenario.NodeGoOn:
-		r.nodes[step.Node].setPaused(step.Verb == scenario.NodeStop)
-	case scenario.NodeEmpty:
+	case scenario.NodePause, scenario.NodeResume:
+		r.nodes[step.Node].setPaused(step.Action == scenario.NodePause)
+	case scenario.NodeStartEmpty:
 		node := r.nodes[step.Node]
 		node.cachedList = nil
 		background.Go(func() { check(node.start(ctx)) })
-	case scenario.NodeMove:
+	case scenario.NodeStartMoved:
 		node := r.nodes[step.Node]
 		slot, err := r.network.NextSlot(node.networkSlot)
 		check(err)
 		node.networkSlot = slot
 		background.Go(func() { check(node.start(ctx)) })
-	case scenario.TwinStart:
+	case scenario.DuplicateNodeStart:
 		duplicate, err := r.newDuplicate(step.Node)
 		check(err)
 		background.Go(func() { check(duplicate.start(ctx)) })
-	case scenario.TwinEnd:
+	case scenario.DuplicateNodeEnd:
 		if duplicate := r.duplicates[step.Node]; duplicate != nil {
 			check(duplicate.kill())
 		}
-	case scenario.LieDown, scenario.LieWell:
+	case scenario.FalseReportsDown, scenario.FalseReportsHealthy:
 		check(r.startFalseReporter(step))
-	case scenario.BetweenOn, scenario.BetweenOff:
+	case scenario.PeerFaultStart, scenario.PeerFaultEnd:
 		r.network.ApplyStep(step)
-	case scenario.OneSided:
+	case scenario.PartialLoss:
 		standinServer.SetIgnoredShare(step.Factor, r.hitByPartialLoss)
 	case scenario.ClockStep:
-		r.clockStep.Store(int64(step.Until))
+		r.clockStep.Store(int64(step.Time))
 	}
 }
 
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	duplicate := &nodeProcess{
-		Balancer:     original.Balancer,
+		Node:         original.Node,
 		run:          r,
 		nodeIndex:    original.nodeIndex,
 		endpoint:     &endpoint{addr: r.addresses.nextAddr()},
@@ -143,7 +143,7 @@
 	if !r.nodes[step.Node].hasPeers {
 		return nil // without peer messages no node would receive the reports
 	}
-	condition := map[scenario.Verb]judged.Condition{scenario.LieDown: judged.Down, scenario.LieWell: judged.Healthy}[step.Verb]
+	condition := map[scenario.Action]judged.Condition{scenario.FalseReportsDown: judged.Down, scenario.FalseReportsHealthy: judged.Healthy}[step.Action]
 	slot, err := r.network.NextSlot(step.Node)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 			servers = append(servers, labnode.ServerID(i))
 		}
 	}
-	reporter, err := r.network.NewFalseReporter(slot, r.Scenario.Tiers[0].Nodes, condition, servers)
+	reporter, err := r.network.NewFalseReporter(slot, r.Scenario.Tiers[0].NodeCount, condition, servers)
 	if err == nil {
 		r.falseReporters = append(r.falseReporters, reporter)
 	}
@@ -165,21 +165,21 @@
 // first tier.
 func (r *run) hitByPartialLoss(try ledger.TryID) bool {
 	node, known := r.ledger.NodeOf(try)
-	return known && r.nodes[node].Tier == 0 && r.nodes[node].Number%2 == 1
+	return known && r.nodes[node].Tier == 0 && r.nodes[node].Index%2 == 1
 }
 
 // applyRegistryStep applies a step of the plan to the registry service of one tier.
 func (r *run) applyRegistryStep(service *registry.Service, step *scenario.Step) {
-	switch step.Verb {
+	switch step.Action {
 	case scenario.RegistryDown, scenario.RegistryUp:
-		service.SetDown(step.Verb == scenario.RegistryDown)
-	case scenario.RegistrySlow:
-		service.SetDelay(toDuration(r.Scenario.Registry.Delay.Micros() + step.Until))
-	case scenario.RegistryFreeze:
+		service.SetDown(step.Action == scenario.RegistryDown)
+	case scenario.RegistryDelay:
+		service.SetDelay(toDuration(r.Scenario.Registry.Delay.Micros() + step.Time))
+	case scenario.RegistrySaveSnapshot:
 		service.Update((*registry.Catalog).SaveSnapshot)
-	case scenario.RegistryThaw:
+	case scenario.RegistryServeSnapshot:
 		service.Update((*registry.Catalog).ServeSnapshot)
-	case scenario.RegistryTrue:
+	case scenario.RegistryServeCurrent:
 		service.Update((*registry.Catalog).ServeCurrent)
 	}
 }
@@ -205,26 +205,26 @@
 		now := r.now()
 		arrival := &load.Arrival{Category: i, Tenant: -1}
 		for _, tier := range r.Scenario.Tiers {
-			arrival.Work = append(arrival.Work, category.Work.Micros())
-			arrival.Calls = append(arrival.Calls, int(tier.Calls))
+			arrival.WorkByTier = append(arrival.WorkByTier, category.MeanWork.Micros())
+			arrival.CallsByTier = append(arrival.CallsByTier, int(tier.CallsPerOp))
 		}
 		req := opRequest{
-			op:       r.ledger.Offer(now, i, -1, machine.Tier),
+			op:       r.ledger.RecordOp(now, i, -1, machine.Tier),
 			tier:     machine.Tier,
 			arrival:  arrival,
 			category: i,
 			deadline: now + category.TTL.Micros(),
 		}
-		try := r.ledger.Try(req.op, 0, now, req.deadline)
+		try := r.ledger.RecordTry(req.op, 0, now, req.deadline)
 		r.requests[try] = req
 		calls := 0
 		if machine.Tier+1 < len(r.Scenario.Tiers) {
-			calls = arrival.Calls[machine.Tier]
+			calls = arrival.CallsByTier[machine.Tier]
 		}
 		op := &server.Op{
 			Key:             request.Header.Get("Idempotency-Key"),
 			Category:        i,
-			Work:            arrival.Work[machine.Tier],
+			Work:            arrival.WorkByTier[machine.Tier],
 			DownstreamCalls: calls,
 			Dedup:           r.dedupMemory(i, machine),
 			DedupLock:       &r.dedupLock,
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -43,7 +43,7 @@
 	ListenAddr   string // listen address of the first node; "": any free address
 	LogDir       string // directory for the nodes' logs at level info; "": only the last lines are kept, in memory
 	// OnSecond, if set, is called about once a second with the time since the load began.
-	OnSecond func(now policy.Micros, a *ledger.Account)
+	OnSecond func(now policy.Micros, a *ledger.Ledger)
 }
 
 const (
@@ -64,7 +64,7 @@
 type run struct {
 	Options
 	clock          *node.Clock
-	ledger         *ledger.Account
+	ledger         *ledger.Ledger
 	plan           *scenario.Plan
 	dir            string // temporary directory, removed by stop
 	addresses      *addressPool
@@ -85,7 +85,7 @@
 	failed            chan error      // holds the first fatal error
 	mu                sync.Mutex      // guards requests, dedupMemories and acceptUnknown
 	requests          map[ledger.TryID]opRequest
-	dedupMemories     scenario.Memories
+	dedupMemories     scenario.DedupMemories
 	dedupLock         sync.Mutex // guards the content of each memory in dedupMemories
 	acceptUnknown     bool       // accept requests of unknown ids as ops; set when there is no generated load
 }
@@ -103,7 +103,7 @@
 
 // Run runs an experiment to its end and returns its result and ledger. When ctx is done before the end, the result is
 // partial. No process or goroutine is left running.
-func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Account, error) {
+func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Ledger, error) {
 	r, err := startRun(ctx, options)
 	if err != nil {
 		return nil, nil, err
@@ -119,16 +119,16 @@
 	}
 	result := r.ledger.Finish(r.loadStart + min(options.LoadDuration, r.now()-r.loadStart))
 	result.Partial = partial
-	result.Between = r.peerTraffic()
+	result.PeerTraffic = r.peerTraffic()
 	late, _ := r.timerLag.Stop()
 	late = max(late, r.network.MaxLateness())
-	result.RigLateMs = float64(late.Microseconds()) / 1000
+	result.HarnessLateMs = float64(late.Microseconds()) / 1000
 	// A machine that is too busy makes nodes look faulty, so a run whose harness itself was late is void.
 	if tolerance := toDuration(r.ledger.Tolerance()); late > tolerance {
-		result.Void = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), tolerance)
+		result.VoidReason = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), tolerance)
 	}
 	if missed := float64(result.ScheduleMissed); missed > maxMissedShare*float64(len(options.Arrivals)) {
-		result.Void = fmt.Sprintf("the generator sent %d of %d ops more than %d ms late", result.ScheduleMissed,
+		result.VoidReason = fmt.Sprintf("the generator sent %d of %d ops more than %d ms late", result.ScheduleMissed,
 			len(options.Arrivals), maxSendDelay/policy.Millisecond)
 	}
 	return result, r.ledger, nil
@@ -136,30 +136,30 @@
 
 // trafficCounts returns the peer traffic that each node of the first tier has sent and received so far.
 func (r *run) trafficCounts() (counts []relay.Traffic) {
-	for i := 0; r.network.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
+	for i := 0; r.network.Relay != nil && i < r.Scenario.Tiers[0].NodeCount; i++ {
 		counts = append(counts, r.network.Relay.Traffic(i))
 	}
 	return counts
 }
 
 // peerTraffic sums up the peer traffic since the load began. It is nil for an experiment without peer messages.
-func (r *run) peerTraffic() *ledger.Traffic {
+func (r *run) peerTraffic() *ledger.PeerTraffic {
 	if r.Scenario.Fleet == nil {
 		return nil
 	}
-	traffic := &ledger.Traffic{}
+	traffic := &ledger.PeerTraffic{}
 	seconds := float64(r.now()-r.loadStart) / float64(policy.Second)
 	nodes := float64(len(r.trafficBefore))
 	for i, now := range r.trafficCounts() {
 		before := r.trafficBefore[i]
 		bytes := float64(now.SentBytes - before.SentBytes + now.SentStreamBytes - before.SentStreamBytes)
-		traffic.Bytes += bytes / nodes / seconds
-		traffic.MostBytes = max(traffic.MostBytes, bytes/seconds)
-		traffic.Datagrams += float64(now.SentDatagrams-before.SentDatagrams) / nodes / seconds
-		traffic.Streams += float64(now.SentStreams-before.SentStreams) / nodes / seconds
-		traffic.StreamedBytes += float64(now.SentStreamBytes-before.SentStreamBytes) / nodes / seconds
+		traffic.BytesPerSecond += bytes / nodes / seconds
+		traffic.MaxBytesPerSecond = max(traffic.MaxBytesPerSecond, bytes/seconds)
+		traffic.DatagramsPerSecond += float64(now.SentDatagrams-before.SentDatagrams) / nodes / seconds
+		traffic.StreamsPerSecond += float64(now.SentStreams-before.SentStreams) / nodes / seconds
+		traffic.StreamBytesPerSecond += float64(now.SentStreamBytes-before.SentStreamBytes) / nodes / seconds
 	}
-	traffic.Closed = float64(r.maxClosedPermille.Load()) / 1000
+	traffic.MaxClosedByPeers = float64(r.maxClosedPermille.Load()) / 1000
 	return traffic
 }
 
@@ -178,7 +178,7 @@
 		case <-ticker.C:
 		}
 		for i := range 5 {
-			node := r.nodes[(round*5+i)%r.Scenario.Tiers[0].Nodes]
+			node := r.nodes[(round*5+i)%r.Scenario.Tiers[0].NodeCount]
 			if !node.hasPeers {
 				continue
 			}
@@ -211,7 +211,7 @@
 	r.acceptUnknown = true
 	r.mu.Unlock()
 	var addrs []string
-	for _, node := range r.nodes[:options.Scenario.Tiers[0].Nodes] {
+	for _, node := range r.nodes[:options.Scenario.Tiers[0].NodeCount] {
 		addrs = append(addrs, node.endpoint.addr)
 	}
 	ready(addrs)
@@ -231,7 +231,7 @@
 		plan:          options.Scenario.Plan(stream.New(options.Seed, "troubles")),
 		failed:        make(chan error, 1),
 		requests:      make(map[ledger.TryID]opRequest),
-		dedupMemories: make(scenario.Memories),
+		dedupMemories: make(scenario.DedupMemories),
 		duplicates:    make(map[int]*nodeProcess),
 	}
 	r.ledger = ledger.New(options.Scenario, r.now(), BucketDuration, false)
@@ -270,9 +270,9 @@
 				return r.callNextTier(i, try, op, until)
 			},
 		}
-		standinServer := server.New(i, machine.Kind, machine.Traits(r.Scenario), r.addresses.nextAddr(), environment)
+		standinServer := server.New(i, machine.Type, machine.ModelSpec(r.Scenario), r.addresses.nextAddr(), environment)
 		r.servers = append(r.servers, standinServer)
-		if i < r.plan.Standing {
+		if i < r.plan.InitialCount {
 			if err := standinServer.Start(false); err != nil {
 				return err
 			}
@@ -285,9 +285,9 @@
 func (r *run) startRegistry(context.Context) error {
 	for tierIndex, tier := range r.Scenario.Tiers {
 		var standing []registry.Entry
-		for i, machine := range r.plan.Machines[:r.plan.Standing] {
+		for i, machine := range r.plan.Machines[:r.plan.InitialCount] {
 			if machine.Tier == tierIndex {
-				standing = append(standing, machine.Entry(i))
+				standing = append(standing, machine.RegistryEntry(i))
 			}
 		}
 		serviceOptions := registry.Options{
@@ -295,13 +295,13 @@
 			OnSent: r.listRecorder(tierIndex),
 			Addr:   func(i int) string { return r.servers[i].Addr() },
 		}
-		for _, machineType := range tier.Kinds {
+		for _, machineType := range tier.MachineTypes {
 			serviceOptions.MachineTypes = append(serviceOptions.MachineTypes, machineType.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
 		service := registry.NewService(catalog, toDuration(r.Scenario.Registry.Delay.Micros()), serviceOptions)
 		r.registries = append(r.registries, service)
-		for i, node := range r.Scenario.Balancers() {
+		for i, node := range r.Scenario.Nodes() {
 			if node.Tier != tierIndex {
 				continue
 			}
@@ -314,7 +314,7 @@
 				listen = r.addresses.nextAddr()
 			}
 			r.nodes = append(r.nodes, &nodeProcess{
-				Balancer:     node,
+				Node:         node,
 				run:          r,
 				nodeIndex:    i,
 				endpoint:     &endpoint{addr: listen},
@@ -330,9 +330,9 @@
 
 // nodeHasPeers reports whether a node exchanges peer messages. Where only a share of the nodes does, it is those with
 // the lowest numbers.
-func (r *run) nodeHasPeers(node scenario.Balancer) bool {
+func (r *run) nodeHasPeers(node scenario.Node) bool {
 	settings := r.Scenario.Fleet
-	return settings != nil && node.Tier == 0 && float64(node.Number) < settings.Share*float64(node.Of)
+	return settings != nil && node.Tier == 0 && float64(node.Index) < settings.Share*float64(node.NodeCount)
 }
 
 // toDuration converts policy time to a time.Duration.
@@ -344,14 +344,14 @@
 		listed := make(map[int]bool)
 		for _, entry := range entries {
 			listed[entry.Server] = true
-			r.ledger.Told(node, entry.Server, entry.State, entry.StartedAt, r.now())
+			r.ledger.RecordServerState(node, entry.Server, entry.State, entry.StartedAt, r.now())
 		}
 		if !full {
 			return
 		}
 		for i, machine := range r.plan.Machines {
 			if machine.Tier == tier && !listed[i] {
-				r.ledger.Told(node, i, policy.Gone, r.servers[i].StartedAt(), r.now())
+				r.ledger.RecordServerState(node, i, policy.Gone, r.servers[i].StartedAt(), r.now())
 			}
 		}
 	}
@@ -384,10 +384,10 @@
 	if node.duplicate {
 		return
 	}
-	r.ledger.Anew(node.nodeIndex)
-	for server, machine := range r.plan.Machines[:r.plan.Standing] {
+	r.ledger.RecordNodeStart(node.nodeIndex)
+	for server, machine := range r.plan.Machines[:r.plan.InitialCount] {
 		if machine.Tier == node.Tier && node.cachedList != nil {
-			r.ledger.Told(node.nodeIndex, server, policy.Ready, 0, r.now())
+			r.ledger.RecordServerState(node.nodeIndex, server, policy.Ready, 0, r.now())
 		}
 	}
 }
@@ -398,7 +398,7 @@
 	for _, node := range slices.Concat(r.nodes, slices.Collect(maps.Values(r.duplicates))) {
 		ends.Go(func() {
 			if err := node.kill(); err != nil {
-				r.ledger.Note(err.Error())
+				r.ledger.RecordEvent(err.Error())
 			}
 		})
 	}
@@ -425,10 +425,10 @@
 func (r *run) runLoad(ctx context.Context) (partial bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.loadStart = r.now() + r.Scenario.Load.Lead.Micros()
+	r.loadStart = r.now() + r.Scenario.Load.LeadTime.Micros()
 	r.timerLag.Reset()
 	r.trafficBefore = r.trafficCounts()
-	r.ledger.Begin(r.loadStart)
+	r.ledger.SetLoadStart(r.loadStart)
 	var clients, background sync.WaitGroup
 	background.Go(func() { r.runDisturbances(ctx, &background) })
 	periodic, stopPeriodic := context.WithCancel(ctx)
@@ -515,7 +515,7 @@
 			}
 		}
 		if r.now()-intendedAt > maxSendDelay {
-			r.ledger.Missed(1)
+			r.ledger.RecordScheduleMisses(1)
 		}
 		clients.Go(func() { r.runOp(ctx, arrival, intendedAt) })
 	}
@@ -558,11 +558,11 @@
 	op := &server.Op{
 		Key:       strconv.Itoa(int(req.op)),
 		Category:  req.category,
-		Work:      req.arrival.Work[machine.Tier],
+		Work:      req.arrival.WorkByTier[machine.Tier],
 		DedupLock: &r.dedupLock,
 	}
 	if machine.Tier+1 < len(r.Scenario.Tiers) {
-		op.DownstreamCalls = req.arrival.Calls[machine.Tier]
+		op.DownstreamCalls = req.arrival.CallsByTier[machine.Tier]
 	}
 	op.Dedup = r.dedupMemory(req.category, machine)
 	return try, op, true
@@ -570,7 +570,7 @@
 
 // dedupMemory returns the deduplication memory of a category at a machine, or nil. The caller holds r.mu.
 func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.DedupMemory {
-	return r.dedupMemories.Of(r.Scenario, category, machine, r.ledger.Tolerance())
+	return r.dedupMemories.Get(r.Scenario, category, machine, r.ledger.Tolerance())
 }
 
 // callNextTier sends the call of a server to the next tier through that server's own node, and reports whether it was
@@ -584,10 +584,10 @@
 			continue
 		}
 		deadline := r.now() + r.Scenario.Categories[req.category].TTL.Micros()
-		if r.Scenario.Limits.PassTTL {
+		if r.Scenario.Limits.PassesDeadline {
 			deadline = min(deadline, until)
 		}
-		req.op = r.ledger.Offer(r.now(), req.category, req.arrival.Tenant, node.Tier)
+		req.op = r.ledger.RecordOp(r.now(), req.category, req.arrival.Tenant, node.Tier)
 		req.tier = node.Tier
 		req.deadline = deadline
 		req.leavesAfter = 0
@@ -605,14 +605,14 @@
 		return
 	}
 	if err != nil {
-		r.ledger.Note("throttles: " + err.Error())
+		r.ledger.RecordEvent("throttles: " + err.Error())
 		return
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var sample labnode.ThrottleSample
 		if json.Unmarshal(lines.Bytes(), &sample) == nil { // the last line of a node that was killed may be incomplete
-			r.ledger.Sample(sample.At, ledger.Throttle{Server: sample.Server, Rate: sample.Rate, Cut: sample.CutoffLevel})
+			r.ledger.RecordThrottle(sample.At, ledger.Throttle{Server: sample.Server, Rate: sample.Rate, CutoffLevel: sample.CutoffLevel})
 		}
 	}
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -55,7 +55,7 @@
 		Scenario:     experiment,
 		Seed:         1,
 		LoadDuration: duration,
-		Arrivals:     load.Make(experiment, duration, 1),
+		Arrivals:     load.Generate(experiment, duration, 1),
 		Program: Program{
 			Path:           "/usr/bin/env",
 			Args:           []string{nodeFaultEnv + "=sound" + fault, os.Args[0]},
@@ -93,7 +93,7 @@
 			}
 			want := trial.Faults[test.fault]
 			if got := strings.Join(result.BrokenRules, " "); got != want {
-				t.Errorf("broken %q, want %q: %v", got, want, result.Breaches)
+				t.Errorf("broken %q, want %q: %v", got, want, result.BreachMessages)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 			const duration = 3 * policy.Second
 			options := testOptions(t, experiment, "", duration)
 			onSockets := runUntilValid(t, options)
-			simulated, _, err := sim.Run(t.Context(), sim.Options{Scenario: experiment, Seed: 1, Length: duration, Arrivals: options.Arrivals})
+			simulated, _, err := sim.Run(t.Context(), sim.Options{Scenario: experiment, Seed: 1, LoadDuration: duration, Arrivals: options.Arrivals})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -127,8 +127,8 @@
 		options.Arrivals[i].At = -policy.Second
 	}
 	result, _, err := Run(t.Context(), options)
-	if err != nil || result.ScheduleMissed < 20 || result.Void == "" {
-		t.Errorf("%v: missed %d, void %q", err, result.ScheduleMissed, result.Void)
+	if err != nil || result.ScheduleMissed < 20 || result.VoidReason == "" {
+		t.Errorf("%v: missed %d, void %q", err, result.ScheduleMissed, result.VoidReason)
 	}
 }
 
@@ -187,7 +187,7 @@
 	options := testOptions(t, readScenario(t, "steady"), "", 10*policy.Second)
 	startThroughShell(t, &options, `"$0" <&3 & wait`)
 	ctx, cancel := context.WithCancel(t.Context())
-	options.OnSecond = func(policy.Micros, *ledger.Account) { cancel() }
+	options.OnSecond = func(policy.Micros, *ledger.Ledger) { cancel() }
 	startedAt := time.Now()
 	ended := make(chan *ledger.Result, 1)
 	go func() {
@@ -283,7 +283,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	standinServer := server.New(3, &scenario.Kind{}, fleet.Spec{Cores: 1, Speed: 1}, listener.Addr().String(), server.Environment{})
+	standinServer := server.New(3, &scenario.MachineType{}, fleet.Spec{Cores: 1, Speed: 1}, listener.Addr().String(), server.Environment{})
 	if err := standinServer.Start(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
@@ -307,7 +307,7 @@
 	experiment := readScenario(t, "steady")
 	ctx, cancel := context.WithCancel(t.Context())
 	options := testOptions(t, experiment, "", 10*policy.Second)
-	options.OnSecond = func(policy.Micros, *ledger.Account) { cancel() }
+	options.OnSecond = func(policy.Micros, *ledger.Ledger) { cancel() }
 	result, _, err := Run(ctx, options)
 	if err != nil || !result.Partial || result.Served == 0 || len(result.BrokenRules) > 0 {
 		t.Errorf("%v, %+v", err, result)
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -30,7 +30,7 @@
 
 // nodeProcess is the process of one node. It can be stopped and started again.
 type nodeProcess struct {
-	scenario.Balancer
+	scenario.Node
 	run          *run
 	nodeIndex    int // index in run.nodes; a duplicate has that of the node whose name it uses
 	endpoint     *endpoint
@@ -104,7 +104,7 @@
 	p.run.recordNodeStart(p)
 	seed := stream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.incarnation)).Uint64()
 	file := filepath.Join(p.run.dir, fmt.Sprintf("node-%d-%d.json", p.nodeIndex, p.networkSlot))
-	config := p.run.Scenario.Config(p.Balancer, fmt.Sprintf("n%d", p.nodeIndex), p.endpoint.addr, p.registryAddr, seed,
+	config := p.run.Scenario.NodeConfig(p.Node, fmt.Sprintf("n%d", p.nodeIndex), p.endpoint.addr, p.registryAddr, seed,
 		p.cachedList, p.fleetConfig())
 	if p.run.LogDir != "" { // NODE_LOG_LEVEL in its environment sets the level instead
 		config = bytes.Replace(config, []byte(`"log_level":"warn",`), nil, 1)
@@ -217,7 +217,7 @@
 	if paused {
 		signal = syscall.SIGSTOP
 	}
-	p.run.ledger.Paused(p.nodeIndex, paused, p.run.now())
+	p.run.ledger.RecordNodePause(p.nodeIndex, paused, p.run.now())
 	p.cmd.Process.Signal(signal)
 }
 
@@ -247,7 +247,7 @@
 	if cmd != nil {
 		p.endpoint.killCount.Add(1)
 		if !p.duplicate {
-			p.run.ledger.Crashed(p.nodeIndex, p.run.now())
+			p.run.ledger.RecordNodeCrash(p.nodeIndex, p.run.now())
 		}
 		cmd.Process.Kill()
 		stdin.Close() // ends the children of the process too
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -46,7 +46,7 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return len(arrivals), load.Write(out, arrivals)
+	return len(arrivals), load.WriteTrace(out, arrivals)
 }
 
 // requestArrival turns a request into an arrival with the mean work of its category. It reports false if the path is of
@@ -65,8 +65,8 @@
 		}
 		arrival.Category = i
 		for _, tier := range experiment.Tiers {
-			arrival.Work = append(arrival.Work, category.Work.Micros())
-			arrival.Calls = append(arrival.Calls, int(tier.Calls+0.5))
+			arrival.WorkByTier = append(arrival.WorkByTier, category.MeanWork.Micros())
+			arrival.CallsByTier = append(arrival.CallsByTier, int(tier.CallsPerOp+0.5))
 		}
 		return arrival, true
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -202,7 +202,7 @@
 	for _, t := range result.Throttles {
 		y := t.Rate
 		if showCutoff {
-			y = float64(t.Cut)
+			y = float64(t.CutoffLevel)
 		}
 		servers[t.Server] = append(servers[t.Server], plotter.XY{X: t.AtMs / 1000, Y: y})
 	}
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -179,7 +179,7 @@
 	deployment, knownServers := processDeployment([]string{"127.0.0.1:1"})
 	listen := fmt.Sprintf("%s:%d", c.bindIP(node), c.relay.Port()-11000)
 	name := fmt.Sprintf("n%d", node)
-	raw := deployment.Config(scenario.Balancer{Number: 0, Of: 1, Zone: node % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(node), knownServers, nil)
+	raw := deployment.NodeConfig(scenario.Node{Index: 0, NodeCount: 1, Zone: node % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(node), knownServers, nil)
 	var settings map[string]any
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		return nil, err
--- a/internal/lab/scale/list_processes.go
+++ b/internal/lab/scale/list_processes.go
@@ -61,7 +61,7 @@
 			return point, err
 		}
 		proc := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-		config := deployment.Config(scenario.Balancer{Number: i, Of: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), proc.addr, registryAddr,
+		config := deployment.NodeConfig(scenario.Node{Index: i, NodeCount: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), proc.addr, registryAddr,
 			seed+uint64(i), nil, nil)
 		config = bytes.Replace(config, []byte(`"registry_mode":"ask"`), []byte(`"registry_mode":"push"`), 1) // watch the list, as in MeasureList
 		if err := os.WriteFile(proc.file, config, 0o600); err != nil {
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -242,7 +242,7 @@
 			}
 			deployment, knownServers := processDeployment(addrs[i*perService : (i+1)*perService])
 			node := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-			if err := os.WriteFile(node.file, deployment.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), node.addr, "127.0.0.1:1", seed, knownServers, nil), 0o600); err != nil {
+			if err := os.WriteFile(node.file, deployment.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, fmt.Sprintf("n%d", i), node.addr, "127.0.0.1:1", seed, knownServers, nil), 0o600); err != nil {
 				return "", nil, stop, err
 			}
 			if err := node.start(program); err != nil {
--- a/internal/lab/together/impairments.go
+++ b/internal/lab/together/impairments.go
@@ -14,13 +14,13 @@
 // PairImpairments turns a fault of the scenario into the impairment of each pair of slots. The affected nodes are drawn
 // once, here. A slot beyond the first ones belongs to the node with its number modulo nodes, so that a second process of
 // a name, or a node at another address, is affected like its node.
-func PairImpairments(fault *scenario.Between, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
+func PairImpairments(fault *scenario.PeerFault, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
 	numbers := make([]int, nodes)
 	for i := range numbers {
 		numbers[i] = i
 	}
 	if fault.Kind == "groups" || fault.Kind == "chain" {
-		group := assignGroups(numbers, fault.Parts, rng)
+		group := assignGroups(numbers, fault.PartSizes, rng)
 		maxDistance := 0
 		if fault.Kind == "chain" {
 			maxDistance = 1
@@ -31,7 +31,7 @@
 		}
 	}
 	affected := make([]bool, nodes)
-	for _, i := range scenario.Draw(numbers, fault.Count, fault.Share, rng) {
+	for _, i := range scenario.DrawSubset(numbers, fault.Count, fault.Share, rng) {
 		affected[i] = true
 	}
 	impairment := impairmentOf(fault)
@@ -73,7 +73,7 @@
 }
 
 // impairmentOf returns the impairment of a pair that a fault affects.
-func impairmentOf(fault *scenario.Between) relay.Impairment {
+func impairmentOf(fault *scenario.PeerFault) relay.Impairment {
 	switch fault.Kind {
 	case "loss":
 		return relay.Impairment{Loss: fault.Factor}
--- a/internal/lab/together/network.go
+++ b/internal/lab/together/network.go
@@ -30,15 +30,15 @@
 // NewNetwork opens the network of a run: a relay with a slot for each node and for each process that the plan starts at
 // another address. The control sockets of the nodes are in dir.
 func NewNetwork(s *scenario.Scenario, plan *scenario.Plan, dir string, seed uint64, rng *rand.Rand) (*Network, error) {
-	nodes := s.Tiers[0].Nodes
+	nodes := s.Tiers[0].NodeCount
 	if s.Fleet == nil {
 		return &Network{nodes: nodes, dir: dir}, nil // the nodes exchange nothing
 	}
 	extraSlots := make(map[int]int)
 	maxExtra := 0
 	for _, step := range plan.Steps {
-		switch step.Verb {
-		case scenario.TwinStart, scenario.NodeMove, scenario.LieDown, scenario.LieWell:
+		switch step.Action {
+		case scenario.DuplicateNodeStart, scenario.NodeStartMoved, scenario.FalseReportsDown, scenario.FalseReportsHealthy:
 			extraSlots[step.Node]++
 			maxExtra = max(maxExtra, extraSlots[step.Node])
 		}
@@ -49,8 +49,8 @@
 		return nil, err
 	}
 	network := &Network{Relay: fleetRelay, nodes: nodes, dir: dir, active: make(map[int]int), extraSlots: make(map[int]int), slotCount: slots}
-	for i := range s.Between {
-		network.impairments = append(network.impairments, PairImpairments(&s.Between[i], nodes, rng))
+	for i := range s.PeerFaults {
+		network.impairments = append(network.impairments, PairImpairments(&s.PeerFaults[i], nodes, rng))
 	}
 	return network, nil
 }
@@ -87,13 +87,13 @@
 func (n *Network) ApplyStep(step *scenario.Step) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	number, isActive := n.active[step.Fault]
+	number, isActive := n.active[step.PeerFault]
 	switch {
-	case step.Verb == scenario.BetweenOn && !isActive:
-		n.active[step.Fault] = n.Relay.AddFault(n.impairments[step.Fault])
-	case step.Verb == scenario.BetweenOff && isActive:
+	case step.Action == scenario.PeerFaultStart && !isActive:
+		n.active[step.PeerFault] = n.Relay.AddFault(n.impairments[step.PeerFault])
+	case step.Action == scenario.PeerFaultEnd && isActive:
 		n.Relay.RemoveFault(number)
-		delete(n.active, step.Fault)
+		delete(n.active, step.PeerFault)
 	}
 }
 
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -68,7 +68,7 @@
 
 // NewProcesses opens a relay with a slot for each node, and another one for a second process with the node's name.
 func NewProcesses(program string, s *scenario.Scenario, nodes int, seed uint64) (*Processes, error) {
-	s.Tiers[0].Nodes = nodes
+	s.Tiers[0].NodeCount = nodes
 	if s.Fleet == nil {
 		s.Fleet = &scenario.Fleet{Share: 1}
 	}
@@ -130,10 +130,10 @@
 		fleetValue = nil // the node has no peers
 	}
 	node := slot % p.nodes
-	balancer := p.scenario.Balancers()[node]
+	balancer := p.scenario.Nodes()[node]
 	host := relay.BindAddr(slot, 0).Addr().String()
 	listen := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientPortOffset) // unique to the run, like the relay's port
-	raw := p.scenario.Config(balancer, fmt.Sprintf("n%d", node), listen, host+":1", uint64(slot), nil, fleetValue)
+	raw := p.scenario.NodeConfig(balancer, fmt.Sprintf("n%d", node), listen, host+":1", uint64(slot), nil, fleetValue)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
 	return os.WriteFile(p.ConfigFile(slot), raw, 0o600)
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -33,7 +33,7 @@
 
 // Environment connects a server to its run.
 type Environment struct {
-	Ledger *ledger.Account // nil: pushes are not recorded
+	Ledger *ledger.Ledger // nil: pushes are not recorded
 	Now    func() policy.Micros
 	// FindOp returns the try and the op for an ID that a request carries.
 	FindOp func(id string, r *http.Request) (ledger.TryID, *Op, bool)
@@ -44,7 +44,7 @@
 // Server is one stand-in server. Its address stays the same over restarts.
 type Server struct {
 	index           int
-	kind            *scenario.Kind
+	kind            *scenario.MachineType
 	environment     Environment
 	mu              sync.Mutex
 	model           *fleet.Server
@@ -52,7 +52,7 @@
 	http            *http.Server
 	listener        net.Listener
 	timer           *time.Timer
-	mode            scenario.Mode
+	mode            scenario.ServerMode
 	stopped         chan struct{} // closed when the server stops
 	silenceEnded    chan struct{} // closed when the silence ends; nil: the server is not silent
 	startedAt       policy.Micros
@@ -64,7 +64,7 @@
 }
 
 // New returns a server that is not started yet.
-func New(index int, kind *scenario.Kind, spec fleet.Spec, addr string, environment Environment) *Server {
+func New(index int, kind *scenario.MachineType, spec fleet.Spec, addr string, environment Environment) *Server {
 	return &Server{index: index, kind: kind, environment: environment, model: fleet.New(spec), addr: addr}
 }
 
@@ -96,7 +96,7 @@
 	s.connections = make(map[net.Conn]bool)
 	s.listener = listener
 	s.timer = time.AfterFunc(time.Hour, s.advance)
-	idle := time.Duration(s.kind.IdleClose) * time.Microsecond
+	idle := time.Duration(s.kind.IdleTimeout) * time.Microsecond
 	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.trackConnection,
 		ConnContext: withConn, ErrorLog: discardLog}
 	go s.http.Serve(listener)
@@ -176,7 +176,7 @@
 }
 
 // SetMode sets how the server answers from now on.
-func (s *Server) SetMode(mode scenario.Mode) {
+func (s *Server) SetMode(mode scenario.ServerMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
@@ -214,7 +214,7 @@
 	defer s.mu.Unlock()
 	switch connState {
 	case http.StateNew:
-		s.connections[conn] = s.kind.Conns > 0 && len(s.connections) >= s.kind.Conns
+		s.connections[conn] = s.kind.MaxConnections > 0 && len(s.connections) >= s.kind.MaxConnections
 	case http.StateClosed, http.StateHijacked:
 		delete(s.connections, conn)
 	}
@@ -244,8 +244,8 @@
 func (s *Server) recordWork(job *fleet.Job, state *pushState) {
 	switch {
 	case job.Started() && s.environment.Ledger != nil:
-		s.environment.Ledger.Effect(state.push)
-		s.environment.Ledger.Worked(state.push, job.Work)
+		s.environment.Ledger.RecordEffect(state.push)
+		s.environment.Ledger.RecordWork(state.push, job.Work)
 	case !job.Started() && state.op.Dedup != nil:
 		state.op.DedupLock.Lock()
 		state.op.Dedup.Forget(state.op.Key)
@@ -284,9 +284,9 @@
 	state := &pushState{workDone: make(chan struct{}), push: -1, op: op}
 	startKnown := true
 	if account := s.environment.Ledger; account != nil {
-		state.push = account.Push(try, s.index, now)
+		state.push = account.RecordPush(try, s.index, now)
 		node, _ := account.NodeOf(try)
-		startKnown = account.KnowsStart(node, s.index, s.StartedAt())
+		startKnown = account.KnowsServerStart(node, s.index, s.StartedAt())
 	}
 	if s.isIgnored(try) {
 		select {
@@ -307,10 +307,10 @@
 		w.Header().Set("Connection", "close")
 		writeRejection(w)
 		return
-	case mode == scenario.Errors:
+	case mode == scenario.ModeErrors:
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return
-	case mode == scenario.TurnsAway:
+	case mode == scenario.ModeReject:
 		writeRejection(w)
 		return
 	}
@@ -332,9 +332,9 @@
 	s.scheduleAdvance()
 	s.mu.Unlock()
 	if account := s.environment.Ledger; account != nil {
-		account.Pressed(peakLoad)
+		account.RecordPeakLoad(peakLoad)
 		if result == fleet.CollapsedByInformed || result == fleet.CollapsedByUninformed {
-			account.Tipped(s.index, result == fleet.CollapsedByInformed)
+			account.RecordCollapse(s.index, result == fleet.CollapsedByInformed)
 		}
 	}
 	if result != fleet.Accepted {
@@ -400,19 +400,19 @@
 	body, _ := json.Marshal(AnswerBody{s.index, state.push})
 	s.mu.Lock()
 	mode, resetAfter := s.mode, s.resetAfterBytes
-	if mode == scenario.Resets {
+	if mode == scenario.ModeReset {
 		s.resetAfterBytes++
 	}
 	load := s.loadReport()
 	s.mu.Unlock()
 	switch mode {
-	case scenario.Resets:
+	case scenario.ModeReset:
 		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		writeRawAndReset(w, response[:resetAfter%len(response)])
-	case scenario.Spoils:
+	case scenario.ModeCorrupt:
 		writeRawAndReset(w, "\x16\x03\x01 this is no HTTP\r\n\r\n")
 	default:
-		if s.kind.LoadReport {
+		if s.kind.ReportsLoad {
 			w.Header().Set("X-Pressure", "TEXT "+load)
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -430,7 +430,7 @@
 // serveLoadReport answers with the load report, and with status 503 if the server is not healthy.
 func (s *Server) serveLoadReport(w http.ResponseWriter) {
 	s.mu.Lock()
-	load, healthy := s.loadReport(), s.mode == scenario.Honest && !s.model.Collapsed()
+	load, healthy := s.loadReport(), s.mode == scenario.ModeNormal && !s.model.Collapsed()
 	s.mu.Unlock()
 	if !healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -21,7 +21,7 @@
 func startServer(t *testing.T, memory *fleet.DedupMemory) *Server {
 	t.Helper()
 	started := time.Now()
-	kind := &scenario.Kind{Conns: 3, IdleClose: 5_000_000, LoadReport: true}
+	kind := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
 	var lock sync.Mutex
 	// No client connects from this address, so its port stays free while the server is down. A port on the common
 	// loopback address could be taken by any connection meanwhile.
@@ -62,23 +62,23 @@
 	if got := rawRequest(t, s, ""); !bytes.HasPrefix([]byte(got), []byte("HTTP/1.1 400")) {
 		t.Errorf("no id: %q", got)
 	}
-	s.SetMode(scenario.Resets)
+	s.SetMode(scenario.ModeReset)
 	for n := range 5 { // each answer is cut one byte later
 		if got := rawRequest(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
 			t.Errorf("reset %d: %q", n, got)
 		}
 	}
-	s.SetMode(scenario.Spoils)
+	s.SetMode(scenario.ModeCorrupt)
 	if got := rawRequest(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
 		t.Errorf("corrupt answer: %q", got)
 	}
-	for mode, want := range map[scenario.Mode]string{scenario.Errors: "HTTP/1.1 500", scenario.TurnsAway: "HTTP/1.1 503"} {
+	for mode, want := range map[scenario.ServerMode]string{scenario.ModeErrors: "HTTP/1.1 500", scenario.ModeReject: "HTTP/1.1 503"} {
 		s.SetMode(mode)
 		if got := rawRequest(t, s, "1"); !bytes.HasPrefix([]byte(got), []byte(want)) {
 			t.Errorf("mode %d: %q", mode, got)
 		}
 	}
-	s.SetMode(scenario.Honest)
+	s.SetMode(scenario.ModeNormal)
 	s.Stop(true)
 	if got := rawRequest(t, s, "1"); got != "" {
 		t.Errorf("silent: %q", got)
@@ -127,7 +127,7 @@
 	}
 	addr := listener.Addr().String()
 	listener.Close()
-	s := New(0, &scenario.Kind{IdleClose: scenario.Span(policy.Second)}, fleet.Spec{Cores: 1, Speed: 1}, addr,
+	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, fleet.Spec{Cores: 1, Speed: 1}, addr,
 		Environment{Now: func() policy.Micros { return 0 }})
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
