--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -80,7 +80,7 @@
 		{"p50_ms", func(r *ledger.Result) float64 { return r.P50Ms }},
 		{"p99_ms", func(r *ledger.Result) float64 { return r.P99Ms }},
 		{"pushes_per_op", func(r *ledger.Result) float64 { return r.PushesPerOp }},
-		{"wasted_work", func(r *ledger.Result) float64 { return r.Wasted }},
+		{"wasted_work", func(r *ledger.Result) float64 { return r.WastedWork }},
 		{"broken_rules", func(r *ledger.Result) float64 { return float64(len(r.BrokenRules)) }},
 	} {
 		var a, b, diff []float64
@@ -133,7 +133,7 @@
 				}
 			}
 			row += fmt.Sprintf(" %.3f", served)
-			for _, rule := range ledger.Rules {
+			for _, rule := range ledger.RuleNames {
 				if broken[rule] {
 					row += ", breaks " + rule
 				}
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -96,9 +96,9 @@
 	}
 	switch {
 	case l.Troubles:
-		show(scenario.TroubleKinds)
+		show(scenario.DisturbanceKinds)
 	case l.Between:
-		show(scenario.BetweenKinds)
+		show(scenario.PeerFaultKinds)
 	case l.Faults:
 		show(trial.Faults)
 	default:
@@ -111,7 +111,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, s.Driver, s.Duration.Ms()/1000, s.About)
+			fmt.Printf("%-18s %-5s %5.1f s  %s\n", name, s.Driver, s.Duration.Milliseconds()/1000, s.Description)
 		}
 	}
 	return nil
@@ -185,7 +185,7 @@
 		fmt.Println("report:", page)
 	}
 	summary(os.Stdout, result)
-	if len(result.Failures) > 0 {
+	if len(result.FailedExpectations) > 0 {
 		return errNotMet
 	}
 	return nil
@@ -207,10 +207,10 @@
 	}
 	whole := *s
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	result, err := lab.Play(ctx, s, c, func(now policy.Micros, a *ledger.Account) {
+	result, err := lab.Play(ctx, s, c, func(now policy.Micros, a *ledger.Ledger) {
 		p := a.Progress()
 		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", whole.Name, float64(now)/1e6, p.Offered,
-			p.Served, p.Nacked, p.Open)
+			p.Served, p.Nacked, p.Pending)
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r\x1b[K%s", line)
 		} else {
@@ -231,29 +231,29 @@
 	}
 	fmt.Fprintf(w, "%s, %s, %s, seed %d%s\n", r.Name, r.Policy, r.Driver, r.Seed, partial)
 	fmt.Fprintf(w, "  ops %d: served %d, nacked %d, dead-lettered %d, left %d; served benefit %.3f\n", r.Ops, r.Served,
-		r.Nacked, r.DeadLettered, r.Left, r.ServedBenefit)
+		r.Nacked, r.DeadLettered, r.ClientLeft, r.ServedBenefit)
 	fmt.Fprintf(w, "  p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f pushes an op; wasted work %.3f\n", r.P50Ms, r.P99Ms,
-		r.P999Ms, r.PushesPerOp, r.Wasted)
-	if r.ColdFullest > 0 {
-		fmt.Fprintf(w, "  fullest window at a cold server: %.2f of its budget and chance; %d fell over\n", r.ColdFullest, r.TippedOver)
+		r.P999Ms, r.PushesPerOp, r.WastedWork)
+	if r.ColdPeakLoad > 0 {
+		fmt.Fprintf(w, "  fullest window at a cold server: %.2f of its budget and chance; %d fell over\n", r.ColdPeakLoad, r.CollapsedServers)
 	}
-	if t := r.Between; t != nil {
+	if t := r.PeerTraffic; t != nil {
 		fmt.Fprintf(w, "  between nodes: %.0f bytes and %.1f datagrams a node and second, the busiest node %.0f bytes; at most %.2f of a node's servers closed by hearsay; rig late %.1f ms\n",
-			t.Bytes, t.Datagrams, t.MostBytes, t.Closed, r.RigLateMs)
+			t.BytesPerSecond, t.DatagramsPerSecond, t.MaxBytesPerSecond, t.MaxClosedByPeers, r.HarnessLateMs)
 	}
 	if len(r.BrokenRules) == 0 {
 		fmt.Fprintln(w, "  the four rules hold")
 	} else {
 		fmt.Fprintf(w, "  broken rules: %s\n", strings.Join(r.BrokenRules, ", "))
 	}
-	for i, breach := range r.Breaches {
+	for i, breach := range r.BreachMessages {
 		if i == 5 {
-			fmt.Fprintf(w, "    and %d more\n", len(r.Breaches)-i)
+			fmt.Fprintf(w, "    and %d more\n", len(r.BreachMessages)-i)
 			break
 		}
 		fmt.Fprintln(w, "   ", breach)
 	}
-	for _, f := range r.Failures {
+	for _, f := range r.FailedExpectations {
 		fmt.Fprintln(w, "  NOT MET:", f)
 	}
 	fmt.Fprintln(w, "  again:", r.Command)
@@ -288,10 +288,10 @@
 	} else {
 		length := s.Duration.Micros()
 		if r.Short {
-			length = s.Short.Micros()
+			length = s.ShortDuration.Micros()
 		}
-		arrivals := load.Make(s, length, r.Seed)
-		n, err = len(arrivals), load.Write(file, arrivals)
+		arrivals := load.Generate(s, length, r.Seed)
+		n, err = len(arrivals), load.WriteTrace(file, arrivals)
 	}
 	if err == nil {
 		err = file.Close()
@@ -329,7 +329,7 @@
 		Seed: 1, Listen: u.Listen}, func(nodes []string) {
 		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(s.Machines()))
 		for _, c := range s.Categories {
-			if c.Repeat == "redeliverable" {
+			if c.Delivery == "redeliverable" {
 				fmt.Printf("  curl -i -H 'X-Txn: 1' -H 'X-Remaining-Ms: 900' %s/%s\n", nodes[0], c.Name)
 			}
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -79,23 +79,23 @@
 func (c *Choice) Arrivals(s *scenario.Scenario, length policy.Micros) ([]load.Arrival, error) {
 	file := c.Trace
 	if file == "" {
-		file = s.Load.Trace
+		file = s.Load.TraceFile
 	}
 	if file == "" {
-		return load.Make(s, length, c.Seed), nil
+		return load.Generate(s, length, c.Seed), nil
 	}
 	raw, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer raw.Close()
-	return load.Read(raw, s, length)
+	return load.ReadTrace(raw, s, length)
 }
 
 // length is how long the load of a run lasts.
 func (c *Choice) length(s *scenario.Scenario) policy.Micros {
 	if c.Short {
-		return s.Short.Micros()
+		return s.ShortDuration.Micros()
 	}
 	return s.Duration.Micros()
 }
@@ -116,13 +116,13 @@
 }
 
 // Tick is called about once a second of a run.
-type Tick func(now policy.Micros, a *ledger.Account)
+type Tick func(now policy.Micros, a *ledger.Ledger)
 
 // Play plays an experiment and judges it. When ctx is done before the end the result is partial, and nothing but the
 // rules is judged.
 func Play(ctx context.Context, s *scenario.Scenario, c Choice, tick Tick) (*ledger.Result, error) {
 	if c.Nodes > 0 {
-		s.Tiers[0].Nodes = c.Nodes
+		s.Tiers[0].NodeCount = c.Nodes
 	}
 	if c.Alone && s.Fleet != nil {
 		s.Fleet = &scenario.Fleet{}
@@ -140,14 +140,14 @@
 		driver = s.Driver
 	}
 	var result *ledger.Result
-	var account *ledger.Account
+	var account *ledger.Ledger
 	switch driver {
 	case "sim":
 		if c.Node != "" {
 			return nil, errors.New("another program's nodes can't be played in simulated time")
 		}
 		result, account, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: c.Policy, Fault: c.Fault, Seed: c.Seed,
-			Length: length, Arrivals: arrivals, Tick: tick})
+			LoadDuration: length, Arrivals: arrivals, OnSecond: tick})
 	case "live":
 		result, account, err = live.Run(ctx, live.Options{Scenario: s, Program: c.program(), Seed: c.Seed,
 			Length: length, Arrivals: arrivals, Listen: c.Listen, Logs: c.Logs, Tick: tick})
@@ -167,28 +167,28 @@
 }
 
 // judge writes down what was not met. With a fault, all that is expected is that the ledger catches it.
-func (c *Choice) judge(result *ledger.Result, account *ledger.Account, s *scenario.Scenario) {
+func (c *Choice) judge(result *ledger.Result, account *ledger.Ledger, s *scenario.Scenario) {
 	switch {
 	case c.Fault != "":
-		result.Failures = []string{}
+		result.FailedExpectations = []string{}
 		rule := trial.Faults[c.Fault]
 		for _, broken := range result.BrokenRules {
 			if broken == rule {
 				return
 			}
 		}
-		result.Failures = append(result.Failures, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.Fault, rule))
+		result.FailedExpectations = append(result.FailedExpectations, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.Fault, rule))
 	case result.Partial:
 		*s = scenario.Scenario{Categories: s.Categories, Tenants: s.Tenants, Limits: s.Limits}
-		result.Judge(account)
+		result.CheckExpectations(account)
 	default:
 		if c.Short || result.Policy != trial.Module {
 			// Bounds are for the whole load and the module; the rules hold always.
-			s.Expect = scenario.Expect{Broken: s.Expect.Broken}
+			s.Expect = scenario.Expect{BrokenRules: s.Expect.BrokenRules}
 		}
-		result.Judge(account)
+		result.CheckExpectations(account)
 	}
-	if result.Void != "" {
-		result.Failures = append(result.Failures, "the run is void: "+result.Void)
+	if result.VoidReason != "" {
+		result.FailedExpectations = append(result.FailedExpectations, "the run is void: "+result.VoidReason)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -37,13 +37,13 @@
 	s := find(t, "all-slow")
 	c := Choice{Name: "all-slow", Seed: 1, Driver: "sim"}
 	module, err := Play(t.Context(), s, c, nil)
-	if err != nil || len(module.Failures) > 0 {
-		t.Fatalf("%v %v", err, module.Failures)
+	if err != nil || len(module.FailedExpectations) > 0 {
+		t.Fatalf("%v %v", err, module.FailedExpectations)
 	}
 	high := 1.0
-	s.Expect.Served = &high
-	if r, _ := Play(t.Context(), s, c, nil); len(r.Failures) != 1 || !strings.Contains(r.Failures[0], "served_benefit") {
-		t.Errorf("failures %v", r.Failures)
+	s.Expect.MinServedBenefit = &high
+	if r, _ := Play(t.Context(), s, c, nil); len(r.FailedExpectations) != 1 || !strings.Contains(r.FailedExpectations[0], "served_benefit") {
+		t.Errorf("failures %v", r.FailedExpectations)
 	}
 	c.Policy = "random"
 	random, err := Play(t.Context(), find(t, "all-slow"), c, nil)
@@ -79,12 +79,12 @@
 func TestPartialReport(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := find(t, "steady")
-	r, err := Play(ctx, s, Choice{Name: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Account) {
+	r, err := Play(ctx, s, Choice{Name: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Ledger) {
 		if now >= 3*policy.Second {
 			cancel()
 		}
 	})
-	if err != nil || !r.Partial || len(r.Failures) > 0 {
+	if err != nil || !r.Partial || len(r.FailedExpectations) > 0 {
 		t.Fatalf("%v %+v", err, r)
 	}
 	if _, err := json.Marshal(r); err != nil {
@@ -154,7 +154,7 @@
 	if n := <-done; n != 2 {
 		t.Errorf("%d arrivals recorded", n)
 	}
-	arrivals, err := load.Read(bytes.NewReader(file.Bytes()), s, 10*policy.Second)
+	arrivals, err := load.ReadTrace(bytes.NewReader(file.Bytes()), s, 10*policy.Second)
 	if err != nil || len(arrivals) != 2 || arrivals[1].Category != 1 || arrivals[1].Tenant != 1 {
 		t.Errorf("%v %+v", err, arrivals)
 	}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -49,7 +49,7 @@
 			}
 			return &sampler{Decider: d, module: module, names: names(), lines: json.NewEncoder(out)}, nil
 		},
-		Slack: func(settings policy.Micros) policy.Micros { return trial.Slack(fault, settings) },
+		Slack: func(settings policy.Micros) policy.Micros { return trial.AnswerSlack(fault, settings) },
 	})
 }
 
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -22,21 +22,21 @@
 type Verdict uint8
 
 const (
-	Open       Verdict = iota
-	Served             // a whole answer of a server's
-	Nacked             // trying again does no harm
-	Failed             // a whole answer that promises nothing
-	Broken             // the connection ended without a whole answer
-	Refused            // the node could not be reached, or left before it read the request
-	Left               // the client went first, by its own wish
-	Unanswered         // nothing came
+	Pending        Verdict = iota
+	Served                 // a whole answer of a server's
+	Nacked                 // trying again does no harm
+	Failed                 // a whole answer that promises nothing
+	ConnectionLost         // the connection ended without a whole answer
+	Refused                // the node could not be reached, or left before it read the request
+	ClientLeft             // the client went first, by its own wish
+	Unanswered             // nothing came
 )
 
 // tolerance is what each time limit may be exceeded by, on sockets; in simulated time it is smaller.
 const tolerance = 50 * policy.Millisecond
 
 // Rules are the four rules' names, as expect.broken has them.
-var Rules = []string{"answer", "effect", "drain", "cold"}
+var RuleNames = []string{"answer", "effect", "drain", "cold"}
 
 type op struct {
 	category, tenant, tier int
@@ -88,7 +88,7 @@
 }
 
 // Account is the account of one run. Its methods may be called from any goroutine.
-type Account struct {
+type Ledger struct {
 	mu        sync.Mutex
 	scenario  *scenario.Scenario
 	begin     policy.Micros
@@ -114,8 +114,8 @@
 
 // New makes an account of a run whose load begins at a moment and is cut into buckets of span. In simulated time
 // clocks are exact, and the tolerance is a tenth.
-func New(s *scenario.Scenario, begin, span policy.Micros, simulated bool) *Account {
-	a := &Account{scenario: s, begin: begin, tolerance: tolerance, span: span, told: make(map[[2]int]listed),
+func New(s *scenario.Scenario, begin, span policy.Micros, simulated bool) *Ledger {
+	a := &Ledger{scenario: s, begin: begin, tolerance: tolerance, span: span, told: make(map[[2]int]listed),
 		quota: make([]float64, len(s.Tenants)), second: make([]policy.Micros, len(s.Tenants)),
 		latency: histogram()}
 	if simulated {
@@ -131,19 +131,19 @@
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
 
 // Tolerance is by how much time limits may be exceeded.
-func (a *Account) Tolerance() policy.Micros { return a.tolerance }
+func (a *Ledger) Tolerance() policy.Micros { return a.tolerance }
 
-func (a *Account) note(text string) {
+func (a *Ledger) note(text string) {
 	if len(a.notes) < mostNotes {
 		a.notes = append(a.notes, text)
 	}
 }
 
 // Free stands for the tier of an op that a client sends on top of the load, and that counts for nothing but the rules.
-const Free = -1
+const TierUnscored = -1
 
 // Offer books an op that a client means to send, or, in a later tier, a call.
-func (a *Account) Offer(at policy.Micros, category, tenant, tier int) OpID {
+func (a *Ledger) RecordOp(at policy.Micros, category, tenant, tier int) OpID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	o := op{category: category, tenant: tenant, tier: tier, at: at}
@@ -154,7 +154,7 @@
 				a.second[tenant], a.quota[tenant] = at, 0
 			}
 			if a.quota[tenant]++; a.quota[tenant] > a.scenario.Tenants[tenant].Quota {
-				o.worth *= a.scenario.Limits.Beyond
+				o.worth *= a.scenario.Limits.BeyondShareBenefit
 			}
 		}
 		a.bucket(at, category).Offered++
@@ -164,7 +164,7 @@
 }
 
 // Try books a request to a node, and when its client gives up.
-func (a *Account) Try(id OpID, node int, sent, notAfter policy.Micros) TryID {
+func (a *Ledger) RecordTry(id OpID, node int, sent, notAfter policy.Micros) TryID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ops[id].tries++
@@ -173,7 +173,7 @@
 }
 
 // End books how a try ended for its client. A second answer is counted as such.
-func (a *Account) End(id TryID, at policy.Micros, verdict Verdict) {
+func (a *Ledger) RecordTryEnd(id TryID, at policy.Micros, verdict Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t := &a.tries[id]
@@ -184,11 +184,11 @@
 			return
 		}
 		if slack := a.scenario.Limits.AnswerSlack.Micros(); at > t.notAfter+slack+a.tolerance && !a.stopped(t, at) {
-			a.result.Late++
+			a.result.LateAnswers++
 			a.note(say("try %d was answered %v ms past its client's end", id, ms(at-t.notAfter)))
 		}
 	}
-	if t.verdict != Open {
+	if t.verdict != Pending {
 		return
 	}
 	t.verdict, t.ended = verdict, at
@@ -217,26 +217,26 @@
 }
 
 // gain is what an op that was served is worth.
-func (a *Account) gain(o *op) float64 {
+func (a *Ledger) gain(o *op) float64 {
 	c := &a.scenario.Categories[o.category]
-	if o.took <= c.Target.Micros() {
+	if o.took <= c.TargetLatency.Micros() {
 		return o.worth
 	}
-	return o.worth * c.Late
+	return o.worth * c.LateBenefit
 }
 
 // Extra books an answer that belongs to no request that is out.
-func (a *Account) Extra(id TryID) { a.End(id, 0, Served) }
+func (a *Ledger) RecordExtraAnswer(id TryID) { a.RecordTryEnd(id, 0, Served) }
 
 // Crashed says that a node dies now: what it had taken and not answered is its clients' to try again, and not lost.
-func (a *Account) Crashed(node int, at policy.Micros) {
+func (a *Ledger) RecordNodeCrash(node int, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.deaths = append(a.deaths, death{node, at})
 }
 
 // died says whether a try was in its node's hands, or on its way there, when the node died.
-func (a *Account) died(t *try) bool {
+func (a *Ledger) died(t *try) bool {
 	for _, d := range a.deaths {
 		if d.node == t.node && t.sent <= d.at+a.tolerance && (t.ended == 0 || t.ended >= d.at) {
 			return true
@@ -247,7 +247,7 @@
 
 // Paused says that a node's process is stopped from now on, or goes on. What it was to answer meanwhile comes late by no
 // fault of its own, and it counts as told of what came meanwhile once it goes on.
-func (a *Account) Paused(node int, stopped bool, at policy.Micros) {
+func (a *Ledger) RecordNodePause(node int, stopped bool, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if stopped {
@@ -264,7 +264,7 @@
 }
 
 // pausedNow is the pause that a node is in, or nil.
-func (a *Account) pausedNow(node int) *pause {
+func (a *Ledger) pausedNow(node int) *pause {
 	for i := range a.pauses {
 		if p := &a.pauses[i]; p.node == node && p.to == 0 {
 			return p
@@ -274,7 +274,7 @@
 }
 
 // stopped says whether a try's node was stopped while it had the try, before its client's end.
-func (a *Account) stopped(t *try, end policy.Micros) bool {
+func (a *Ledger) stopped(t *try, end policy.Micros) bool {
 	for i := range a.pauses {
 		if p := &a.pauses[i]; p.node == t.node && p.from <= end && (p.to == 0 || p.to+a.tolerance >= t.sent) {
 			return true
@@ -284,14 +284,14 @@
 }
 
 // Push books a push as a server got it, whatever became of it there, and judges whether the node might send it.
-func (a *Account) Push(id TryID, server int, at policy.Micros) PushID {
+func (a *Ledger) RecordPush(id TryID, server int, at policy.Micros) PushID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t := &a.tries[id]
 	t.pushes++
 	a.pushes = append(a.pushes, push{try: id, server: server, at: at})
-	if t.verdict != Open && t.verdict != Left && at > t.ended+a.tolerance {
-		a.result.LateSends++
+	if t.verdict != Pending && t.verdict != ClientLeft && at > t.ended+a.tolerance {
+		a.result.LatePushes++
 		a.note(say("try %d was sent to server %d after its end", id, server))
 	}
 	if l, known := a.told[[2]int{t.node, server}]; known && l.state != policy.Ready {
@@ -304,7 +304,7 @@
 }
 
 // Effect books that a push ran and had its effect. What a group dropped as a repeat has none.
-func (a *Account) Effect(id PushID) {
+func (a *Ledger) RecordEffect(id PushID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t := &a.tries[a.pushes[id].try]
@@ -314,14 +314,14 @@
 	if t.verdict == Nacked {
 		a.falseNack(a.pushes[id].try, t)
 	}
-	if o.effects > 1 && a.scenario.Categories[o.category].Repeat != "redeliverable" {
+	if o.effects > 1 && a.scenario.Categories[o.category].Delivery != "redeliverable" {
 		a.result.DoubleEffects++
 		a.note(say("op %d (%s) had its effect %d times: %s", t.op, a.scenario.Categories[o.category].Name, o.effects, a.ran(t.op)))
 	}
 }
 
 // ran lists the pushes of an op.
-func (a *Account) ran(id OpID) (text string) {
+func (a *Ledger) ran(id OpID) (text string) {
 	for i := range a.pushes {
 		if p := &a.pushes[i]; a.tries[p.try].op == id {
 			text += say("; try %d at server %d after %v ms", p.try, p.server, ms(p.at-a.ops[id].at))
@@ -331,23 +331,23 @@
 }
 
 // falseNack judges a nack of a try that has run: only what may run again anywhere may be nacked then.
-func (a *Account) falseNack(id TryID, t *try) {
+func (a *Ledger) falseNack(id TryID, t *try) {
 	c := &a.scenario.Categories[a.ops[t.op].category]
-	if c.Repeat == "at_most_once" || c.Repeat == "deduplicated" && c.Scope != "all" {
+	if c.Delivery == "at_most_once" || c.Delivery == "deduplicated" && c.DedupScope != "all" {
 		a.result.FalseNacks++
 		a.note(say("try %d (%s) was nacked and has run", id, c.Name))
 	}
 }
 
 // Worked books the core time that a push took, and whether its answer was the one that its client got.
-func (a *Account) Worked(id PushID, work policy.Micros) {
+func (a *Ledger) RecordWork(id PushID, work policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pushes[id].work += work
 }
 
 // ServedBy says which push's answer a client got.
-func (a *Account) ServedBy(id PushID) {
+func (a *Ledger) RecordServedBy(id PushID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if id >= 0 && int(id) < len(a.pushes) {
@@ -357,7 +357,7 @@
 
 // Anew says that a node's process starts: it has been told of nothing yet. Danger: what was written to the process before it, of
 // a drain, say, this one was never told, and it would be blamed for a push before its own list has come.
-func (a *Account) Anew(node int) {
+func (a *Ledger) RecordNodeStart(node int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for key := range a.told {
@@ -368,7 +368,7 @@
 }
 
 // Told books what a node was told of a server. Telling the same again changes nothing.
-func (a *Account) Told(node, server int, state policy.ServerState, started, at policy.Micros) {
+func (a *Ledger) RecordServerState(node, server int, state policy.ServerState, started, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if p := a.pausedNow(node); p != nil {
@@ -378,7 +378,7 @@
 	a.tell(node, server, state, started, at)
 }
 
-func (a *Account) tell(node, server int, state policy.ServerState, started, at policy.Micros) {
+func (a *Ledger) tell(node, server int, state policy.ServerState, started, at policy.Micros) {
 	key := [2]int{node, server}
 	l, known := a.told[key]
 	if !known || l.state == policy.Ready != (state == policy.Ready) {
@@ -392,7 +392,7 @@
 }
 
 // KnowsStart says whether a node had been told of a server's start.
-func (a *Account) KnowsStart(node, server int, started policy.Micros) bool {
+func (a *Ledger) KnowsServerStart(node, server int, started policy.Micros) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l, known := a.told[[2]int{node, server}]
@@ -400,10 +400,10 @@
 }
 
 // Tipped books that a cold server fell over, and whether nodes that knew sent most of it.
-func (a *Account) Tipped(server int, known bool) {
+func (a *Ledger) RecordCollapse(server int, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.result.TippedOver++
+	a.result.CollapsedServers++
 	if known {
 		a.result.ColdBreaches++
 		a.note(say("server %d was pushed over while cold", server))
@@ -411,14 +411,14 @@
 }
 
 // Pressed books the fullest window of a cold server, as a share of what it bears.
-func (a *Account) Pressed(share float64) {
+func (a *Ledger) RecordPeakLoad(share float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.result.ColdFullest = max(a.result.ColdFullest, share)
+	a.result.ColdPeakLoad = max(a.result.ColdPeakLoad, share)
 }
 
 // NodeOf is the node of a try.
-func (a *Account) NodeOf(id TryID) (node int, known bool) {
+func (a *Ledger) NodeOf(id TryID) (node int, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if id < 0 || int(id) >= len(a.tries) {
@@ -428,7 +428,7 @@
 }
 
 // KeyOf is the key by which repeats of a try's op are known.
-func (a *Account) KeyOf(id TryID) (op OpID, category int) {
+func (a *Ledger) OpOf(id TryID) (op OpID, category int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	o := a.tries[id].op
@@ -436,21 +436,21 @@
 }
 
 // Missed books how many sends the generator made too late.
-func (a *Account) Missed(n int) {
+func (a *Ledger) RecordScheduleMisses(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.result.ScheduleMissed += n
 }
 
 // Note books a line in words: a process that ended, a trouble that began.
-func (a *Account) Note(text string) {
+func (a *Ledger) RecordEvent(text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.result.Events = append(a.result.Events, text)
 }
 
 // Sample books one server's throttle at a node.
-func (a *Account) Sample(at policy.Micros, of Throttle) {
+func (a *Ledger) RecordThrottle(at policy.Micros, of Throttle) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	of.AtMs = ms(at - a.begin)
@@ -458,10 +458,10 @@
 }
 
 // Progress is how the run stands.
-type Progress struct{ Offered, Served, Nacked, Open int }
+type Progress struct{ Offered, Served, Nacked, Pending int }
 
 // Progress counts the clients' ops so far.
-func (a *Account) Progress() (p Progress) {
+func (a *Ledger) Progress() (p Progress) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range a.ops {
@@ -475,31 +475,31 @@
 			p.Served++
 		case Nacked:
 			p.Nacked++
-		case Open:
-			p.Open++
+		case Pending:
+			p.Pending++
 		}
 	}
 	return p
 }
 
 // Begin sets when the load begins. Nothing may be offered before.
-func (a *Account) Begin(at policy.Micros) {
+func (a *Ledger) SetLoadStart(at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.begin = at
 }
 
 // Cut says that the run ends before its time: whoever still waits goes without an answer, by no fault of a node.
-func (a *Account) Cut(at policy.Micros) {
+func (a *Ledger) Abort(at policy.Micros) {
 	a.mu.Lock()
 	open := make([]TryID, 0, len(a.tries))
 	for i := range a.tries {
-		if a.tries[i].verdict == Open {
+		if a.tries[i].verdict == Pending {
 			open = append(open, TryID(i))
 		}
 	}
 	a.mu.Unlock()
 	for _, id := range open {
-		a.End(id, at, Left)
+		a.RecordTryEnd(id, at, ClientLeft)
 	}
 }
--- a/internal/lab/ledger/result.go
+++ b/internal/lab/ledger/result.go
@@ -16,64 +16,64 @@
 
 // Result is what a run came to: the JSON of --json. Ratios are 0 where nothing was counted.
 type Result struct {
-	Name           string     `json:"name"`
-	Policy         string     `json:"policy"`
-	Driver         string     `json:"driver"` // live: servers on loopback sockets; sim: simulated time
-	Seed           uint64     `json:"seed"`
-	Command        string     `json:"command"`
-	Partial        bool       `json:"partial"` // ended before its time
-	Void           string     `json:"void,omitempty"`
-	Ops            int        `json:"ops"` // of clients
-	Served         int        `json:"served"`
-	Nacked         int        `json:"nacked"`
-	DeadLettered   int        `json:"dead_lettered"`
-	Left           int        `json:"left"` // the client went first
-	Unanswered     int        `json:"unanswered"`
-	LostToCrash    int        `json:"lost_to_crash"` // tries that a node held when it died
-	LostToPause    int        `json:"lost_to_pause"` // tries that a node held while its process was stopped
-	RigLateMs      float64    `json:"rig_late_ms"`   // the most that the rig itself was late
-	Between        *Traffic   `json:"between,omitempty"`
-	DoubleAnswers  int        `json:"double_answers"`
-	DoubleEffects  int        `json:"double_effects"`
-	FalseNacks     int        `json:"false_nacks"`
-	DrainBreaches  int        `json:"drain_breaches"`
-	ColdBreaches   int        `json:"cold_breaches"`
-	TippedOver     int        `json:"tipped_over"`
-	ColdFullest    float64    `json:"cold_fullest"` // fullest window at a cold server, as a share of its budget and chance
-	Late           int        `json:"late"`
-	LateSends      int        `json:"late_sends"`
-	PushesPerOp    float64    `json:"pushes_per_op"`    // of tries that reached a node of the first tier
-	TriesPerOp     float64    `json:"tries_per_op"`     // of clients
-	PushesAllTiers float64    `json:"pushes_all_tiers"` // pushes in any tier, by client's op
-	P50Ms          float64    `json:"p50_ms"`
-	P99Ms          float64    `json:"p99_ms"`
-	P999Ms         float64    `json:"p999_ms"`
-	ServedBenefit  float64    `json:"served_benefit"` // share of what was offered
-	LastQuarter    float64    `json:"last_quarter_benefit"`
-	WorstTenant    float64    `json:"worst_tenant"`
-	Wasted         float64    `json:"wasted_work"` // share of core time whose answer reached nobody
-	ScheduleMissed int        `json:"schedule_missed"`
-	BrokenRules    []string   `json:"broken_rules"`
-	Categories     []Kind     `json:"categories"`
-	Breaches       []string   `json:"breaches,omitempty"` // the first of them in words
-	Events         []string   `json:"events,omitempty"`
-	Series         []Bucket   `json:"series"`
-	Throttles      []Throttle `json:"throttles,omitempty"`
-	Failures       []string   `json:"failed_expectations"`
+	Name               string           `json:"name"`
+	Policy             string           `json:"policy"`
+	Driver             string           `json:"driver"` // live: servers on loopback sockets; sim: simulated time
+	Seed               uint64           `json:"seed"`
+	Command            string           `json:"command"`
+	Partial            bool             `json:"partial"` // ended before its time
+	VoidReason         string           `json:"void,omitempty"`
+	Ops                int              `json:"ops"` // of clients
+	Served             int              `json:"served"`
+	Nacked             int              `json:"nacked"`
+	DeadLettered       int              `json:"dead_lettered"`
+	ClientLeft         int              `json:"left"` // the client went first
+	Unanswered         int              `json:"unanswered"`
+	LostToCrash        int              `json:"lost_to_crash"` // tries that a node held when it died
+	LostToPause        int              `json:"lost_to_pause"` // tries that a node held while its process was stopped
+	HarnessLateMs      float64          `json:"rig_late_ms"`   // the most that the rig itself was late
+	PeerTraffic        *PeerTraffic     `json:"between,omitempty"`
+	DoubleAnswers      int              `json:"double_answers"`
+	DoubleEffects      int              `json:"double_effects"`
+	FalseNacks         int              `json:"false_nacks"`
+	DrainBreaches      int              `json:"drain_breaches"`
+	ColdBreaches       int              `json:"cold_breaches"`
+	CollapsedServers   int              `json:"tipped_over"`
+	ColdPeakLoad       float64          `json:"cold_fullest"` // fullest window at a cold server, as a share of its budget and chance
+	LateAnswers        int              `json:"late"`
+	LatePushes         int              `json:"late_sends"`
+	PushesPerOp        float64          `json:"pushes_per_op"`    // of tries that reached a node of the first tier
+	TriesPerOp         float64          `json:"tries_per_op"`     // of clients
+	PushesAllTiers     float64          `json:"pushes_all_tiers"` // pushes in any tier, by client's op
+	P50Ms              float64          `json:"p50_ms"`
+	P99Ms              float64          `json:"p99_ms"`
+	P999Ms             float64          `json:"p999_ms"`
+	ServedBenefit      float64          `json:"served_benefit"` // share of what was offered
+	LastQuarterBenefit float64          `json:"last_quarter_benefit"`
+	WorstTenantBenefit float64          `json:"worst_tenant"`
+	WastedWork         float64          `json:"wasted_work"` // share of core time whose answer reached nobody
+	ScheduleMissed     int              `json:"schedule_missed"`
+	BrokenRules        []string         `json:"broken_rules"`
+	Categories         []CategoryResult `json:"categories"`
+	BreachMessages     []string         `json:"breaches,omitempty"` // the first of them in words
+	Events             []string         `json:"events,omitempty"`
+	Series             []Bucket         `json:"series"`
+	Throttles          []Throttle       `json:"throttles,omitempty"`
+	FailedExpectations []string         `json:"failed_expectations"`
 }
 
 // Traffic is what nodes said to each other, as the relay counted it: a node and second, mean and the busiest node's.
-type Traffic struct {
-	Bytes         float64 `json:"bytes_a_node_and_second"`
-	MostBytes     float64 `json:"most_bytes_a_second"`
-	Datagrams     float64 `json:"datagrams_a_node_and_second"`
-	Streams       float64 `json:"streams_a_node_and_second"`
-	StreamedBytes float64 `json:"streamed_bytes_a_node_and_second"`
-	Closed        float64 `json:"most_closed_by_hearsay"` // part of a node's servers, as nodes say when asked
+type PeerTraffic struct {
+	BytesPerSecond       float64 `json:"bytes_a_node_and_second"`
+	MaxBytesPerSecond    float64 `json:"most_bytes_a_second"`
+	DatagramsPerSecond   float64 `json:"datagrams_a_node_and_second"`
+	StreamsPerSecond     float64 `json:"streams_a_node_and_second"`
+	StreamBytesPerSecond float64 `json:"streamed_bytes_a_node_and_second"`
+	MaxClosedByPeers     float64 `json:"most_closed_by_hearsay"` // part of a node's servers, as nodes say when asked
 }
 
 // Kind is one category's part.
-type Kind struct {
+type CategoryResult struct {
 	Name          string  `json:"name"`
 	Ops           int     `json:"ops"`
 	Served        int     `json:"served"`
@@ -97,15 +97,15 @@
 
 // Throttle is one server's overload control at a node, while it acts.
 type Throttle struct {
-	AtMs   float64 `json:"at_ms"`
-	Node   int     `json:"node"`
-	Server string  `json:"server"`
-	Rate   float64 `json:"rate"` // ops a second that it lets pass at the cut
-	Cut    int     `json:"cut"`  // benefit level
+	AtMs        float64 `json:"at_ms"`
+	Node        int     `json:"node"`
+	Server      string  `json:"server"`
+	Rate        float64 `json:"rate"` // ops a second that it lets pass at the cut
+	CutoffLevel int     `json:"cut"`  // benefit level
 }
 
 // bucket finds a category's bucket of a moment.
-func (a *Account) bucket(at policy.Micros, category int) *Bucket {
+func (a *Ledger) bucket(at policy.Micros, category int) *Bucket {
 	n := int(max(0, at-a.begin)/a.span)*len(a.scenario.Categories) + category
 	for len(a.series) <= n {
 		next := len(a.series)
@@ -116,7 +116,7 @@
 }
 
 // Finish closes the account at the run's end and judges it. Tries that are still open by then got no answer.
-func (a *Account) Finish(end policy.Micros) *Result {
+func (a *Ledger) Finish(end policy.Micros) *Result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.result // a copy: the account can be closed again
@@ -124,33 +124,33 @@
 	a.finishOps(&r, end)
 	a.finishWork(&r)
 	r.P50Ms, r.P99Ms, r.P999Ms = quantile(a.latency, 50), quantile(a.latency, 99), quantile(a.latency, 99.9)
-	r.Series, r.Breaches = a.series, a.notes
+	r.Series, r.BreachMessages = a.series, a.notes
 	r.BrokenRules = []string{}
 	for i, broken := range []bool{
-		r.Unanswered+r.DoubleAnswers+r.Late+r.LateSends > 0,
+		r.Unanswered+r.DoubleAnswers+r.LateAnswers+r.LatePushes > 0,
 		r.DoubleEffects+r.FalseNacks > 0,
 		r.DrainBreaches > 0,
 		r.ColdBreaches > 0,
 	} {
 		if broken {
-			r.BrokenRules = append(r.BrokenRules, Rules[i])
+			r.BrokenRules = append(r.BrokenRules, RuleNames[i])
 		}
 	}
 	return &r
 }
 
-func (a *Account) finishTries(r *Result) {
+func (a *Ledger) finishTries(r *Result) {
 	first, pushes := 0, 0
 	for i := range a.tries {
 		t := &a.tries[i]
 		inner := a.ops[t.op].tier != 0
 		switch {
-		case t.verdict == Open, t.verdict == Unanswered, t.verdict == Broken:
+		case t.verdict == Pending, t.verdict == Unanswered, t.verdict == ConnectionLost:
 			if a.died(t) {
 				r.LostToCrash++
 			} else if a.stopped(t, t.notAfter) {
 				r.LostToPause++
-			} else if t.verdict != Open || !inner {
+			} else if t.verdict != Pending || !inner {
 				r.Unanswered++
 				a.note(say("try %d to node %d got no answer", i, t.node))
 			}
@@ -163,14 +163,14 @@
 	r.PushesPerOp = ratio(float64(pushes), float64(first))
 }
 
-func (a *Account) finishOps(r *Result, end policy.Micros) {
+func (a *Ledger) finishOps(r *Result, end policy.Micros) {
 	type sum struct{ gained, offered float64 }
 	tenants := make([]sum, len(a.scenario.Tenants))
 	kinds := make([]sum, len(a.scenario.Categories))
 	var whole, last sum
 	tries := 0
 	for range a.scenario.Categories {
-		r.Categories = append(r.Categories, Kind{})
+		r.Categories = append(r.Categories, CategoryResult{})
 	}
 	quarter := a.begin + (end-a.begin)*3/4
 	for i := range a.ops {
@@ -190,8 +190,8 @@
 			gain = a.gain(o)
 		case Nacked:
 			r.Nacked++
-		case Left:
-			r.Left++
+		case ClientLeft:
+			r.ClientLeft++
 			continue // worth nothing to anybody
 		case Failed:
 			r.DeadLettered++
@@ -206,13 +206,13 @@
 			add(&last)
 		}
 	}
-	r.ServedBenefit, r.LastQuarter = ratio(whole.gained, whole.offered), ratio(last.gained, last.offered)
+	r.ServedBenefit, r.LastQuarterBenefit = ratio(whole.gained, whole.offered), ratio(last.gained, last.offered)
 	r.TriesPerOp = ratio(float64(tries), float64(r.Ops))
 	r.PushesAllTiers = ratio(float64(len(a.pushes)), float64(r.Ops))
-	r.WorstTenant = 1
+	r.WorstTenantBenefit = 1
 	for _, t := range tenants {
 		if t.offered > 0 {
-			r.WorstTenant = min(r.WorstTenant, ratio(t.gained, t.offered))
+			r.WorstTenantBenefit = min(r.WorstTenantBenefit, ratio(t.gained, t.offered))
 		}
 	}
 	for i := range r.Categories {
@@ -223,7 +223,7 @@
 }
 
 // finishWork adds up core time whose answer reached no client, and the latency of each bucket.
-func (a *Account) finishWork(r *Result) {
+func (a *Ledger) finishWork(r *Result) {
 	var all, wasted policy.Micros
 	for i := range a.series {
 		a.series[i].WastedMs = 0
@@ -236,7 +236,7 @@
 			a.bucket(p.at, a.ops[a.tries[p.try].op].category).WastedMs += ms(p.work)
 		}
 	}
-	r.Wasted = ratio(float64(wasted), float64(all))
+	r.WastedWork = ratio(float64(wasted), float64(all))
 	spans := make([]*hdrhistogram.Histogram, len(a.series))
 	for i := range a.ops {
 		if o := &a.ops[i]; o.tier == 0 && o.verdict == Served {
@@ -267,12 +267,14 @@
 }
 
 // Judge compares a result with what its experiment expects, and writes down what was not met.
-func (r *Result) Judge(a *Account) {
-	r.Failures = []string{}
-	fail := func(format string, args ...any) { r.Failures = append(r.Failures, say(format, args...)) }
+func (r *Result) CheckExpectations(a *Ledger) {
+	r.FailedExpectations = []string{}
+	fail := func(format string, args ...any) {
+		r.FailedExpectations = append(r.FailedExpectations, say(format, args...))
+	}
 	e := &a.scenario.Expect
 	meant := map[string]bool{}
-	for _, rule := range e.Broken {
+	for _, rule := range e.BrokenRules {
 		meant[rule] = true
 	}
 	for _, rule := range r.BrokenRules {
@@ -281,7 +283,7 @@
 		}
 		delete(meant, rule)
 	}
-	for _, rule := range Rules {
+	for _, rule := range RuleNames {
 		if meant[rule] {
 			fail("rule %q was to be broken and is not", rule)
 		}
@@ -296,19 +298,19 @@
 			fail("%s is %.3f, at most %.3f was expected", what, got, *bound)
 		}
 	}
-	least("served_benefit", r.ServedBenefit, e.Served)
-	least("worst_tenant", r.WorstTenant, e.WorstTenant)
-	least("last_quarter_benefit", r.LastQuarter, e.Last)
-	most("pushes_per_op", r.PushesPerOp, e.PushesPerOp)
-	most("wasted_work", r.Wasted, e.Wasted)
-	if e.P99 != nil {
-		bound := e.P99.Ms()
+	least("served_benefit", r.ServedBenefit, e.MinServedBenefit)
+	least("worst_tenant", r.WorstTenantBenefit, e.MinWorstTenantBenefit)
+	least("last_quarter_benefit", r.LastQuarterBenefit, e.MinLastQuarterBenefit)
+	most("pushes_per_op", r.PushesPerOp, e.MaxPushesPerOp)
+	most("wasted_work", r.WastedWork, e.MaxWastedWork)
+	if e.MaxP99 != nil {
+		bound := e.MaxP99.Milliseconds()
 		most("p99 in ms", r.P99Ms, &bound)
 	}
 	if e.Category != nil {
 		for _, k := range r.Categories {
 			if k.Name == e.Category.Name {
-				least("served_benefit of "+k.Name, k.ServedBenefit, &e.Category.Served)
+				least("served_benefit of "+k.Name, k.ServedBenefit, &e.Category.MinServedBenefit)
 			}
 		}
 	}
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -66,13 +66,13 @@
 }
 
 // drop closes the kept connections. Bytes that wait on one are an answer to nothing.
-func (d *door) drop(a *ledger.Account) {
+func (d *door) drop(a *ledger.Ledger) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.idle {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.Peek(1); err == nil {
-			a.Extra(c.last)
+			a.RecordExtraAnswer(c.last)
 		}
 		c.Close()
 	}
@@ -81,12 +81,12 @@
 
 // ask sends one request and gives what its client saw of it.
 func (r *run) ask(ctx context.Context, d *door, node int, q question) (ledger.Verdict, policy.Micros) {
-	try := r.account.Try(q.op, node, r.now(), q.notAfter)
+	try := r.account.RecordTry(q.op, node, r.now(), q.notAfter)
 	r.remember(try, q)
 	for {
 		verdict, advice, again := r.exchange(ctx, d, try, q)
 		if !again {
-			r.account.End(try, r.now(), verdict)
+			r.account.RecordTryEnd(try, r.now(), verdict)
 			return verdict, advice
 		}
 	}
@@ -107,7 +107,7 @@
 func (r *run) request(try ledger.TryID, q question) *http.Request {
 	c := &r.Scenario.Categories[q.category]
 	method, body := http.MethodPost, io.Reader(strings.NewReader(fmt.Sprintf(`{"op":%d}`, q.op)))
-	if c.Repeat == "redeliverable" {
+	if c.Delivery == "redeliverable" {
 		method, body = http.MethodGet, nil
 	}
 	request, err := http.NewRequest(method, fmt.Sprintf("http://backend.local/%s/%d", c.Name, q.op), body)
@@ -116,7 +116,7 @@
 	}
 	request.Header.Set("X-Txn", wireID(try))
 	request.Header.Set("X-Remaining-Ms", strconv.FormatInt(max(0, int64((q.notAfter-r.now())/policy.Millisecond)), 10))
-	if c.Repeat != "redeliverable" {
+	if c.Delivery != "redeliverable" {
 		request.Header.Set("Idempotency-Key", fmt.Sprintf("k-%d", q.op))
 	}
 	if q.repeated {
@@ -138,7 +138,7 @@
 	c, err := d.take(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
-			return ledger.Left, 0, false
+			return ledger.ClientLeft, 0, false
 		}
 		return ledger.Refused, 0, false
 	}
@@ -150,7 +150,7 @@
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if c.Buffered() > 0 {
-		r.account.Extra(c.last)
+		r.account.RecordExtraAnswer(c.last)
 	}
 	err = r.request(try, q).Write(c)
 	if err == nil {
@@ -162,11 +162,11 @@
 		case c.used && ctx.Err() == nil && kills == d.kills.Load() && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
 			return 0, 0, true
 		case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded) && q.leaves > 0:
-			return ledger.Left, 0, false
+			return ledger.ClientLeft, 0, false
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return ledger.Unanswered, 0, false
 		}
-		return ledger.Broken, 0, false
+		return ledger.ConnectionLost, 0, false
 	}
 	c.used, c.last = true, try
 	response, err := http.ReadResponse(c.Reader, nil)
@@ -188,7 +188,7 @@
 	case http.StatusOK:
 		var from server.Body
 		if json.Unmarshal(body, &from) == nil {
-			r.account.ServedBy(from.Push)
+			r.account.RecordServedBy(from.Push)
 		}
 		return ledger.Served, 0, false
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -201,16 +201,16 @@
 // cut is what an answer that is not whole means, unless it was the run that ended.
 func cut(ctx context.Context) ledger.Verdict {
 	if ctx.Err() != nil {
-		return ledger.Left
+		return ledger.ClientLeft
 	}
-	return ledger.Broken
+	return ledger.ConnectionLost
 }
 
 // front deals requests out among the nodes of the first tier, and leaves one out for a while that could not be reached.
 func (r *run) front() int {
-	first := r.Scenario.Tiers[0].Nodes
+	first := r.Scenario.Tiers[0].NodeCount
 	for range first {
-		n := r.Scenario.Deal(int(r.turn.Add(1)))
+		n := r.Scenario.AssignNode(int(r.turn.Add(1)))
 		d := r.nodes[n].door
 		d.mu.Lock()
 		open := time.Now().After(d.shut)
@@ -219,38 +219,38 @@
 			return n
 		}
 	}
-	return r.Scenario.Deal(int(r.turn.Add(1)))
+	return r.Scenario.AssignNode(int(r.turn.Add(1)))
 }
 
 // client plays one op over all its tries.
 func (r *run) client(ctx context.Context, a *load.Arrival, meant policy.Micros) {
 	category := &r.Scenario.Categories[a.Category]
-	op := r.account.Offer(meant, a.Category, a.Tenant, 0)
+	op := r.account.RecordOp(meant, a.Category, a.Tenant, 0)
 	refused := 0
 	for number := 0; ctx.Err() == nil; {
-		q := question{op: op, arrival: a, category: a.Category, repeated: number > 0 && r.Scenario.Load.MarksRetry,
+		q := question{op: op, arrival: a, category: a.Category, repeated: number > 0 && r.Scenario.Load.MarksRetries,
 			notAfter: max(r.now(), meant+category.TTL.Micros()+policy.Micros(r.step.Load()))}
 		if number == 0 {
-			q.leaves = a.Leaves
+			q.leaves = a.LeavesAfter
 		}
 		n := r.front()
 		verdict, advice := r.ask(ctx, r.nodes[n].door, n, q)
 		switch verdict {
-		case ledger.Served, ledger.Left:
+		case ledger.Served, ledger.ClientLeft:
 			return
 		case ledger.Refused:
 			d := r.nodes[n].door
 			d.mu.Lock()
 			d.shut = time.Now().Add(time.Second)
 			d.mu.Unlock()
-			if refused++; refused <= r.Scenario.Tiers[0].Nodes && r.now()-meant < category.TTL.Micros() {
+			if refused++; refused <= r.Scenario.Tiers[0].NodeCount && r.now()-meant < category.TTL.Micros() {
 				continue // the front takes the next node at once; that is no try of the client's
 			}
 			return
 		}
 		refused = 0
-		wait, again := load.Again(r.Scenario, a.Category, load.Try{Number: number, Nacked: verdict == ledger.Nacked,
-			Advice: advice, Elapsed: r.now() - meant})
+		wait, again := load.ShouldRetry(r.Scenario, a.Category, load.Try{Index: number, Nacked: verdict == ledger.Nacked,
+			RetryAfter: advice, Elapsed: r.now() - meant})
 		if !again {
 			return
 		}
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -42,7 +42,7 @@
 	Arrivals []load.Arrival
 	Listen   string // of the first node; left out: any free address
 	Logs     string // a directory for the nodes' logs, at level info; left out: only last lines are kept
-	Tick     func(now policy.Micros, a *ledger.Account)
+	Tick     func(now policy.Micros, a *ledger.Ledger)
 }
 
 const (
@@ -56,7 +56,7 @@
 type run struct {
 	Options
 	clock    *node.Clock
-	account  *ledger.Account
+	account  *ledger.Ledger
 	plan     *scenario.Plan
 	dir      string
 	ports    *ports
@@ -75,7 +75,7 @@
 	failed   chan error    // holds one
 	mu       sync.Mutex
 	asked    map[ledger.TryID]question
-	memories scenario.Memories
+	memories scenario.DedupMemories
 	memory   sync.Mutex // guards what is in memories
 	open     bool       // any id is taken for an op: no load of our own
 }
@@ -91,7 +91,7 @@
 }
 
 // Run plays an experiment to its end, or until ctx is done; then the result is partial. Nothing is left running.
-func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Account, error) {
+func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
 	r, err := start(ctx, o)
 	if err != nil {
 		return nil, nil, err
@@ -107,16 +107,16 @@
 	}
 	result := r.account.Finish(r.begin + min(o.Length, r.now()-r.begin))
 	result.Partial = partial
-	result.Between = r.traffic()
+	result.PeerTraffic = r.traffic()
 	late, _ := r.lag.End()
 	late = max(late, r.rig.Late())
-	result.RigLateMs = float64(late.Microseconds()) / 1000
+	result.HarnessLateMs = float64(late.Microseconds()) / 1000
 	// Danger: a machine that is too busy looks like a node at fault. What the rig itself was late with is no node's.
 	if most := duration(r.account.Tolerance()); late > most {
-		result.Void = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), most)
+		result.VoidReason = fmt.Sprintf("the rig itself was %v late, over %v", late.Round(time.Millisecond), most)
 	}
 	if missed := float64(result.ScheduleMissed); missed > mostLate*float64(len(o.Arrivals)) {
-		result.Void = fmt.Sprintf("the generator sent %d of %d ops more than %d ms late", result.ScheduleMissed,
+		result.VoidReason = fmt.Sprintf("the generator sent %d of %d ops more than %d ms late", result.ScheduleMissed,
 			len(o.Arrivals), sendLate/policy.Millisecond)
 	}
 	return result, r.account, nil
@@ -124,28 +124,28 @@
 
 // said is what each place of the rig has sent so far.
 func (r *run) said() (all []relay.Count) {
-	for i := 0; r.rig.Relay != nil && i < r.Scenario.Tiers[0].Nodes; i++ {
+	for i := 0; r.rig.Relay != nil && i < r.Scenario.Tiers[0].NodeCount; i++ {
 		all = append(all, r.rig.Relay.Count(i))
 	}
 	return all
 }
 
 // traffic is what nodes have said to each other since the load began; nil where they don't.
-func (r *run) traffic() *ledger.Traffic {
+func (r *run) traffic() *ledger.PeerTraffic {
 	if r.Scenario.Fleet == nil {
 		return nil
 	}
-	t, seconds, nodes := &ledger.Traffic{}, float64(r.now()-r.begin)/float64(policy.Second), float64(len(r.before))
+	t, seconds, nodes := &ledger.PeerTraffic{}, float64(r.now()-r.begin)/float64(policy.Second), float64(len(r.before))
 	for i, now := range r.said() {
 		was := r.before[i]
 		bytes := float64(now.SentBytes - was.SentBytes + now.StreamBytes - was.StreamBytes)
-		t.Bytes += bytes / nodes / seconds
-		t.MostBytes = max(t.MostBytes, bytes/seconds)
-		t.Datagrams += float64(now.SentDatagrams-was.SentDatagrams) / nodes / seconds
-		t.Streams += float64(now.SentStreams-was.SentStreams) / nodes / seconds
-		t.StreamedBytes += float64(now.StreamBytes-was.StreamBytes) / nodes / seconds
+		t.BytesPerSecond += bytes / nodes / seconds
+		t.MaxBytesPerSecond = max(t.MaxBytesPerSecond, bytes/seconds)
+		t.DatagramsPerSecond += float64(now.SentDatagrams-was.SentDatagrams) / nodes / seconds
+		t.StreamsPerSecond += float64(now.SentStreams-was.SentStreams) / nodes / seconds
+		t.StreamBytesPerSecond += float64(now.StreamBytes-was.StreamBytes) / nodes / seconds
 	}
-	t.Closed = float64(r.closed.Load()) / 1000
+	t.MaxClosedByPeers = float64(r.closed.Load()) / 1000
 	return t
 }
 
@@ -163,7 +163,7 @@
 		case <-ticker.C:
 		}
 		for i := range 5 {
-			n := r.nodes[(turn*5+i)%r.Scenario.Tiers[0].Nodes]
+			n := r.nodes[(turn*5+i)%r.Scenario.Tiers[0].NodeCount]
 			if !n.hears {
 				continue
 			}
@@ -196,7 +196,7 @@
 	r.open = true
 	r.mu.Unlock()
 	var addrs []string
-	for _, n := range r.nodes[:o.Scenario.Tiers[0].Nodes] {
+	for _, n := range r.nodes[:o.Scenario.Tiers[0].NodeCount] {
 		addrs = append(addrs, n.door.addr)
 	}
 	ready(addrs)
@@ -211,7 +211,7 @@
 // start brings everything up, or nothing.
 func start(ctx context.Context, o Options) (*run, error) {
 	r := &run{Options: o, clock: node.NewClock(), plan: o.Scenario.Plan(stream.New(o.Seed, "troubles")),
-		failed: make(chan error, 1), asked: make(map[ledger.TryID]question), memories: make(scenario.Memories),
+		failed: make(chan error, 1), asked: make(map[ledger.TryID]question), memories: make(scenario.DedupMemories),
 		twins: make(map[int]*balancer)}
 	r.account = ledger.New(o.Scenario, r.now(), Span, false)
 	var err error
@@ -238,11 +238,11 @@
 
 func (r *run) startServers(context.Context) error {
 	for i, m := range r.plan.Machines {
-		s := server.New(i, m.Kind, m.Traits(r.Scenario), r.ports.addr(), server.World{Account: r.account, Now: r.now,
+		s := server.New(i, m.Type, m.ModelSpec(r.Scenario), r.ports.addr(), server.World{Account: r.account, Now: r.now,
 			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
 			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
 		r.servers = append(r.servers, s)
-		if i < r.plan.Standing {
+		if i < r.plan.InitialCount {
 			if err := s.Up(false); err != nil {
 				return err
 			}
@@ -254,20 +254,20 @@
 func (r *run) startRegistry(context.Context) error {
 	for t, tier := range r.Scenario.Tiers {
 		var standing []registry.Entry
-		for i, m := range r.plan.Machines[:r.plan.Standing] {
+		for i, m := range r.plan.Machines[:r.plan.InitialCount] {
 			if m.Tier == t {
-				standing = append(standing, m.Entry(i))
+				standing = append(standing, m.RegistryEntry(i))
 			}
 		}
 		words := registry.Words{Zones: r.Scenario.Zones, Told: r.told(t),
 			Addr: func(i int) string { return r.servers[i].Addr() }}
-		for _, k := range tier.Kinds {
+		for _, k := range tier.MachineTypes {
 			words.Kinds = append(words.Kinds, k.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
 		service := registry.NewService(catalog, duration(r.Scenario.Registry.Delay.Micros()), words)
 		r.registry = append(r.registry, service)
-		for i, b := range r.Scenario.Balancers() {
+		for i, b := range r.Scenario.Nodes() {
 			if b.Tier != t {
 				continue
 			}
@@ -279,7 +279,7 @@
 			if listen == "" || i > 0 {
 				listen = r.ports.addr()
 			}
-			r.nodes = append(r.nodes, &balancer{Balancer: b, run: r, place: i, door: &door{addr: listen}, beside: i,
+			r.nodes = append(r.nodes, &balancer{Node: b, run: r, place: i, door: &door{addr: listen}, beside: i,
 				hears: r.hears(b), discovery: addr, known: words.Line(1, standing, true)})
 		}
 	}
@@ -287,9 +287,9 @@
 }
 
 // hears says whether a node hears the others: the first ones by number, where not all do.
-func (r *run) hears(b scenario.Balancer) bool {
+func (r *run) hears(b scenario.Node) bool {
 	f := r.Scenario.Fleet
-	return f != nil && b.Tier == 0 && float64(b.Number) < f.Share*float64(b.Of)
+	return f != nil && b.Tier == 0 && float64(b.Index) < f.Share*float64(b.NodeCount)
 }
 
 func duration(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
@@ -300,14 +300,14 @@
 		listed := make(map[int]bool)
 		for _, e := range entries {
 			listed[e.Server] = true
-			r.account.Told(node, e.Server, e.State, e.Started, r.now())
+			r.account.RecordServerState(node, e.Server, e.State, e.Started, r.now())
 		}
 		if !whole {
 			return
 		}
 		for i, m := range r.plan.Machines {
 			if m.Tier == tier && !listed[i] {
-				r.account.Told(node, i, policy.Gone, r.servers[i].Started(), r.now())
+				r.account.RecordServerState(node, i, policy.Gone, r.servers[i].Started(), r.now())
 			}
 		}
 	}
@@ -338,10 +338,10 @@
 	if b.second {
 		return
 	}
-	r.account.Anew(b.place)
-	for j, m := range r.plan.Machines[:r.plan.Standing] {
+	r.account.RecordNodeStart(b.place)
+	for j, m := range r.plan.Machines[:r.plan.InitialCount] {
 		if m.Tier == b.Tier && b.known != nil {
-			r.account.Told(b.place, j, policy.Ready, 0, r.now())
+			r.account.RecordServerState(b.place, j, policy.Ready, 0, r.now())
 		}
 	}
 }
@@ -352,7 +352,7 @@
 	for _, n := range slices.Concat(r.nodes, slices.Collect(maps.Values(r.twins))) {
 		all.Go(func() {
 			if err := n.kill(); err != nil {
-				r.account.Note(err.Error())
+				r.account.RecordEvent(err.Error())
 			}
 		})
 	}
@@ -378,10 +378,10 @@
 func (r *run) play(ctx context.Context) (partial bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.begin = r.now() + r.Scenario.Load.Lead.Micros()
+	r.begin = r.now() + r.Scenario.Load.LeadTime.Micros()
 	r.lag.Begin()
 	r.before = r.said()
-	r.account.Begin(r.begin)
+	r.account.SetLoadStart(r.begin)
 	var work, steps sync.WaitGroup
 	steps.Go(func() { r.troubles(ctx, &steps) })
 	ticks, stopTicks := context.WithCancel(ctx)
@@ -464,7 +464,7 @@
 			}
 		}
 		if r.now()-meant > sendLate {
-			r.account.Missed(1)
+			r.account.RecordScheduleMisses(1)
 		}
 		work.Go(func() { r.client(ctx, a, meant) })
 	}
@@ -503,10 +503,10 @@
 		}
 		return 0, nil, false
 	}
-	op := &server.Op{Key: strconv.Itoa(int(q.op)), Category: q.category, Work: q.arrival.Work[m.Tier],
+	op := &server.Op{Key: strconv.Itoa(int(q.op)), Category: q.category, Work: q.arrival.WorkByTier[m.Tier],
 		Lock: &r.memory}
 	if m.Tier+1 < len(r.Scenario.Tiers) {
-		op.Calls = q.arrival.Calls[m.Tier]
+		op.Calls = q.arrival.CallsByTier[m.Tier]
 	}
 	op.Memory = r.memoryOf(q.category, m)
 	return try, op, true
@@ -514,7 +514,7 @@
 
 // memoryOf is that of a category's group, or nil. The lock is held.
 func (r *run) memoryOf(category int, m scenario.Machine) *standin.Memory {
-	return r.memories.Of(r.Scenario, category, m, r.account.Tolerance())
+	return r.memories.Get(r.Scenario, category, m, r.account.Tolerance())
 }
 
 // call is a server's to the next tier, through its own node.
@@ -527,10 +527,10 @@
 			continue
 		}
 		notAfter := r.now() + r.Scenario.Categories[q.category].TTL.Micros()
-		if r.Scenario.Limits.PassTTL {
+		if r.Scenario.Limits.PassesDeadline {
 			notAfter = min(notAfter, until)
 		}
-		q.op, q.tier, q.notAfter, q.leaves, q.repeated = r.account.Offer(r.now(), q.category, q.arrival.Tenant, n.Tier), n.Tier, notAfter, 0, false
+		q.op, q.tier, q.notAfter, q.leaves, q.repeated = r.account.RecordOp(r.now(), q.category, q.arrival.Tenant, n.Tier), n.Tier, notAfter, 0, false
 		verdict, _ := r.ask(context.Background(), n.door, n.place, q)
 		return verdict == ledger.Served
 	}
@@ -544,14 +544,14 @@
 		return
 	}
 	if err != nil {
-		r.account.Note("throttles: " + err.Error())
+		r.account.RecordEvent("throttles: " + err.Error())
 		return
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		var s labnode.Sample
 		if json.Unmarshal(lines.Bytes(), &s) == nil { // the last line of a node that was killed may be half
-			r.account.Sample(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, Cut: s.Cut})
+			r.account.RecordThrottle(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, CutoffLevel: s.Cut})
 		}
 	}
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -49,7 +49,7 @@
 func options(t *testing.T, s *scenario.Scenario, fault string, length policy.Micros) Options {
 	t.Helper()
 	// env(1) sets the variable for this run's processes alone, so that runs can go side by side.
-	return Options{Scenario: s, Seed: 1, Length: length, Arrivals: load.Make(s, length, 1),
+	return Options{Scenario: s, Seed: 1, Length: length, Arrivals: load.Generate(s, length, 1),
 		Program: Program{Path: "/usr/bin/env", Args: []string{asNode + "=sound" + fault, os.Args[0]}, Own: true}}
 }
 
@@ -82,7 +82,7 @@
 			}
 			want := trial.Faults[c.fault]
 			if got := strings.Join(r.BrokenRules, " "); got != want {
-				t.Errorf("broken %q, want %q: %v", got, want, r.Breaches)
+				t.Errorf("broken %q, want %q: %v", got, want, r.BreachMessages)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 			const length = 3 * policy.Second
 			o := options(t, s, "", length)
 			onSockets := sound(t, o)
-			simulated, _, err := sim.Run(t.Context(), sim.Options{Scenario: s, Seed: 1, Length: length, Arrivals: o.Arrivals})
+			simulated, _, err := sim.Run(t.Context(), sim.Options{Scenario: s, Seed: 1, LoadDuration: length, Arrivals: o.Arrivals})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,8 +116,8 @@
 		o.Arrivals[i].At = -policy.Second
 	}
 	r, _, err := Run(t.Context(), o)
-	if err != nil || r.ScheduleMissed < 20 || r.Void == "" {
-		t.Errorf("%v: missed %d, void %q", err, r.ScheduleMissed, r.Void)
+	if err != nil || r.ScheduleMissed < 20 || r.VoidReason == "" {
+		t.Errorf("%v: missed %d, void %q", err, r.ScheduleMissed, r.VoidReason)
 	}
 }
 
@@ -171,7 +171,7 @@
 	o := options(t, read(t, "steady"), "", 10*policy.Second)
 	shell(t, &o, `"$0" <&3 & wait`)
 	ctx, cancel := context.WithCancel(t.Context())
-	o.Tick = func(policy.Micros, *ledger.Account) { cancel() }
+	o.Tick = func(policy.Micros, *ledger.Ledger) { cancel() }
 	begun := time.Now()
 	ended := make(chan *ledger.Result, 1)
 	go func() {
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	taken := server.New(3, &scenario.Kind{}, fleet.Traits{Cores: 1, Speed: 1}, l.Addr().String(), server.World{})
+	taken := server.New(3, &scenario.MachineType{}, fleet.Traits{Cores: 1, Speed: 1}, l.Addr().String(), server.World{})
 	if err := taken.Up(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
@@ -288,7 +288,7 @@
 	s := read(t, "steady")
 	ctx, cancel := context.WithCancel(t.Context())
 	o := options(t, s, "", 10*policy.Second)
-	o.Tick = func(policy.Micros, *ledger.Account) { cancel() }
+	o.Tick = func(policy.Micros, *ledger.Ledger) { cancel() }
 	r, _, err := Run(ctx, o)
 	if err != nil || !r.Partial || r.Served == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("%v, %+v", err, r)
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -30,7 +30,7 @@
 
 // balancer is one node's process.
 type balancer struct {
-	scenario.Balancer
+	scenario.Node
 	run       *run
 	place     int
 	door      *door
@@ -103,7 +103,7 @@
 	b.run.begins(b)
 	seed := stream.New(b.run.Seed, "node "+strconv.Itoa(b.place)+" "+strconv.Itoa(b.lives)).Uint64()
 	file := filepath.Join(b.run.dir, fmt.Sprintf("node-%d-%d.json", b.place, b.beside))
-	config := b.run.Scenario.Config(b.Balancer, fmt.Sprintf("n%d", b.place), b.door.addr, b.discovery, seed, b.known, b.fleet())
+	config := b.run.Scenario.NodeConfig(b.Node, fmt.Sprintf("n%d", b.place), b.door.addr, b.discovery, seed, b.known, b.fleet())
 	if b.run.Logs != "" { // then its environment says
 		config = bytes.Replace(config, []byte(`"log_level":"warn",`), nil, 1)
 	}
@@ -202,7 +202,7 @@
 	if stopped {
 		signal = syscall.SIGSTOP
 	}
-	b.run.account.Paused(b.place, stopped, b.run.now())
+	b.run.account.RecordNodePause(b.place, stopped, b.run.now())
 	b.process.Process.Signal(signal)
 }
 
@@ -232,7 +232,7 @@
 	if cmd != nil {
 		b.door.kills.Add(1)
 		if !b.second {
-			b.run.account.Crashed(b.place, b.run.now())
+			b.run.account.RecordNodeCrash(b.place, b.run.now())
 		}
 		cmd.Process.Kill()
 		input.Close() // ends what the process has started, too
--- a/internal/lab/live/troubles.go
+++ b/internal/lab/live/troubles.go
@@ -30,8 +30,8 @@
 		case <-ctx.Done():
 			return
 		}
-		if step.Text != "" {
-			r.account.Note(fmt.Sprintf("%.1f s: %s", float64(r.now()-r.begin)/1e6, step.Text))
+		if step.Event != "" {
+			r.account.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now()-r.begin)/1e6, step.Event))
 		}
 		r.carryOut(ctx, step, beside)
 	}
@@ -44,35 +44,35 @@
 			r.fail(err)
 		}
 	}
-	switch step.Verb {
-	case scenario.Slow:
+	switch step.Action {
+	case scenario.ServerSlow:
 		s.Slow(step.Factor)
-	case scenario.Stall:
-		s.Stall(r.begin + step.Until)
-	case scenario.Crash, scenario.Silence:
-		s.Down(step.Verb == scenario.Silence)
+	case scenario.ServerStall:
+		s.Stall(r.begin + step.Time)
+	case scenario.ServerCrash, scenario.ServerSilence:
+		s.Down(step.Action == scenario.ServerSilence)
 		if n := r.behind(step.Server); n != nil {
 			check(n.kill())
 		}
-	case scenario.Start:
+	case scenario.ServerStart:
 		check(s.Up(true))
 		if n := r.behind(step.Server); n != nil {
 			beside.Go(func() { check(n.start(ctx)) })
 		}
-	case scenario.Behave:
+	case scenario.ServerSetMode:
 		s.Behave(step.Mode)
-	case scenario.List:
+	case scenario.ServerSetListed:
 		m := r.plan.Machines[step.Server]
 		r.registry[m.Tier].Change(func(c *registry.Catalog) {
 			e, known := c.Entry(step.Server)
 			if !known {
-				e = m.Entry(step.Server)
+				e = m.RegistryEntry(step.Server)
 			}
 			e.State, e.Started = step.State, s.Started()
 			c.Set(e)
 		})
-	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistrySlow, scenario.RegistryFreeze, scenario.RegistryThaw,
-		scenario.RegistryTrue:
+	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistryDelay, scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot,
+		scenario.RegistryServeCurrent:
 		for _, service := range r.registry {
 			r.disturb(service, step)
 		}
@@ -80,36 +80,36 @@
 		check(r.nodes[step.Node].kill())
 	case scenario.NodeStart:
 		beside.Go(func() { check(r.nodes[step.Node].start(ctx)) })
-	case scenario.NodeTerm:
+	case scenario.NodeTerminate:
 		beside.Go(func() { check(r.nodes[step.Node].restart(ctx)) })
-	case scenario.NodeStop, scenario.NodeGoOn:
-		r.nodes[step.Node].stop(step.Verb == scenario.NodeStop)
-	case scenario.NodeEmpty:
+	case scenario.NodePause, scenario.NodeResume:
+		r.nodes[step.Node].stop(step.Action == scenario.NodePause)
+	case scenario.NodeStartEmpty:
 		n := r.nodes[step.Node]
 		n.known = nil
 		beside.Go(func() { check(n.start(ctx)) })
-	case scenario.NodeMove:
+	case scenario.NodeStartMoved:
 		n := r.nodes[step.Node]
 		next, err := r.rig.Further(n.beside)
 		check(err)
 		n.beside = next
 		beside.Go(func() { check(n.start(ctx)) })
-	case scenario.TwinStart:
+	case scenario.DuplicateNodeStart:
 		twin, err := r.twin(step.Node)
 		check(err)
 		beside.Go(func() { check(twin.start(ctx)) })
-	case scenario.TwinEnd:
+	case scenario.DuplicateNodeEnd:
 		if twin := r.twins[step.Node]; twin != nil {
 			check(twin.kill())
 		}
-	case scenario.LieDown, scenario.LieWell:
+	case scenario.FalseReportsDown, scenario.FalseReportsHealthy:
 		check(r.lie(step))
-	case scenario.BetweenOn, scenario.BetweenOff:
+	case scenario.PeerFaultStart, scenario.PeerFaultEnd:
 		r.rig.Carry(step)
-	case scenario.OneSided:
+	case scenario.PartialLoss:
 		s.Ignore(step.Factor, r.odd)
 	case scenario.ClockStep:
-		r.step.Store(int64(step.Until))
+		r.step.Store(int64(step.Time))
 	}
 }
 
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	twin := &balancer{Balancer: of.Balancer, run: r, place: of.place, door: &door{addr: r.ports.addr()}, discovery: of.discovery,
+	twin := &balancer{Node: of.Node, run: r, place: of.place, door: &door{addr: r.ports.addr()}, discovery: of.discovery,
 		known: of.known, beside: next, hears: of.hears, second: true}
 	r.twins[node] = twin
 	return twin, nil
@@ -131,7 +131,7 @@
 	if !r.nodes[step.Node].hears {
 		return nil // nobody would hear it
 	}
-	ill := map[scenario.Verb]judged.Ill{scenario.LieDown: judged.Down, scenario.LieWell: judged.Well}[step.Verb]
+	ill := map[scenario.Action]judged.Ill{scenario.FalseReportsDown: judged.Down, scenario.FalseReportsHealthy: judged.Well}[step.Action]
 	place, err := r.rig.Further(step.Node)
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 			servers = append(servers, labnode.ServerID(i))
 		}
 	}
-	liar, err := r.rig.NewLiar(place, r.Scenario.Tiers[0].Nodes, ill, servers)
+	liar, err := r.rig.NewLiar(place, r.Scenario.Tiers[0].NodeCount, ill, servers)
 	if err == nil {
 		r.liars = append(r.liars, liar)
 	}
@@ -152,20 +152,20 @@
 // odd is the half of the first tier's nodes that a one-sided trouble hits.
 func (r *run) odd(try ledger.TryID) bool {
 	node, known := r.account.NodeOf(try)
-	return known && r.nodes[node].Tier == 0 && r.nodes[node].Number%2 == 1
+	return known && r.nodes[node].Tier == 0 && r.nodes[node].Index%2 == 1
 }
 
 func (r *run) disturb(service *registry.Service, step *scenario.Step) {
-	switch step.Verb {
+	switch step.Action {
 	case scenario.RegistryDown, scenario.RegistryUp:
-		service.Down(step.Verb == scenario.RegistryDown)
-	case scenario.RegistrySlow:
-		service.Slow(duration(r.Scenario.Registry.Delay.Micros() + step.Until))
-	case scenario.RegistryFreeze:
+		service.Down(step.Action == scenario.RegistryDown)
+	case scenario.RegistryDelay:
+		service.Slow(duration(r.Scenario.Registry.Delay.Micros() + step.Time))
+	case scenario.RegistrySaveSnapshot:
 		service.Change((*registry.Catalog).Freeze)
-	case scenario.RegistryThaw:
+	case scenario.RegistryServeSnapshot:
 		service.Change((*registry.Catalog).Thaw)
-	case scenario.RegistryTrue:
+	case scenario.RegistryServeCurrent:
 		service.Change((*registry.Catalog).Correct)
 	}
 }
@@ -190,16 +190,16 @@
 		now := r.now()
 		a := &load.Arrival{Category: i, Tenant: -1}
 		for _, t := range r.Scenario.Tiers {
-			a.Work, a.Calls = append(a.Work, c.Work.Micros()), append(a.Calls, int(t.Calls))
+			a.WorkByTier, a.CallsByTier = append(a.WorkByTier, c.MeanWork.Micros()), append(a.CallsByTier, int(t.CallsPerOp))
 		}
-		q := question{op: r.account.Offer(now, i, -1, m.Tier), tier: m.Tier, arrival: a, category: i, notAfter: now + c.TTL.Micros()}
-		try := r.account.Try(q.op, 0, now, q.notAfter)
+		q := question{op: r.account.RecordOp(now, i, -1, m.Tier), tier: m.Tier, arrival: a, category: i, notAfter: now + c.TTL.Micros()}
+		try := r.account.RecordTry(q.op, 0, now, q.notAfter)
 		r.asked[try] = q
 		calls := 0
 		if m.Tier+1 < len(r.Scenario.Tiers) {
-			calls = a.Calls[m.Tier]
+			calls = a.CallsByTier[m.Tier]
 		}
-		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: a.Work[m.Tier],
+		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: a.WorkByTier[m.Tier],
 			Calls: calls, Memory: r.memoryOf(i, m), Lock: &r.memory}, true
 	}
 	return 0, nil, false
--- a/internal/lab/live/versus.go
+++ b/internal/lab/live/versus.go
@@ -130,10 +130,10 @@
 	defer own.close()
 	addr = own.addr()
 	s := &scenario.Scenario{Name: "versus", Zones: []string{"a"},
-		Categories: []scenario.Category{{Name: "slots", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"}},
-		Tiers:      []scenario.Tier{{Name: "front", Nodes: 1, Kinds: []scenario.Kind{{Name: "std", Count: len(servers), IdleClose: 60_000_000}}}},
-		Limits: scenario.Limits{MaxPushes: 3, Dial: 100_000, Sockets: 2048, MemoryMB: 192, AnswerSlack: 20_000, ColdFrom: 0.3,
-			ColdWarm: 4_000_000, ColdFactor: 3, ColdWindow: 1_000_000, DrainGrace: 1_500_000}}
+		Categories: []scenario.Category{{Name: "slots", Benefit: 1, TargetLatency: 500_000, TTL: 1_000_000, Delivery: "redeliverable"}},
+		Tiers:      []scenario.Tier{{Name: "front", NodeCount: 1, MachineTypes: []scenario.MachineType{{Name: "std", Count: len(servers), IdleTimeout: 60_000_000}}}},
+		Limits: scenario.Limits{MaxPushes: 3, DialTimeout: 100_000, Sockets: 2048, MemoryMB: 192, AnswerSlack: 20_000, ColdInitialShare: 0.3,
+			ColdWarmUpTime: 4_000_000, ColdOverloadFactor: 3, ColdOverloadWindow: 1_000_000, DrainGrace: 1_500_000}}
 	var entries []registry.Entry
 	list := ""
 	for i, server := range servers {
@@ -142,7 +142,7 @@
 	}
 	words := registry.Words{Zones: s.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
 	file := filepath.Join(dir, strconv.Quote(w.Name)+".json")
-	config := s.Config(scenario.Balancer{Of: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.Line(1, entries, true), nil)
+	config := s.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.Line(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -18,22 +18,22 @@
 
 // Arrival is one op as a client means to send it.
 type Arrival struct {
-	At       policy.Micros   `json:"at_us"` // from the start of the load
-	Category int             `json:"category"`
-	Tenant   int             `json:"tenant"` // -1: none
-	Work     []policy.Micros `json:"work_us"`
-	Calls    []int           `json:"calls,omitempty"`    // to the next tier, by each run in a tier
-	Fails    bool            `json:"fails,omitempty"`    // at once, at any server; worth nothing
-	Kills    policy.Micros   `json:"kills_us,omitempty"` // the server of tier In that begins it, for so long; worth nothing
-	In       int             `json:"in,omitempty"`
-	Leaves   policy.Micros   `json:"leaves_us,omitempty"` // the client goes so long after sending; 0: it waits to the end
+	At          policy.Micros   `json:"at_us"` // from the start of the load
+	Category    int             `json:"category"`
+	Tenant      int             `json:"tenant"` // -1: none
+	WorkByTier  []policy.Micros `json:"work_us"`
+	CallsByTier []int           `json:"calls,omitempty"`    // to the next tier, by each run in a tier
+	AlwaysFails bool            `json:"fails,omitempty"`    // at once, at any server; worth nothing
+	KillsFor    policy.Micros   `json:"kills_us,omitempty"` // the server of tier In that begins it, for so long; worth nothing
+	KillTier    int             `json:"in,omitempty"`
+	LeavesAfter policy.Micros   `json:"leaves_us,omitempty"` // the client goes so long after sending; 0: it waits to the end
 }
 
 // Worthless says that the op comes on top of the load and counts for nothing.
-func (a *Arrival) Worthless() bool { return a.Fails || a.Kills > 0 }
+func (a *Arrival) Unscored() bool { return a.AlwaysFails || a.KillsFor > 0 }
 
 // Make computes the arrivals of a whole load of the given length.
-func Make(s *scenario.Scenario, length policy.Micros, seed uint64) []Arrival {
+func Generate(s *scenario.Scenario, length policy.Micros, seed uint64) []Arrival {
 	when, what := stream.New(seed, "arrivals"), stream.New(seed, "mix")
 	var out []Arrival
 	for at := policy.Micros(0); ; {
@@ -45,8 +45,8 @@
 		case "poisson":
 			at += max(1, policy.Micros(when.ExpFloat64()/rate))
 		case "bursty":
-			burst = 1 + int(when.ExpFloat64()*(s.Load.Burst-1)+0.5)
-			at += max(1, policy.Micros(when.ExpFloat64()*s.Load.Burst/rate))
+			burst = 1 + int(when.ExpFloat64()*(s.Load.MeanBurst-1)+0.5)
+			at += max(1, policy.Micros(when.ExpFloat64()*s.Load.MeanBurst/rate))
 		}
 		if at >= length {
 			break
@@ -56,7 +56,7 @@
 		}
 	}
 	// Further load of bursts: arrivals of their own, so that the rest stays as it is without them.
-	for i, t := range s.Troubles {
+	for i, t := range s.Disturbances {
 		further := map[string]float64{"burst": t.Factor - 1, "failing": t.Factor, "poison": t.Share}[t.Kind]
 		if further <= 0 {
 			continue
@@ -75,12 +75,12 @@
 		rate := s.Load.Rate / 1e6 * further * share
 		for at := t.At.Micros(); rate > 0; {
 			at += max(1, policy.Micros(more.ExpFloat64()/rate))
-			if at >= min(length, (t.At+t.For).Micros()) {
+			if at >= min(length, (t.At+t.Duration).Micros()) {
 				break
 			}
 			a := arrival(s, at, tenant, more)
-			if a.Fails = t.Kind == "failing"; t.Kind == "poison" {
-				a.Kills, a.In = policy.Micros(t.Factor*float64(policy.Second)), s.Tier(t.Tier)
+			if a.AlwaysFails = t.Kind == "failing"; t.Kind == "poison" {
+				a.KillsFor, a.KillTier = policy.Micros(t.Factor*float64(policy.Second)), s.TierIndex(t.Tier)
 			}
 			out = append(out, a)
 		}
@@ -97,20 +97,20 @@
 	}
 	c := &s.Categories[a.Category]
 	for _, t := range s.Tiers {
-		work := float64(c.Work)
-		if c.Spread > 0 { // log-normal with that mean and that coefficient of variation
-			v := math.Log(1 + c.Spread*c.Spread)
+		work := float64(c.MeanWork)
+		if c.WorkVariation > 0 { // log-normal with that mean and that coefficient of variation
+			v := math.Log(1 + c.WorkVariation*c.WorkVariation)
 			work *= math.Exp(math.Sqrt(v)*rng.NormFloat64() - v/2)
 		}
-		a.Work = append(a.Work, max(1, policy.Micros(work)))
-		calls := int(t.Calls)
-		if rng.Float64() < t.Calls-float64(calls) {
+		a.WorkByTier = append(a.WorkByTier, max(1, policy.Micros(work)))
+		calls := int(t.CallsPerOp)
+		if rng.Float64() < t.CallsPerOp-float64(calls) {
 			calls++
 		}
-		a.Calls = append(a.Calls, calls)
+		a.CallsByTier = append(a.CallsByTier, calls)
 	}
-	if s.Load.Impatient > 0 && rng.Float64() < s.Load.Impatient {
-		a.Leaves = max(1, policy.Micros(rng.Float64()*float64(c.TTL)))
+	if s.Load.ImpatientShare > 0 && rng.Float64() < s.Load.ImpatientShare {
+		a.LeavesAfter = max(1, policy.Micros(rng.Float64()*float64(c.TTL)))
 	}
 	return a
 }
@@ -131,7 +131,7 @@
 }
 
 // Write writes arrivals as a trace: a JSON object a line.
-func Write(w io.Writer, arrivals []Arrival) error {
+func WriteTrace(w io.Writer, arrivals []Arrival) error {
 	buffered := bufio.NewWriter(w)
 	lines := json.NewEncoder(buffered)
 	for i := range arrivals {
@@ -143,7 +143,7 @@
 }
 
 // Read reads a trace that fits the experiment. An error names the line.
-func Read(r io.Reader, s *scenario.Scenario, length policy.Micros) (out []Arrival, err error) {
+func ReadTrace(r io.Reader, s *scenario.Scenario, length policy.Micros) (out []Arrival, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	last := policy.Micros(0)
@@ -158,13 +158,13 @@
 			return nil, fmt.Errorf("trace line %d: category %d is not in the experiment", n, a.Category)
 		case a.Tenant >= len(s.Tenants):
 			return nil, fmt.Errorf("trace line %d: tenant %d is not in the experiment", n, a.Tenant)
-		case len(a.Work) < len(s.Tiers):
-			return nil, fmt.Errorf("trace line %d: work_us has %d tiers, the experiment %d", n, len(a.Work), len(s.Tiers))
+		case len(a.WorkByTier) < len(s.Tiers):
+			return nil, fmt.Errorf("trace line %d: work_us has %d tiers, the experiment %d", n, len(a.WorkByTier), len(s.Tiers))
 		}
-		for len(a.Calls) < len(s.Tiers) {
-			a.Calls = append(a.Calls, 0)
+		for len(a.CallsByTier) < len(s.Tiers) {
+			a.CallsByTier = append(a.CallsByTier, 0)
 		}
-		for _, work := range a.Work {
+		for _, work := range a.WorkByTier {
 			if work < 1 {
 				return nil, fmt.Errorf("trace line %d: work_us %d is not above 0", n, work)
 			}
@@ -178,25 +178,25 @@
 
 // Try is what a client knows of an op when a try has ended.
 type Try struct {
-	Number  int // from 0
-	Nacked  bool
-	Refused bool // the node could not be reached
-	Advice  policy.Micros
-	Elapsed policy.Micros // since the first send
+	Index      int // from 0
+	Nacked     bool
+	Refused    bool // the node could not be reached
+	RetryAfter policy.Micros
+	Elapsed    policy.Micros // since the first send
 }
 
 // Again says whether and after what wait a client tries again by itself: a redeliverable op after any failure, a
 // deduplicated one whose group is all servers while its window surely covers the next try, any after a nack.
-func Again(s *scenario.Scenario, category int, t Try) (wait policy.Micros, again bool) {
+func ShouldRetry(s *scenario.Scenario, category int, t Try) (wait policy.Micros, again bool) {
 	c := &s.Categories[category]
-	wait = s.Load.RetryWait.Micros()
-	if s.Load.HeedsAfter {
-		wait = max(wait, min(t.Advice, s.Limits.RetryAfter.Micros()))
+	wait = s.Load.RetryDelay.Micros()
+	if s.Load.HonorsRetryAfter {
+		wait = max(wait, min(t.RetryAfter, s.Limits.MaxRetryAfter.Micros()))
 	}
-	if t.Number >= s.Load.Retries || t.Elapsed+wait >= c.TTL.Micros() {
+	if t.Index >= s.Load.Retries || t.Elapsed+wait >= c.TTL.Micros() {
 		return 0, false
 	}
-	inside := t.Elapsed+wait+c.TTL.Micros() < c.Window.Micros()
-	return wait, t.Nacked || t.Refused || c.Repeat == "redeliverable" ||
-		c.Repeat == "deduplicated" && c.Scope == "all" && inside
+	inside := t.Elapsed+wait+c.TTL.Micros() < c.DedupWindow.Micros()
+	return wait, t.Nacked || t.Refused || c.Delivery == "redeliverable" ||
+		c.Delivery == "deduplicated" && c.DedupScope == "all" && inside
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -52,8 +52,8 @@
 	const length = 60 * policy.Second
 	for _, kind := range []string{"poisson", "bursty", "even"} {
 		s := experiment(t, "[load]\nrate = 500.0\nretries = 1\narrivals = \""+kind+"\"\n")
-		got := Make(s, length, 5)
-		if diff := cmp.Diff(got, Make(s, length, 5)); diff != "" {
+		got := Generate(s, length, 5)
+		if diff := cmp.Diff(got, Generate(s, length, 5)); diff != "" {
 			t.Errorf("%s: another load from the same seed", kind)
 		}
 		slots, work, calls := 0.0, 0.0, 0.0
@@ -64,8 +64,8 @@
 			if a.Category == 0 {
 				slots++
 			}
-			work += float64(a.Work[0])
-			calls += float64(a.Calls[0])
+			work += float64(a.WorkByTier[0])
+			calls += float64(a.CallsByTier[0])
 		}
 		n := float64(len(got))
 		for what, off := range map[string]float64{"rate": n / 30000, "mix": slots / n / 0.75, "work": work / n / 10000,
@@ -81,7 +81,7 @@
 func TestBurst(t *testing.T) {
 	calm := experiment(t, "[load]\nrate = 100.0\n")
 	rough := experiment(t, "[load]\nrate = 100.0\n[[trouble]]\nkind = \"burst\"\nat = \"2s\"\nfor = \"1s\"\nfactor = 4.0\ntenant = \"a\"\n")
-	a, b := Make(calm, 5*policy.Second, 1), Make(rough, 5*policy.Second, 1)
+	a, b := Generate(calm, 5*policy.Second, 1), Generate(rough, 5*policy.Second, 1)
 	if more := len(b) - len(a); more < 200 || more > 400 {
 		t.Errorf("%d more", more)
 	}
@@ -94,12 +94,12 @@
 
 func TestTrace(t *testing.T) {
 	s := experiment(t, "[load]\nrate = 50.0\nimpatient = 0.2\n")
-	made := Make(s, 3*policy.Second, 9)
+	made := Generate(s, 3*policy.Second, 9)
 	var file bytes.Buffer
-	if err := Write(&file, made); err != nil {
+	if err := WriteTrace(&file, made); err != nil {
 		t.Fatal(err)
 	}
-	read, err := Read(&file, s, 3*policy.Second)
+	read, err := ReadTrace(&file, s, 3*policy.Second)
 	if diff := cmp.Diff(made, read); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
@@ -111,7 +111,7 @@
 		`{"at_us":1,"tenant":-1,"work_us":[1,0]}`:                                                    "trace line 1: work_us 0",
 		`{"at_us":5,"tenant":-1,"work_us":[1,1]}` + "\n" + `{"at_us":4,"tenant":-1,"work_us":[1,1]}`: "trace line 2: at_us goes back",
 	} {
-		if _, err := Read(strings.NewReader(bad), s, policy.Second); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := ReadTrace(strings.NewReader(bad), s, policy.Second); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
@@ -126,17 +126,17 @@
 		again    bool
 	}{
 		{0, Try{}, true},
-		{0, Try{Number: 1}, false},
+		{0, Try{Index: 1}, false},
 		{0, Try{Elapsed: 360 * policy.Millisecond}, false}, // past the TTL
 		{1, Try{Elapsed: 100 * policy.Millisecond}, true},
 		{1, Try{Nacked: true, Elapsed: 100 * policy.Millisecond}, true},
 	} {
-		if _, again := Again(s, c.category, c.try); again != c.again {
+		if _, again := ShouldRetry(s, c.category, c.try); again != c.again {
 			t.Errorf("%+v: again %v", c, again)
 		}
 	}
-	s.Categories[1].Window = scenario.Span(500 * policy.Millisecond)
-	if _, again := Again(s, 1, Try{Elapsed: 100 * policy.Millisecond}); again {
+	s.Categories[1].DedupWindow = scenario.Duration(500 * policy.Millisecond)
+	if _, again := ShouldRetry(s, 1, Try{Elapsed: 100 * policy.Millisecond}); again {
 		t.Error("repeated where the window may be over")
 	}
 }
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -45,7 +45,7 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return len(seen), load.Write(w, seen)
+	return len(seen), load.WriteTrace(w, seen)
 }
 
 func arrivalOf(s *scenario.Scenario, r *http.Request) (a load.Arrival, ok bool) {
@@ -62,8 +62,8 @@
 		}
 		a.Category = i
 		for _, t := range s.Tiers {
-			a.Work = append(a.Work, c.Work.Micros())
-			a.Calls = append(a.Calls, int(t.Calls+0.5))
+			a.WorkByTier = append(a.WorkByTier, c.MeanWork.Micros())
+			a.CallsByTier = append(a.CallsByTier, int(t.CallsPerOp+0.5))
 		}
 		return a, true
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -184,7 +184,7 @@
 	for _, t := range r.Throttles {
 		y := t.Rate
 		if cut {
-			y = float64(t.Cut)
+			y = float64(t.CutoffLevel)
 		}
 		servers[t.Server] = append(servers[t.Server], plotter.XY{X: t.AtMs / 1000, Y: y})
 	}
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -161,7 +161,7 @@
 	s, known := setting([]string{"127.0.0.1:1"})
 	listen := fmt.Sprintf("%s:%d", c.bound(place), c.relay.Port()-11000)
 	name := fmt.Sprintf("n%d", place)
-	raw := s.Config(scenario.Balancer{Number: 0, Of: 1, Zone: place % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(place), known, nil)
+	raw := s.NodeConfig(scenario.Node{Index: 0, NodeCount: 1, Zone: place % zones, Server: -1}, name, listen, listen[:strings.LastIndex(listen, ":")]+":1", c.seed+uint64(place), known, nil)
 	var all map[string]any
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, err
--- a/internal/lab/scale/list_real.go
+++ b/internal/lab/scale/list_real.go
@@ -60,7 +60,7 @@
 			return p, err
 		}
 		one := &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-		config := s.Config(scenario.Balancer{Number: i, Of: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), one.addr, discovery,
+		config := s.NodeConfig(scenario.Node{Index: i, NodeCount: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), one.addr, discovery,
 			seed+uint64(i), nil, nil)
 		config = bytes.Replace(config, []byte(`"registry_mode":"ask"`), []byte(`"registry_mode":"push"`), 1) // as hollow nodes follow it
 		if err := os.WriteFile(one.file, config, 0o600); err != nil {
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -234,7 +234,7 @@
 			}
 			s, known := setting(addrs[i*perService : (i+1)*perService])
 			n := &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-			if err := os.WriteFile(n.file, s.Config(scenario.Balancer{Of: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, known, nil), 0o600); err != nil {
+			if err := os.WriteFile(n.file, s.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, known, nil), 0o600); err != nil {
 				return "", nil, stop, err
 			}
 			if err := n.start(program); err != nil {
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -90,10 +90,10 @@
 // setting is the deployment that processes of a scale run have.
 func setting(addrs []string) (*scenario.Scenario, []byte) {
 	s := &scenario.Scenario{Name: "scale", Zones: []string{"a", "b", "c", "d", "e"},
-		Categories: []scenario.Category{{Name: "call", Benefit: 1, Target: 500_000, TTL: 1_000_000, Repeat: "redeliverable"}},
-		Tiers:      []scenario.Tier{{Name: "front", Nodes: 1, Kinds: []scenario.Kind{{Name: "m", Count: len(addrs), IdleClose: 60_000_000}}}},
-		Limits: scenario.Limits{MaxPushes: 3, Dial: 100_000, Sockets: 1024, MemoryMB: 128, AnswerSlack: 20_000, ColdFrom: 0.3,
-			ColdWarm: 4_000_000, ColdFactor: 3, ColdWindow: 1_000_000, DrainGrace: scenario.Span(drainGrace.Microseconds())}}
+		Categories: []scenario.Category{{Name: "call", Benefit: 1, TargetLatency: 500_000, TTL: 1_000_000, Delivery: "redeliverable"}},
+		Tiers:      []scenario.Tier{{Name: "front", NodeCount: 1, MachineTypes: []scenario.MachineType{{Name: "m", Count: len(addrs), IdleTimeout: 60_000_000}}}},
+		Limits: scenario.Limits{MaxPushes: 3, DialTimeout: 100_000, Sockets: 1024, MemoryMB: 128, AnswerSlack: 20_000, ColdInitialShare: 0.3,
+			ColdWarmUpTime: 4_000_000, ColdOverloadFactor: 3, ColdOverloadWindow: 1_000_000, DrainGrace: scenario.Duration(drainGrace.Microseconds())}}
 	var entries []standin.Entry
 	for i := range addrs {
 		entries = append(entries, standin.Entry{Server: i, Zone: i % zones, Weight: 1})
@@ -143,7 +143,7 @@
 			return p, err
 		}
 		all[i] = &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
-		config := s.Config(scenario.Balancer{Number: i, Of: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), all[i].addr, discovery,
+		config := s.NodeConfig(scenario.Node{Index: i, NodeCount: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), all[i].addr, discovery,
 			seed+uint64(i), known, nil)
 		if err := os.WriteFile(all[i].file, config, 0o600); err != nil {
 			return p, err
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -20,10 +20,10 @@
 )
 
 // Span is a length of time, written as Go does ("250ms").
-type Span policy.Micros
+type Duration policy.Micros
 
 // UnmarshalText reads a span. It must not be negative.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no time such as \"250ms\"", text)
@@ -31,65 +31,65 @@
 	if d < 0 {
 		return fmt.Errorf("%q is negative", text)
 	}
-	*s = Span(d.Microseconds())
+	*s = Duration(d.Microseconds())
 	return nil
 }
 
 // Micros is the span in the module's unit.
-func (s Span) Micros() policy.Micros { return policy.Micros(s) }
+func (s Duration) Micros() policy.Micros { return policy.Micros(s) }
 
 // Ms is the span in milliseconds, as the platform's settings have it.
-func (s Span) Ms() float64 { return float64(s) / 1000 }
+func (s Duration) Milliseconds() float64 { return float64(s) / 1000 }
 
 // Scenario is an experiment.
 type Scenario struct {
-	Name       string     `toml:"name"`
-	About      string     `toml:"about"`
-	Duration   Span       `toml:"duration"` // of the load
-	Short      Span       `toml:"short"`    // of the load with --short; troubles keep their times
-	Driver     string     `toml:"driver"`   // "live" (sockets) or "sim" (simulated time)
-	Zones      []string   `toml:"zones"`
-	Load       Load       `toml:"load"`
-	Categories []Category `toml:"category"`
-	Tenants    []Tenant   `toml:"tenant"`
-	Tiers      []Tier     `toml:"tier"`
-	Limits     Limits     `toml:"limits"`
-	Registry   Registry   `toml:"registry"`
-	Network    Network    `toml:"network"`
-	Fleet      *Fleet     `toml:"fleet"` // left out: nodes don't hear each other
-	Between    []Between  `toml:"between"`
-	Troubles   []Trouble  `toml:"trouble"`
-	Expect     Expect     `toml:"expect"`
+	Name          string        `toml:"name"`
+	Description   string        `toml:"about"`
+	Duration      Duration      `toml:"duration"` // of the load
+	ShortDuration Duration      `toml:"short"`    // of the load with --short; troubles keep their times
+	Driver        string        `toml:"driver"`   // "live" (sockets) or "sim" (simulated time)
+	Zones         []string      `toml:"zones"`
+	Load          Load          `toml:"load"`
+	Categories    []Category    `toml:"category"`
+	Tenants       []Tenant      `toml:"tenant"`
+	Tiers         []Tier        `toml:"tier"`
+	Limits        Limits        `toml:"limits"`
+	Registry      Registry      `toml:"registry"`
+	Network       Network       `toml:"network"`
+	Fleet         *Fleet        `toml:"fleet"` // left out: nodes don't hear each other
+	PeerFaults    []PeerFault   `toml:"between"`
+	Disturbances  []Disturbance `toml:"trouble"`
+	Expect        Expect        `toml:"expect"`
 }
 
 // Load is what clients offer. It is open: an answer that is late holds no later op back.
 type Load struct {
-	Rate       float64 `toml:"rate"`     // first tries a second
-	Arrivals   string  `toml:"arrivals"` // "poisson", "bursty" or "even"
-	Burst      float64 `toml:"burst"`    // of bursty ones: mean ops in a burst
-	Retries    int     `toml:"retries"`  // that a client makes by itself
-	RetryWait  Span    `toml:"retry_wait"`
-	MarksRetry bool    `toml:"marks_retry"`
-	HeedsAfter bool    `toml:"heeds_retry_after"`
-	Impatient  float64 `toml:"impatient"` // share of clients that leave in the middle of their wait
-	Lead       Span    `toml:"lead"`      // in which the nodes stand idle before the load
-	Uneven     float64 `toml:"uneven"`    // each fifth node of the first tier gets so many times what the others get; 0: all the same
-	Trace      string  `toml:"trace"`     // a file of arrivals, in place of rate and arrivals; beside the experiment
+	Rate             float64  `toml:"rate"`     // first tries a second
+	Arrivals         string   `toml:"arrivals"` // "poisson", "bursty" or "even"
+	MeanBurst        float64  `toml:"burst"`    // of bursty ones: mean ops in a burst
+	Retries          int      `toml:"retries"`  // that a client makes by itself
+	RetryDelay       Duration `toml:"retry_wait"`
+	MarksRetries     bool     `toml:"marks_retry"`
+	HonorsRetryAfter bool     `toml:"heeds_retry_after"`
+	ImpatientShare   float64  `toml:"impatient"` // share of clients that leave in the middle of their wait
+	LeadTime         Duration `toml:"lead"`      // in which the nodes stand idle before the load
+	UnevenFactor     float64  `toml:"uneven"`    // each fifth node of the first tier gets so many times what the others get; 0: all the same
+	TraceFile        string   `toml:"trace"`     // a file of arrivals, in place of rate and arrivals; beside the experiment
 }
 
 // Category is one kind of op.
 type Category struct {
-	Name    string  `toml:"name"`
-	Share   float64 `toml:"share"`  // of the load, as a weight
-	Work    Span    `toml:"work"`   // mean, at a core of speed 1, in each tier
-	Spread  float64 `toml:"spread"` // coefficient of variation of the work (log-normal); 0: always the mean
-	Benefit float64 `toml:"benefit"`
-	Late    float64 `toml:"late_benefit"`
-	Target  Span    `toml:"target_latency"`
-	TTL     Span    `toml:"ttl"`
-	Repeat  string  `toml:"repeat"` // "redeliverable", "deduplicated", "at_most_once"
-	Scope   string  `toml:"scope"`  // of deduplicated: "all", "zone" or "cell"
-	Window  Span    `toml:"window"` // of deduplicated: how long its group remembers an op
+	Name          string   `toml:"name"`
+	Share         float64  `toml:"share"`  // of the load, as a weight
+	MeanWork      Duration `toml:"work"`   // mean, at a core of speed 1, in each tier
+	WorkVariation float64  `toml:"spread"` // coefficient of variation of the work (log-normal); 0: always the mean
+	Benefit       float64  `toml:"benefit"`
+	LateBenefit   float64  `toml:"late_benefit"`
+	TargetLatency Duration `toml:"target_latency"`
+	TTL           Duration `toml:"ttl"`
+	Delivery      string   `toml:"repeat"` // "redeliverable", "deduplicated", "at_most_once"
+	DedupScope    string   `toml:"scope"`  // of deduplicated: "all", "zone" or "cell"
+	DedupWindow   Duration `toml:"window"` // of deduplicated: how long its group remembers an op
 }
 
 // Tenant is one customer of the service.
@@ -102,84 +102,84 @@
 // Tier is one row of servers and the nodes before it. The first has Nodes nodes; of a later one each server of the
 // tier before has its own node.
 type Tier struct {
-	Name  string  `toml:"name"`
-	Nodes int     `toml:"nodes"`
-	Calls float64 `toml:"calls"` // to the next tier that each op makes, one after another; the mean
-	Kinds []Kind  `toml:"kind"`
+	Name         string        `toml:"name"`
+	NodeCount    int           `toml:"nodes"`
+	CallsPerOp   float64       `toml:"calls"` // to the next tier that each op makes, one after another; the mean
+	MachineTypes []MachineType `toml:"kind"`
 }
 
 // Kind is a kind of server and how many there are.
-type Kind struct {
-	Name       string  `toml:"name"`
-	Count      int     `toml:"count"`
-	Cores      int     `toml:"cores"`
-	Speed      float64 `toml:"speed"`
-	Queue      int     `toml:"queue"`       // ops that may wait; further ones are turned away
-	Conns      int     `toml:"connections"` // open at most; 0: no bound
-	ConnPrice  Span    `toml:"connection_price"`
-	CellSize   int     `toml:"cell"`       // servers in a cell; 0: one cell
-	JamOver    float64 `toml:"jam_over"`   // ops waiting per core that jam it; 0: never
-	JamAfter   Span    `toml:"jam_after"`  // when they have waited so long
-	JamFactor  float64 `toml:"jam_factor"` // times slower
-	JamIdle    Span    `toml:"jam_idle"`   // mostly idle for so long ends it
-	CrowdOver  float64 `toml:"crowd_over"` // ops held per core over which it does less; 0: never
-	CrowdLoss  float64 `toml:"crowd_loss"` // times longer that an op takes, for each such number more
-	IdleClose  Span    `toml:"idle_close"` // a connection idle for so long is closed
-	LoadReport bool    `toml:"load_report"`
+type MachineType struct {
+	Name             string   `toml:"name"`
+	Count            int      `toml:"count"`
+	Cores            int      `toml:"cores"`
+	Speed            float64  `toml:"speed"`
+	QueueLimit       int      `toml:"queue"`       // ops that may wait; further ones are turned away
+	MaxConnections   int      `toml:"connections"` // open at most; 0: no bound
+	ConnectionCost   Duration `toml:"connection_price"`
+	CellSize         int      `toml:"cell"`       // servers in a cell; 0: one cell
+	JamQueuePerCore  float64  `toml:"jam_over"`   // ops waiting per core that jam it; 0: never
+	JamDelay         Duration `toml:"jam_after"`  // when they have waited so long
+	JamSlowdown      float64  `toml:"jam_factor"` // times slower
+	JamRecoveryTime  Duration `toml:"jam_idle"`   // mostly idle for so long ends it
+	CrowdingPerCore  float64  `toml:"crowd_over"` // ops held per core over which it does less; 0: never
+	CrowdingSlowdown float64  `toml:"crowd_loss"` // times longer that an op takes, for each such number more
+	IdleTimeout      Duration `toml:"idle_close"` // a connection idle for so long is closed
+	ReportsLoad      bool     `toml:"load_report"`
 }
 
 // Limits are what nodes are allowed, and the figures of the rules.
 type Limits struct {
-	MaxPushes   int     `toml:"max_pushes"`
-	Duplicate   bool    `toml:"may_duplicate"`
-	Cancel      bool    `toml:"may_cancel"`
-	Dial        Span    `toml:"dial_timeout"`
-	RetryAfter  Span    `toml:"max_retry_after"` // 0: clients take no advice
-	Sockets     int     `toml:"sockets"`
-	MemoryMB    int     `toml:"memory_mb"`
-	AnswerSlack Span    `toml:"answer_slack"`
-	DrainGrace  Span    `toml:"drain_grace"`
-	ColdFrom    float64 `toml:"cold_from"`
-	ColdWarm    Span    `toml:"cold_warm"`
-	ColdFactor  float64 `toml:"cold_factor"`
-	ColdWindow  Span    `toml:"cold_window"`
-	Beyond      float64 `toml:"beyond_share_benefit"`
-	PassTTL     bool    `toml:"passes_deadline"` // a server's calls carry what is left of its op
-	CrossZone   float64 `toml:"cross_zone_price"`
+	MaxPushes          int      `toml:"max_pushes"`
+	MayDuplicate       bool     `toml:"may_duplicate"`
+	MayCancel          bool     `toml:"may_cancel"`
+	DialTimeout        Duration `toml:"dial_timeout"`
+	MaxRetryAfter      Duration `toml:"max_retry_after"` // 0: clients take no advice
+	Sockets            int      `toml:"sockets"`
+	MemoryMB           int      `toml:"memory_mb"`
+	AnswerSlack        Duration `toml:"answer_slack"`
+	DrainGrace         Duration `toml:"drain_grace"`
+	ColdInitialShare   float64  `toml:"cold_from"`
+	ColdWarmUpTime     Duration `toml:"cold_warm"`
+	ColdOverloadFactor float64  `toml:"cold_factor"`
+	ColdOverloadWindow Duration `toml:"cold_window"`
+	BeyondShareBenefit float64  `toml:"beyond_share_benefit"`
+	PassesDeadline     bool     `toml:"passes_deadline"` // a server's calls carry what is left of its op
+	CrossZoneCost      float64  `toml:"cross_zone_price"`
 }
 
 // Registry is how the list comes.
 type Registry struct {
-	Mode  string `toml:"mode"`  // "watch" or "whole": the first line of a watch and each later one hold all
-	Delay Span   `toml:"delay"` // of each change
+	Mode  string   `toml:"mode"`  // "watch" or "whole": the first line of a watch and each later one hold all
+	Delay Duration `toml:"delay"` // of each change
 }
 
 // Network is between machines. On sockets it is what loopback takes.
 type Network struct {
-	Delay  Span `toml:"delay"`  // one way
-	Jitter Span `toml:"jitter"` // more, evenly spread
+	Delay  Duration `toml:"delay"`  // one way
+	Jitter Duration `toml:"jitter"` // more, evenly spread
 }
 
 // Fleet says that nodes of the first tier hear each other.
 type Fleet struct {
-	Share float64 `toml:"share"` // of the nodes that do; left out: all
-	Peers bool    `toml:"peers"` // the module may use words of others (limits.peers)
+	Share         float64 `toml:"share"` // of the nodes that do; left out: all
+	PeerMessaging bool    `toml:"peers"` // the module may use words of others (limits.peers)
 }
 
 // Between is a fault on the ways between the first tier's nodes, on sockets.
-type Between struct {
-	Kind   string  `toml:"kind"`
-	At     Span    `toml:"at"`
-	For    Span    `toml:"for"`   // left out: to the end
-	Count  int     `toml:"count"` // nodes hit; 0 with no share: all
-	Share  float64 `toml:"share"`
-	Parts  []int   `toml:"parts"`  // of groups and of a chain: their sizes, as weights
-	Factor float64 `toml:"factor"` // a share of what passes, or seconds
-	Every  Span    `toml:"every"`  // of flap
+type PeerFault struct {
+	Kind         string   `toml:"kind"`
+	At           Duration `toml:"at"`
+	Duration     Duration `toml:"for"`   // left out: to the end
+	Count        int      `toml:"count"` // nodes hit; 0 with no share: all
+	Share        float64  `toml:"share"`
+	PartSizes    []int    `toml:"parts"`  // of groups and of a chain: their sizes, as weights
+	Factor       float64  `toml:"factor"` // a share of what passes, or seconds
+	FlapInterval Duration `toml:"every"`  // of flap
 }
 
 // BetweenKinds are the kinds of fault between nodes and what each does.
-var BetweenKinds = map[string]string{
+var PeerFaultKinds = map[string]string{
 	"groups":  "the nodes fall into groups, parts of all, that each hear only themselves",
 	"chain":   "the nodes fall into groups, parts of all, that each hear themselves and the next one on either side",
 	"cut":     "the nodes hear nobody and nobody hears them",
@@ -196,20 +196,20 @@
 }
 
 // Trouble is one thing that goes wrong, or is done on purpose.
-type Trouble struct {
-	Kind   string  `toml:"kind"`
-	At     Span    `toml:"at"`
-	For    Span    `toml:"for"`
-	Tier   string  `toml:"tier"` // left out: the first
-	Zone   string  `toml:"zone"`
-	Count  int     `toml:"count"` // servers, or nodes; 0 with no share: all that fit
-	Share  float64 `toml:"share"`
-	Factor float64 `toml:"factor"`
-	Tenant string  `toml:"tenant"` // of a burst
+type Disturbance struct {
+	Kind     string   `toml:"kind"`
+	At       Duration `toml:"at"`
+	Duration Duration `toml:"for"`
+	Tier     string   `toml:"tier"` // left out: the first
+	Zone     string   `toml:"zone"`
+	Count    int      `toml:"count"` // servers, or nodes; 0 with no share: all that fit
+	Share    float64  `toml:"share"`
+	Factor   float64  `toml:"factor"`
+	Tenant   string   `toml:"tenant"` // of a burst
 }
 
 // TroubleKinds are the kinds of trouble and what each does.
-var TroubleKinds = map[string]string{
+var DisturbanceKinds = map[string]string{
 	"slow":           "the servers run factor times slower",
 	"stall":          "the servers stand still",
 	"crash":          "the servers die: connections are reset, new ones refused; they come back cold after the time",
@@ -248,20 +248,20 @@
 
 // Expect is what must hold. A bound that is left out is not judged; the four rules always are.
 type Expect struct {
-	Served      *float64 `toml:"served_benefit"`       // at least, as a share of what was offered
-	WorstTenant *float64 `toml:"worst_tenant"`         // at least, of what it offered
-	Category    *Single  `toml:"category"`             // one category's own served benefit
-	P99         *Span    `toml:"p99"`                  // at most, of answers served, from the intended send
-	PushesPerOp *float64 `toml:"pushes_per_op"`        // at most
-	Wasted      *float64 `toml:"wasted_work"`          // at most, as a share of the work done
-	Last        *float64 `toml:"last_quarter_benefit"` // at least, of what was offered in the last quarter
-	Broken      []string `toml:"broken"`               // rules that are broken on purpose, by name
+	MinServedBenefit      *float64             `toml:"served_benefit"`       // at least, as a share of what was offered
+	MinWorstTenantBenefit *float64             `toml:"worst_tenant"`         // at least, of what it offered
+	Category              *CategoryExpectation `toml:"category"`             // one category's own served benefit
+	MaxP99                *Duration            `toml:"p99"`                  // at most, of answers served, from the intended send
+	MaxPushesPerOp        *float64             `toml:"pushes_per_op"`        // at most
+	MaxWastedWork         *float64             `toml:"wasted_work"`          // at most, as a share of the work done
+	MinLastQuarterBenefit *float64             `toml:"last_quarter_benefit"` // at least, of what was offered in the last quarter
+	BrokenRules           []string             `toml:"broken"`               // rules that are broken on purpose, by name
 }
 
 // Single is a bound on one category.
-type Single struct {
-	Name   string  `toml:"name"`
-	Served float64 `toml:"served_benefit"`
+type CategoryExpectation struct {
+	Name             string  `toml:"name"`
+	MinServedBenefit float64 `toml:"served_benefit"`
 }
 
 // Read reads an experiment. An error names the file, and the key, line and column at fault.
@@ -274,8 +274,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if s.Load.Trace != "" {
-		s.Load.Trace = filepath.Join(filepath.Dir(path), s.Load.Trace)
+	if s.Load.TraceFile != "" {
+		s.Load.TraceFile = filepath.Join(filepath.Dir(path), s.Load.TraceFile)
 	}
 	return s, nil
 }
@@ -320,27 +320,27 @@
 	}
 }
 
-const ms = Span(policy.Millisecond)
+const ms = Duration(policy.Millisecond)
 
 func (s *Scenario) defaults() {
 	orElse(&s.Duration, 10000*ms)
-	orElse(&s.Short, min(s.Duration, 4000*ms))
+	orElse(&s.ShortDuration, min(s.Duration, 4000*ms))
 	orElse(&s.Driver, "live")
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"a"}
 	}
 	orElse(&s.Load.Arrivals, "poisson")
-	orElse(&s.Load.Burst, 8)
-	orElse(&s.Load.Lead, 300*ms)
-	orElse(&s.Load.RetryWait, 50*ms)
+	orElse(&s.Load.MeanBurst, 8)
+	orElse(&s.Load.LeadTime, 300*ms)
+	orElse(&s.Load.RetryDelay, 50*ms)
 	for i := range s.Categories {
 		c := &s.Categories[i]
 		orElse(&c.Share, 1)
 		orElse(&c.Benefit, 1)
-		orElse(&c.Repeat, "redeliverable")
-		if c.Repeat == "deduplicated" {
-			orElse(&c.Scope, "all")
-			orElse(&c.Window, c.TTL)
+		orElse(&c.Delivery, "redeliverable")
+		if c.Delivery == "deduplicated" {
+			orElse(&c.DedupScope, "all")
+			orElse(&c.DedupWindow, c.TTL)
 		}
 	}
 	for i := range s.Tenants {
@@ -349,32 +349,32 @@
 	for i := range s.Tiers {
 		t := &s.Tiers[i]
 		if i == 0 {
-			orElse(&t.Nodes, 1)
+			orElse(&t.NodeCount, 1)
 		}
-		for j := range t.Kinds {
-			k := &t.Kinds[j]
+		for j := range t.MachineTypes {
+			k := &t.MachineTypes[j]
 			orElse(&k.Name, "std")
 			orElse(&k.Cores, 1)
 			orElse(&k.Speed, 1)
-			orElse(&k.Queue, 64)
-			orElse(&k.IdleClose, 5000*ms)
-			orElse(&k.JamAfter, 1000*ms)
-			orElse(&k.JamFactor, 2)
-			orElse(&k.JamIdle, 2000*ms)
+			orElse(&k.QueueLimit, 64)
+			orElse(&k.IdleTimeout, 5000*ms)
+			orElse(&k.JamDelay, 1000*ms)
+			orElse(&k.JamSlowdown, 2)
+			orElse(&k.JamRecoveryTime, 2000*ms)
 		}
 	}
 	l := &s.Limits
 	orElse(&l.MaxPushes, 3)
-	orElse(&l.Dial, 100*ms)
+	orElse(&l.DialTimeout, 100*ms)
 	orElse(&l.Sockets, 1024)
 	orElse(&l.MemoryMB, 192)
 	orElse(&l.AnswerSlack, 20*ms)
 	orElse(&l.DrainGrace, 1500*ms)
-	orElse(&l.ColdFrom, 0.3)
-	orElse(&l.ColdWarm, 4000*ms)
-	orElse(&l.ColdFactor, 3)
-	orElse(&l.ColdWindow, 1000*ms)
-	orElse(&l.Beyond, 0.2)
+	orElse(&l.ColdInitialShare, 0.3)
+	orElse(&l.ColdWarmUpTime, 4000*ms)
+	orElse(&l.ColdOverloadFactor, 3)
+	orElse(&l.ColdOverloadWindow, 1000*ms)
+	orElse(&l.BeyondShareBenefit, 0.2)
 	orElse(&s.Registry.Mode, "watch")
 	orElse(&s.Registry.Delay, 100*ms)
 	orElse(&s.Network.Delay, ms/5)
@@ -382,13 +382,13 @@
 	if s.Fleet != nil {
 		orElse(&s.Fleet.Share, 1)
 	}
-	for i := range s.Between {
-		b := &s.Between[i]
-		orElse(&b.Every, 300*ms)
+	for i := range s.PeerFaults {
+		b := &s.PeerFaults[i]
+		orElse(&b.FlapInterval, 300*ms)
 		orElse(&b.Factor, 0.2)
 	}
-	for i := range s.Troubles {
-		t := &s.Troubles[i]
+	for i := range s.Disturbances {
+		t := &s.Disturbances[i]
 		orElse(&t.Factor, 3)
 		if len(s.Tiers) > 0 {
 			orElse(&t.Tier, s.Tiers[0].Name)
@@ -414,11 +414,11 @@
 	among("driver", s.Driver, "live", "sim")
 	among("load.arrivals", s.Load.Arrivals, "poisson", "bursty", "even")
 	among("registry.mode", s.Registry.Mode, "watch", "whole")
-	if !(s.Load.Rate > 0) && s.Load.Trace == "" {
+	if !(s.Load.Rate > 0) && s.Load.TraceFile == "" {
 		bad("load.rate", "is not above 0")
 	}
-	if s.Load.Uneven < 0 {
-		bad("load.uneven", "%v is negative", s.Load.Uneven)
+	if s.Load.UnevenFactor < 0 {
+		bad("load.uneven", "%v is negative", s.Load.UnevenFactor)
 	}
 	if len(s.Categories) == 0 {
 		bad("category", "is missing: there must be one")
@@ -428,18 +428,18 @@
 		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#%") {
 			bad(at+"name", "%q is no part of a path", c.Name)
 		}
-		if c.Work <= 0 {
+		if c.MeanWork <= 0 {
 			bad(at+"work", "is not above 0")
 		}
-		if c.Target <= 0 || c.TTL < c.Target {
-			bad(at+"target_latency", "%v ms is not above 0, or past the ttl of %v ms", c.Target.Ms(), c.TTL.Ms())
+		if c.TargetLatency <= 0 || c.TTL < c.TargetLatency {
+			bad(at+"target_latency", "%v ms is not above 0, or past the ttl of %v ms", c.TargetLatency.Milliseconds(), c.TTL.Milliseconds())
 		}
-		if c.Share < 0 || c.Spread < 0 || c.Benefit < 0 {
+		if c.Share < 0 || c.WorkVariation < 0 || c.Benefit < 0 {
 			bad(at+"share", "share, spread and benefit must not be negative")
 		}
-		among(at+"repeat", c.Repeat, "redeliverable", "deduplicated", "at_most_once")
-		if c.Repeat == "deduplicated" {
-			among(at+"scope", c.Scope, "all", "zone", "cell")
+		among(at+"repeat", c.Delivery, "redeliverable", "deduplicated", "at_most_once")
+		if c.Delivery == "deduplicated" {
+			among(at+"scope", c.DedupScope, "all", "zone", "cell")
 		}
 	}
 	if len(s.Tiers) == 0 {
@@ -450,20 +450,20 @@
 		if t.Name == "" || strings.ContainsAny(t.Name, ", ") {
 			bad(at+"name", "%q is no name", t.Name)
 		}
-		if i > 0 && t.Nodes != 0 {
+		if i > 0 && t.NodeCount != 0 {
 			bad(at+"nodes", "a later tier has a node for each server of the tier before")
 		}
-		if i == len(s.Tiers)-1 && t.Calls != 0 {
+		if i == len(s.Tiers)-1 && t.CallsPerOp != 0 {
 			bad(at+"calls", "there is no next tier")
 		}
-		if t.Nodes < 0 || t.Calls < 0 {
+		if t.NodeCount < 0 || t.CallsPerOp < 0 {
 			bad(at+"nodes", "nodes and calls must not be negative")
 		}
-		if len(t.Kinds) == 0 {
+		if len(t.MachineTypes) == 0 {
 			bad(at+"kind", "is missing: there must be one")
 		}
-		for j, k := range t.Kinds {
-			if k.Count < 1 || k.Cores < 1 || !(k.Speed > 0) || k.Queue < 0 || k.CellSize < 0 {
+		for j, k := range t.MachineTypes {
+			if k.Count < 1 || k.Cores < 1 || !(k.Speed > 0) || k.QueueLimit < 0 || k.CellSize < 0 {
 				bad(fmt.Sprintf("%skind.%d.count", at, j), "count, cores and speed must be above 0, queue and cell not under 0")
 			}
 		}
@@ -471,12 +471,12 @@
 	machines, nodes := 0, 0
 	for i, t := range s.Tiers {
 		behind := machines
-		for _, k := range t.Kinds {
+		for _, k := range t.MachineTypes {
 			if machines += min(k.Count, most+1); machines > most {
 				bad(fmt.Sprintf("tier.%d.kind", i), "more than %d servers in all", most)
 			}
 		}
-		if nodes += min(t.Nodes, most+1); i < len(s.Tiers)-1 {
+		if nodes += min(t.NodeCount, most+1); i < len(s.Tiers)-1 {
 			nodes += machines - behind
 		}
 		if nodes > most {
@@ -486,17 +486,17 @@
 	if s.Limits.MaxPushes < 1 || s.Limits.MaxPushes > 8 {
 		bad("limits.max_pushes", "%d is not from 1 to 8", s.Limits.MaxPushes)
 	}
-	if !(s.Limits.ColdFrom > 0) || s.Limits.ColdFrom > 1 {
-		bad("limits.cold_from", "%v is not above 0 and at most 1", s.Limits.ColdFrom)
+	if !(s.Limits.ColdInitialShare > 0) || s.Limits.ColdInitialShare > 1 {
+		bad("limits.cold_from", "%v is not above 0 and at most 1", s.Limits.ColdInitialShare)
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Disturbances {
 		at := fmt.Sprintf("trouble.%d.", i)
 		if slices.Contains([]string{"node-move", "node-twin", "liar-down", "liar-well"}, t.Kind) && s.Fleet == nil {
 			bad(at+"kind", "there is no [fleet]: a node has no address for nodes")
 		}
-		if TroubleKinds[t.Kind] == "" {
-			kinds := make([]string, 0, len(TroubleKinds))
-			for k := range TroubleKinds {
+		if DisturbanceKinds[t.Kind] == "" {
+			kinds := make([]string, 0, len(DisturbanceKinds))
+			for k := range DisturbanceKinds {
 				kinds = append(kinds, k)
 			}
 			sort.Strings(kinds)
@@ -514,7 +514,7 @@
 		if t.Zone != "" {
 			among(at+"zone", t.Zone, s.Zones...)
 		}
-		if s.Tier(t.Tier) < 0 {
+		if s.TierIndex(t.Tier) < 0 {
 			bad(at+"tier", "%q is no tier", t.Tier)
 		}
 		if !(t.Factor > 0) && t.Kind != "clock-step" {
@@ -538,35 +538,35 @@
 	if s.Fleet != nil && (s.Fleet.Share < 0 || s.Fleet.Share > 1) {
 		bad("fleet.share", "%v is not from 0 to 1", s.Fleet.Share)
 	}
-	for i, b := range s.Between {
+	for i, b := range s.PeerFaults {
 		at := fmt.Sprintf("between.%d.", i)
 		total := 0
-		for _, part := range b.Parts {
+		for _, part := range b.PartSizes {
 			if total += part; part < 1 {
 				bad(at+"parts", "%d is not above 0", part)
 			}
 		}
 		switch {
-		case BetweenKinds[b.Kind] == "":
+		case PeerFaultKinds[b.Kind] == "":
 			bad(at+"kind", "%q is no fault between nodes", b.Kind)
 		case s.Fleet == nil:
 			bad(at+"kind", "there is no [fleet]: nodes say nothing to each other")
 		case s.Driver != "live":
 			bad(at+"kind", "faults between nodes need processes: driver = \"live\"")
-		case (b.Kind == "groups" || b.Kind == "chain") && len(b.Parts) < 2:
+		case (b.Kind == "groups" || b.Kind == "chain") && len(b.PartSizes) < 2:
 			bad(at+"parts", "there must be two or more")
 		case b.Share < 0 || b.Share > 1 || b.Count < 0:
 			bad(at+"share", "%v is not from 0 to 1, or count is negative", b.Share)
 		case b.Kind != "slow" && b.Factor > 1 || b.Factor < 0:
 			bad(at+"factor", "%v is not from 0 to 1", b.Factor)
-		case b.Kind == "flap" && b.Every < 10*ms:
-			bad(at+"every", "%v ms is under 10 ms", b.Every.Ms())
+		case b.Kind == "flap" && b.FlapInterval < 10*ms:
+			bad(at+"every", "%v ms is under 10 ms", b.FlapInterval.Milliseconds())
 		}
 	}
 }
 
 // Tier gives the place of a tier, or -1.
-func (s *Scenario) Tier(name string) int {
+func (s *Scenario) TierIndex(name string) int {
 	return slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.Name == name })
 }
 
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range s.Balancers() {
-		raw := s.Config(b, "n", "127.0.0.1:1", "127.0.0.1:2", 7, nil, nil)
+	for _, b := range s.Nodes() {
+		raw := s.NodeConfig(b, "n", "127.0.0.1:1", "127.0.0.1:2", 7, nil, nil)
 		c, err := config.Parse(raw, func(string) string { return "" })
 		if err != nil {
 			t.Fatalf("%v\n%s", err, raw)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	one, two := s.Plan(stream.New(3, "troubles")), s.Plan(stream.New(3, "troubles"))
-	if len(one.Machines) != 4 || one.Standing != 2 || len(one.Steps) != len(two.Steps) {
+	if len(one.Machines) != 4 || one.InitialCount != 2 || len(one.Steps) != len(two.Steps) {
 		t.Errorf("%d machines, %d steps", len(one.Machines), len(one.Steps))
 	}
 	for i := range one.Steps {
@@ -108,7 +108,7 @@
 			}
 			return
 		}
-		if n := len(s.Machines()); n < 10_000 && len(s.Troubles) < 10 {
+		if n := len(s.Machines()); n < 10_000 && len(s.Disturbances) < 10 {
 			s.Plan(stream.New(1, "troubles"))
 		}
 	})
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -17,7 +17,7 @@
 
 // balancer is one node: the real actor, on a clock of its own that this driver moves.
 type balancer struct {
-	scenario.Balancer
+	scenario.Node
 	run        *run
 	place      int
 	node       *node.Node
@@ -59,7 +59,7 @@
 // start makes a new node with the list of the beginning.
 func (b *balancer) start() {
 	r := b.run
-	c, most, err := r.options(b.Balancer)
+	c, most, err := r.options(b.Node)
 	if err != nil {
 		r.err = err
 		return
@@ -74,16 +74,16 @@
 	if r.err != nil {
 		return
 	}
-	b.slack = trial.Slack(r.Fault, c.AnswerSlack)
+	b.slack = trial.AnswerSlack(r.Fault, c.AnswerSlack)
 	b.node = node.New(node.Options{MostOpen: min(most, c.MostOpen), Slack: b.slack}, decider, b.clock, quiet)
 	known := &node.List{Form: policy.ListCached}
-	r.account.Anew(b.place)
-	for i, m := range r.plan.Machines[:r.plan.Standing] {
+	r.account.RecordNodeStart(b.place)
+	for i, m := range r.plan.Machines[:r.plan.InitialCount] {
 		if m.Tier == b.Tier {
-			entries, _ := r.list(m.Entry(i))
+			entries, _ := r.list(m.RegistryEntry(i))
 			known.Entries = append(known.Entries, entries...)
 			known.Addrs = append(known.Addrs, "")
-			r.account.Told(b.place, i, policy.Ready, 0, r.now)
+			r.account.RecordServerState(b.place, i, policy.Ready, 0, r.now)
 		}
 	}
 	b.node.Start(b, b, known)
@@ -159,20 +159,20 @@
 	delete(b.byRequest, &h.node.Request)
 	a.Body.Release()
 	verdict := map[node.Verdict]ledger.Verdict{node.Acked: ledger.Served, node.Nacked: ledger.Nacked,
-		node.DeadLettered: ledger.Failed, node.Left: ledger.Left}[a.Verdict]
-	if verdict == ledger.Left {
+		node.DeadLettered: ledger.Failed, node.Left: ledger.ClientLeft}[a.Verdict]
+	if verdict == ledger.ClientLeft {
 		return
 	}
 	h.advice = a.RetryAfter
 	if verdict == ledger.Served && h.acked != nil {
-		b.run.account.ServedBy(h.acked.push)
+		b.run.account.RecordServedBy(h.acked.push)
 	}
 	b.run.at(b.run.now+b.run.hop(), func() { h.end(b.run, verdict) })
 }
 
 // end is what the client saw of its request.
 func (h *hand) end(r *run, verdict ledger.Verdict) {
-	r.account.End(h.try, r.now, verdict)
+	r.account.RecordTryEnd(h.try, r.now, verdict)
 	if !h.over {
 		h.over = true
 		h.then(verdict)
@@ -182,7 +182,7 @@
 // take is a client's request on its way to the node.
 func (b *balancer) take(h *hand) {
 	r := b.run
-	h.try = r.account.Try(h.op, b.place, r.now, h.notAfter)
+	h.try = r.account.RecordTry(h.op, b.place, r.now, h.notAfter)
 	left := h.notAfter - r.now
 	r.at(r.now+r.hop(), func() { b.arrive(h, left) })
 	// A client that hears nothing stays a little past the last moment for an answer, so that a late one is seen.
@@ -239,7 +239,7 @@
 		return
 	}
 	f.to, f.arrival, f.try = r.servers[to], h.arrival, h.try
-	f.work, f.until = h.arrival.Work[b.Tier], r.now+p.For
+	f.work, f.until = h.arrival.WorkByTier[b.Tier], r.now+p.For
 	if way, lost := r.way(b, f.to); !lost {
 		r.at(r.now+r.hop()+way, func() { f.to.arrive(f) })
 	}
@@ -286,7 +286,7 @@
 		return
 	}
 	b.up, b.subscribed, b.leaving = false, false, false
-	r.account.Crashed(b.place, r.now)
+	r.account.RecordNodeCrash(b.place, r.now)
 	for _, f := range b.flights {
 		if !f.given {
 			f.given, f.answered = true, true
@@ -295,7 +295,7 @@
 		}
 	}
 	for _, h := range b.hands {
-		r.at(r.now+r.hop(), func() { h.end(r, ledger.Broken) })
+		r.at(r.now+r.hop(), func() { h.end(r, ledger.ConnectionLost) })
 	}
 	b.flights, b.hands, b.byRequest = nil, nil, nil
 }
@@ -364,12 +364,12 @@
 	listed := make(map[int]bool)
 	for _, e := range entries {
 		listed[e.Server] = true
-		r.account.Told(b.place, e.Server, e.State, e.Started, r.now)
+		r.account.RecordServerState(b.place, e.Server, e.State, e.Started, r.now)
 	}
 	if whole {
 		for i := range r.servers {
 			if r.servers[i].machine.Tier == b.Tier && !listed[i] {
-				r.account.Told(b.place, i, policy.Gone, r.servers[i].started, r.now)
+				r.account.RecordServerState(b.place, i, policy.Gone, r.servers[i].started, r.now)
 			}
 		}
 	}
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -17,7 +17,7 @@
 	node    *balancer // its own, before the next tier
 	up      bool
 	silent  bool // down without a word
-	mode    scenario.Mode
+	mode    scenario.ServerMode
 	started policy.Micros
 	wakes   policy.Micros
 	idle    map[*balancer][]policy.Micros // connections kept, by when each fell idle
@@ -25,7 +25,7 @@
 }
 
 func newServer(r *run, place int, m scenario.Machine, up bool) *server {
-	return &server{run: r, place: place, machine: m, up: up, wakes: fleet.Never, model: fleet.New(m.Traits(r.Scenario)),
+	return &server{run: r, place: place, machine: m, up: up, wakes: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
 		idle: make(map[*balancer][]policy.Micros)}
 }
 
@@ -80,7 +80,7 @@
 // connect takes a connection for a push, and says what it costs the server.
 func (s *server) connect(n *balancer) (price policy.Micros, room bool) {
 	kept := s.idle[n]
-	for len(kept) > 0 && s.run.now-kept[0] >= s.machine.Kind.IdleClose.Micros()*9/10 {
+	for len(kept) > 0 && s.run.now-kept[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
 		kept = kept[1:]
 		s.open--
 	}
@@ -89,11 +89,11 @@
 		return 0, true
 	}
 	s.idle[n] = kept
-	if most := s.machine.Kind.Conns; most > 0 && s.open >= most {
+	if most := s.machine.Type.MaxConnections; most > 0 && s.open >= most {
 		return 0, false
 	}
 	s.open++
-	return s.machine.Kind.ConnPrice.Micros(), true
+	return s.machine.Type.ConnectionCost.Micros(), true
 }
 
 // disconnect gives a connection back; one of a push that was given up is closed.
@@ -121,7 +121,7 @@
 		f.answer(policy.ConnectFailed)
 		return
 	}
-	f.push = r.account.Push(f.try, s.place, r.now)
+	f.push = r.account.RecordPush(f.try, s.place, r.now)
 	f.arrived, f.life = true, s.started
 	price, room := s.connect(f.node)
 	if !room {
@@ -130,34 +130,34 @@
 	}
 	f.connected = true
 	switch s.mode {
-	case scenario.Errors:
+	case scenario.ModeErrors:
 		f.answer(policy.Errored)
 		return
-	case scenario.TurnsAway:
+	case scenario.ModeReject:
 		f.answer(policy.Full)
 		return
 	}
-	if f.arrival.Fails {
+	if f.arrival.AlwaysFails {
 		f.answer(policy.Errored)
 		return
 	}
-	key, category := r.account.KeyOf(f.try)
+	key, category := r.account.OpOf(f.try)
 	memory := r.memory(category, s.machine)
 	if memory != nil && memory.Repeat(r.now, keyText(key)) {
 		f.answer(policy.Acked)
 		return
 	}
 	f.key = keyText(key)
-	f.job = &fleet.Job{Work: f.work + price, Told: r.account.KnowsStart(f.node.place, s.place, s.started), Note: f}
+	f.job = &fleet.Job{Work: f.work + price, Told: r.account.KnowsServerStart(f.node.place, s.place, s.started), Note: f}
 	got := s.model.Arrive(r.now, f.job)
-	r.account.Pressed(s.model.Pressed())
+	r.account.RecordPeakLoad(s.model.Pressed())
 	switch got {
 	case fleet.Taken:
-		if down := f.arrival.Kills; down > 0 && f.arrival.In == s.machine.Tier {
+		if down := f.arrival.KillsFor; down > 0 && f.arrival.KillTier == s.machine.Tier {
 			r.at(r.now+policy.Millisecond, func() { s.die(f.life, down) })
 		}
 	case fleet.Tips, fleet.TipsUnseen:
-		r.account.Tipped(s.place, got == fleet.Tips)
+		r.account.RecordCollapse(s.place, got == fleet.Tips)
 		fallthrough
 	default:
 		if memory != nil {
@@ -191,11 +191,11 @@
 // book writes down what a job was. One that never ran is no repeat's first.
 func (s *server) book(j *fleet.Job, f *flight) {
 	if j.Begun() {
-		s.run.account.Effect(f.push)
-		s.run.account.Worked(f.push, j.Work)
+		s.run.account.RecordEffect(f.push)
+		s.run.account.RecordWork(f.push, j.Work)
 		return
 	}
-	_, category := s.run.account.KeyOf(f.try)
+	_, category := s.run.account.OpOf(f.try)
 	if memory := s.run.memory(category, s.machine); memory != nil {
 		memory.Forget(f.key)
 	}
@@ -207,7 +207,7 @@
 	s.book(j, f)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
-		calls = f.arrival.Calls[s.machine.Tier]
+		calls = f.arrival.CallsByTier[s.machine.Tier]
 	}
 	s.call(j, f, calls)
 }
@@ -219,12 +219,12 @@
 		return
 	}
 	now := s.run.now
-	_, category := s.run.account.KeyOf(f.try)
+	_, category := s.run.account.OpOf(f.try)
 	until := now + s.run.Scenario.Categories[category].TTL.Micros()
-	if s.run.Scenario.Limits.PassTTL {
+	if s.run.Scenario.Limits.PassesDeadline {
 		until = min(until, f.until)
 	}
-	op := s.run.account.Offer(now, category, f.arrival.Tenant, s.machine.Tier+1)
+	op := s.run.account.RecordOp(now, category, f.arrival.Tenant, s.machine.Tier+1)
 	s.node.take(&hand{op: op, arrival: f.arrival, category: category, notAfter: until, then: func(v ledger.Verdict) {
 		if s.started != life || !s.up {
 			return // it has died since
@@ -239,9 +239,9 @@
 
 func (s *server) finish(j *fleet.Job, f *flight, how policy.Outcome) {
 	switch s.mode {
-	case scenario.Resets:
+	case scenario.ModeReset:
 		how = policy.Reset
-	case scenario.Spoils:
+	case scenario.ModeCorrupt:
 		how = policy.Errored
 	}
 	f.answer(how)
@@ -263,7 +263,7 @@
 
 // memory is that of a category's group, or nil.
 func (r *run) memory(category int, m scenario.Machine) *fleet.Memory {
-	return r.memories.Of(r.Scenario, category, m, r.account.Tolerance())
+	return r.memories.Get(r.Scenario, category, m, r.account.Tolerance())
 }
 
 // flight is one push on its way, at a server, or on its way back.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -25,21 +25,21 @@
 
 // Options say what is played.
 type Options struct {
-	Scenario *scenario.Scenario
-	Policy   string
-	Fault    string
-	Seed     uint64
-	Length   policy.Micros // of the load
-	Arrivals []load.Arrival
-	Tick     func(now policy.Micros, a *ledger.Account) // each simulated second, if set
+	Scenario     *scenario.Scenario
+	Policy       string
+	Fault        string
+	Seed         uint64
+	LoadDuration policy.Micros // of the load
+	Arrivals     []load.Arrival
+	OnSecond     func(now policy.Micros, a *ledger.Ledger) // each simulated second, if set
 }
 
 const (
-	start  = 1000 * policy.Second     // of the load, on the simulated clock
-	watch  = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sample = 250 * policy.Millisecond // between looks at the throttles
-	unseen = policy.Second            // until the front leaves out a node that has died
-	Span   = 500 * policy.Millisecond // of the report's buckets
+	start          = 1000 * policy.Second     // of the load, on the simulated clock
+	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
+	sample         = 250 * policy.Millisecond // between looks at the throttles
+	unseen         = policy.Second            // until the front leaves out a node that has died
+	BucketDuration = 500 * policy.Millisecond // of the report's buckets
 )
 
 type event struct {
@@ -69,7 +69,7 @@
 // run is one experiment being played.
 type run struct {
 	Options
-	account  *ledger.Account
+	account  *ledger.Ledger
 	events   events
 	now      policy.Micros
 	rng      *rand.Rand // of the network
@@ -79,7 +79,7 @@
 	catalogs []*registry.Catalog // by tier
 	slow     policy.Micros       // registry's further delay
 	down     bool
-	memories scenario.Memories
+	memories scenario.DedupMemories
 	byID     map[policy.ServerID]int
 	turn     int // of the front
 	step     policy.Micros
@@ -89,19 +89,19 @@
 }
 
 // Run plays an experiment to its end, or until ctx is done; then the result is partial.
-func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Account, error) {
+func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
 	s := o.Scenario
-	r := &run{Options: o, now: start - s.Load.Lead.Micros(), rng: stream.New(o.Seed, "network"),
-		account:  ledger.New(s, start, Span, true),
+	r := &run{Options: o, now: start - s.Load.LeadTime.Micros(), rng: stream.New(o.Seed, "network"),
+		account:  ledger.New(s, start, BucketDuration, true),
 		plan:     s.Plan(stream.New(o.Seed, "troubles")),
-		memories: make(scenario.Memories), byID: make(map[policy.ServerID]int)}
+		memories: make(scenario.DedupMemories), byID: make(map[policy.ServerID]int)}
 	r.build()
 	if r.err != nil {
 		return nil, nil, r.err
 	}
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
-		if step.At < o.Length {
+		if step.At < o.LoadDuration {
 			r.at(start+step.At, func() { r.carryOut(step) })
 		}
 	}
@@ -113,16 +113,16 @@
 	for _, c := range s.Categories {
 		longest = max(longest, c.TTL.Micros())
 	}
-	end := start + o.Length + longest + s.Limits.AnswerSlack.Micros() + 2*watch + policy.Second
+	end := start + o.LoadDuration + longest + s.Limits.AnswerSlack.Micros() + 2*watch + policy.Second
 	r.every(start, sample, r.sample)
-	if o.Tick != nil {
-		r.every(start, policy.Second, func() { o.Tick(r.now-start, r.account) })
+	if o.OnSecond != nil {
+		r.every(start, policy.Second, func() { o.OnSecond(r.now-start, r.account) })
 	}
 	partial := r.play(ctx, end)
 	if partial {
-		r.account.Cut(r.now)
+		r.account.Abort(r.now)
 	}
-	result := r.account.Finish(start + min(o.Length, r.now-start))
+	result := r.account.Finish(start + min(o.LoadDuration, r.now-start))
 	result.Partial = partial
 	return result, r.account, r.err
 }
@@ -148,7 +148,7 @@
 func (r *run) every(first, span policy.Micros, do func()) {
 	r.at(first, func() {
 		do()
-		if r.now < start+r.Length {
+		if r.now < start+r.LoadDuration {
 			r.every(r.now+span, span, do)
 		}
 	})
@@ -164,7 +164,7 @@
 	loss := 0.0
 	if b.Zone != s.machine.Zone {
 		for _, zone := range []int{b.Zone, s.machine.Zone} {
-			longer = max(longer, r.ways[zone].Until)
+			longer = max(longer, r.ways[zone].Time)
 			loss = max(loss, r.ways[zone].Factor)
 		}
 	}
@@ -186,17 +186,17 @@
 	r.ways, r.hidden = make([]scenario.Step, len(s.Zones)), make([]float64, len(r.plan.Machines))
 	standing := make([][]registry.Entry, len(s.Tiers))
 	for i, m := range r.plan.Machines {
-		r.servers = append(r.servers, newServer(r, i, m, i < r.plan.Standing))
+		r.servers = append(r.servers, newServer(r, i, m, i < r.plan.InitialCount))
 		r.byID[id(i)] = i
-		if i < r.plan.Standing {
-			standing[m.Tier] = append(standing[m.Tier], m.Entry(i))
+		if i < r.plan.InitialCount {
+			standing[m.Tier] = append(standing[m.Tier], m.RegistryEntry(i))
 		}
 	}
 	for _, entries := range standing {
 		r.catalogs = append(r.catalogs, registry.NewCatalog(entries, s.Registry.Mode == "whole"))
 	}
-	for i, b := range s.Balancers() {
-		n := &balancer{run: r, place: i, Balancer: b}
+	for i, b := range s.Nodes() {
+		n := &balancer{run: r, place: i, Node: b}
 		if b.Server >= 0 {
 			r.servers[b.Server].node = n
 		}
@@ -217,25 +217,25 @@
 
 // carryOut does one step of the plan.
 func (r *run) carryOut(step *scenario.Step) {
-	if step.Text != "" {
-		r.account.Note(fmt.Sprintf("%.1f s: %s", float64(r.now-start)/1e6, step.Text))
+	if step.Event != "" {
+		r.account.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-start)/1e6, step.Event))
 	}
 	server := r.servers[step.Server]
-	switch step.Verb {
-	case scenario.Slow:
+	switch step.Action {
+	case scenario.ServerSlow:
 		server.model.Slow(step.Factor)
-	case scenario.Stall:
-		server.model.Stall(r.now, start+step.Until)
-	case scenario.Crash:
+	case scenario.ServerStall:
+		server.model.Stall(r.now, start+step.Time)
+	case scenario.ServerCrash:
 		server.crash()
-	case scenario.Silence:
+	case scenario.ServerSilence:
 		server.silent = true
 		server.crash()
-	case scenario.Start:
+	case scenario.ServerStart:
 		server.start()
-	case scenario.Behave:
+	case scenario.ServerSetMode:
 		server.mode = step.Mode
-	case scenario.List:
+	case scenario.ServerSetListed:
 		r.listed(step.Server, step.State)
 	case scenario.RegistryDown:
 		r.down = true
@@ -244,25 +244,25 @@
 		}
 	case scenario.RegistryUp:
 		r.down = false
-	case scenario.RegistrySlow:
-		r.slow = step.Until
-	case scenario.RegistryFreeze, scenario.RegistryThaw, scenario.RegistryTrue:
+	case scenario.RegistryDelay:
+		r.slow = step.Time
+	case scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot, scenario.RegistryServeCurrent:
 		for _, c := range r.catalogs {
-			map[scenario.Verb]func(){scenario.RegistryFreeze: c.Freeze, scenario.RegistryThaw: c.Thaw,
-				scenario.RegistryTrue: c.Correct}[step.Verb]()
+			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: c.Freeze, scenario.RegistryServeSnapshot: c.Thaw,
+				scenario.RegistryServeCurrent: c.Correct}[step.Action]()
 		}
 		r.publish()
 	case scenario.NodeCrash:
 		r.nodes[step.Node].crash()
 	case scenario.NodeStart:
 		r.nodes[step.Node].start()
-	case scenario.NodeTerm:
+	case scenario.NodeTerminate:
 		r.nodes[step.Node].terminate()
 	case scenario.ClockStep:
-		r.step = step.Until
-	case scenario.Way:
+		r.step = step.Time
+	case scenario.ZoneDelay:
 		r.ways[step.Zone] = *step
-	case scenario.OneSided:
+	case scenario.PartialLoss:
 		r.hidden[step.Server] = step.Factor
 	}
 }
@@ -271,7 +271,7 @@
 	m := r.plan.Machines[place]
 	e, known := r.catalogs[m.Tier].Entry(place)
 	if !known {
-		e = m.Entry(place)
+		e = m.RegistryEntry(place)
 	}
 	e.State, e.Started = state, r.servers[place].started
 	r.catalogs[m.Tier].Set(e)
@@ -298,13 +298,13 @@
 		if server != 0 {
 			name = fmt.Sprintf("s-%d", r.byID[server])
 		}
-		r.account.Sample(r.now, ledger.Throttle{Server: name, Rate: rate, Cut: cut})
+		r.account.RecordThrottle(r.now, ledger.Throttle{Server: name, Rate: rate, CutoffLevel: cut})
 	})
 }
 
 // options are a node's own, from the configuration that a real one would get.
-func (r *run) options(b scenario.Balancer) (*config.Config, int, error) {
-	c, err := config.Parse(r.Scenario.Config(b, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
+func (r *run) options(b scenario.Node) (*config.Config, int, error) {
+	c, err := config.Parse(r.Scenario.NodeConfig(b, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -29,11 +29,11 @@
 func play(t *testing.T, s *scenario.Scenario, o Options) *ledger.Result {
 	t.Helper()
 	o.Scenario = s
-	if o.Length == 0 {
-		o.Length = s.Short.Micros()
+	if o.LoadDuration == 0 {
+		o.LoadDuration = s.ShortDuration.Micros()
 	}
 	if o.Arrivals == nil {
-		o.Arrivals = load.Make(s, o.Length, o.Seed)
+		o.Arrivals = load.Generate(s, o.LoadDuration, o.Seed)
 	}
 	r, _, err := Run(context.Background(), o)
 	if err != nil {
@@ -55,7 +55,7 @@
 			t.Parallel()
 			s := read(t, name)
 			if name == "large" {
-				s.Tiers[0].Nodes, s.Tiers[0].Kinds[0].Count, s.Load.Rate = 10, 40, 180
+				s.Tiers[0].NodeCount, s.Tiers[0].MachineTypes[0].Count, s.Load.Rate = 10, 40, 180
 			}
 			for _, p := range trial.Policies {
 				one := play(t, s, Options{Policy: p, Seed: 2})
@@ -64,7 +64,7 @@
 					want = "cold" // a baseline has no ramp, and here all nodes together are enough to push a server over
 				}
 				if got := strings.Join(one.BrokenRules, " "); got != want {
-					t.Errorf("%s breaks %q, not %q: %v", p, got, want, one.Breaches)
+					t.Errorf("%s breaks %q, not %q: %v", p, got, want, one.BreachMessages)
 				}
 				if p != trial.Module {
 					continue
@@ -98,19 +98,19 @@
 // within what they said.
 func TestLeavingAndClocks(t *testing.T) {
 	s := read(t, "leaving-clients")
-	r := play(t, s, Options{Seed: 4, Length: s.Duration.Micros()})
-	if r.Left == 0 || r.Wasted == 0 || len(r.BrokenRules) > 0 {
-		t.Errorf("left %d, wasted %v, broken %v", r.Left, r.Wasted, r.BrokenRules)
+	r := play(t, s, Options{Seed: 4, LoadDuration: s.Duration.Micros()})
+	if r.ClientLeft == 0 || r.WastedWork == 0 || len(r.BrokenRules) > 0 {
+		t.Errorf("left %d, wasted %v, broken %v", r.ClientLeft, r.WastedWork, r.BrokenRules)
 	}
 	for _, step := range []float64{-2, 2} {
 		s := read(t, "leaving-clients")
-		for i := range s.Troubles {
-			if s.Troubles[i].Kind == "clock-step" {
-				s.Troubles[i].Factor, s.Troubles[i].At = step, 0
+		for i := range s.Disturbances {
+			if s.Disturbances[i].Kind == "clock-step" {
+				s.Disturbances[i].Factor, s.Disturbances[i].At = step, 0
 			}
 		}
 		if r := play(t, s, Options{Seed: 4}); len(r.BrokenRules) > 0 {
-			t.Errorf("clocks off by %v s: %v", step, r.Breaches)
+			t.Errorf("clocks off by %v s: %v", step, r.BreachMessages)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	s.Load.Retries, s.Load.Rate = 0, 300
 	r := play(t, s, Options{Seed: 1})
 	if r.LostToCrash == 0 || len(r.BrokenRules) > 0 {
-		t.Errorf("lost to the crash %d, broken %v %v", r.LostToCrash, r.BrokenRules, r.Breaches)
+		t.Errorf("lost to the crash %d, broken %v %v", r.LostToCrash, r.BrokenRules, r.BreachMessages)
 	}
 }
 
@@ -129,15 +129,15 @@
 // other drains each 100 ms, with the grace at nothing but the hop.
 func TestDrainAtTheMomentOfASend(t *testing.T) {
 	s := read(t, "drain")
-	s.Limits.DrainGrace, s.Load.Rate = scenario.Span(50*policy.Millisecond), 300
-	s.Troubles, s.Registry = nil, scenario.Registry{Mode: "watch", Delay: scenario.Span(5 * policy.Millisecond)}
+	s.Limits.DrainGrace, s.Load.Rate = scenario.Duration(50*policy.Millisecond), 300
+	s.Disturbances, s.Registry = nil, scenario.Registry{Mode: "watch", Delay: scenario.Duration(5 * policy.Millisecond)}
 	for i := range 30 {
-		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: "list-lie", At: scenario.Span(100*(i+1)) * 1000,
-			For: scenario.Span(70_000), Tier: "front", Count: 2, Factor: 1})
+		s.Disturbances = append(s.Disturbances, scenario.Disturbance{Kind: "list-lie", At: scenario.Duration(100*(i+1)) * 1000,
+			Duration: scenario.Duration(70_000), Tier: "front", Count: 2, Factor: 1})
 	}
 	for seed := range uint64(5) {
 		if r := play(t, s, Options{Seed: seed}); len(r.BrokenRules) > 0 {
-			t.Errorf("seed %d: %v", seed, r.Breaches)
+			t.Errorf("seed %d: %v", seed, r.BreachMessages)
 		}
 		if r := play(t, s, Options{Seed: seed, Fault: "drained-send"}); len(r.BrokenRules) == 0 {
 			t.Errorf("seed %d: a node that hears of no drain is not seen", seed)
@@ -149,8 +149,8 @@
 func TestPartial(t *testing.T) {
 	s := read(t, "steady")
 	ctx, cancel := context.WithCancel(context.Background())
-	r, _, err := Run(ctx, Options{Scenario: s, Seed: 1, Length: s.Duration.Micros(), Arrivals: load.Make(s, s.Duration.Micros(), 1),
-		Tick: func(now policy.Micros, _ *ledger.Account) {
+	r, _, err := Run(ctx, Options{Scenario: s, Seed: 1, LoadDuration: s.Duration.Micros(), Arrivals: load.Generate(s, s.Duration.Micros(), 1),
+		OnSecond: func(now policy.Micros, _ *ledger.Ledger) {
 			if now >= 2*policy.Second {
 				cancel()
 			}
@@ -165,9 +165,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	arrivals := load.Make(s, s.Duration.Micros(), 1)
+	arrivals := load.Generate(s, s.Duration.Micros(), 1)
 	for b.Loop() {
-		Run(context.Background(), Options{Scenario: s, Seed: 1, Length: s.Duration.Micros(), Arrivals: arrivals})
+		Run(context.Background(), Options{Scenario: s, Seed: 1, LoadDuration: s.Duration.Micros(), Arrivals: arrivals})
 	}
 	b.ReportMetric(float64(len(arrivals)*b.N)/b.Elapsed().Seconds(), "ops/s")
 }
--- a/internal/lab/together/fault.go
+++ b/internal/lab/together/fault.go
@@ -12,13 +12,13 @@
 
 // Ways turns a fault between nodes into the way of each pair. Whom it hits is drawn here, once: nodes from 0. Whoever
 // comes later, as a second process of a name or at another address, goes by the place beside which it stands.
-func Ways(b *scenario.Between, nodes int, rng *rand.Rand) func(from, to int) relay.Way {
+func Ways(b *scenario.PeerFault, nodes int, rng *rand.Rand) func(from, to int) relay.Way {
 	all := make([]int, nodes)
 	for i := range all {
 		all[i] = i
 	}
 	if b.Kind == "groups" || b.Kind == "chain" {
-		group, last := parts(all, b.Parts, rng), 0
+		group, last := parts(all, b.PartSizes, rng), 0
 		if b.Kind == "chain" {
 			last = 1
 		}
@@ -28,7 +28,7 @@
 		}
 	}
 	hit := make([]bool, nodes)
-	for _, i := range scenario.Draw(all, b.Count, b.Share, rng) {
+	for _, i := range scenario.DrawSubset(all, b.Count, b.Share, rng) {
 		hit[i] = true
 	}
 	way := shape(b)
@@ -68,7 +68,7 @@
 }
 
 // shape is what a fault does to a way that it acts on.
-func shape(b *scenario.Between) relay.Way {
+func shape(b *scenario.PeerFault) relay.Way {
 	switch b.Kind {
 	case "loss":
 		return relay.Way{Loss: b.Factor}
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -65,7 +65,7 @@
 
 // NewProcesses opens the relay for so many nodes, and as many places again for second processes of a name.
 func NewProcesses(program string, s *scenario.Scenario, nodes int, seed uint64) (*Processes, error) {
-	s.Tiers[0].Nodes = nodes
+	s.Tiers[0].NodeCount = nodes
 	if s.Fleet == nil {
 		s.Fleet = &scenario.Fleet{Share: 1}
 	}
@@ -126,10 +126,10 @@
 		key = nil // it hears nobody
 	}
 	node := place % p.nodes
-	b := p.scenario.Balancers()[node]
+	b := p.scenario.Nodes()[node]
 	host := relay.Bound(place, 0).Addr().String()
 	front := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientsBelow) // the run's own, too
-	raw := p.scenario.Config(b, fmt.Sprintf("n%d", node), front, host+":1", uint64(place), nil, key)
+	raw := p.scenario.NodeConfig(b, fmt.Sprintf("n%d", node), front, host+":1", uint64(place), nil, key)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
 	return os.WriteFile(p.File(place), raw, 0o600)
 }
--- a/internal/lab/together/together.go
+++ b/internal/lab/together/together.go
@@ -27,15 +27,15 @@
 // New opens the rig of a run: a relay with a place for each node and for each process that the plan starts at another
 // address. Sockets that a node's own user may open go into dir.
 func New(s *scenario.Scenario, plan *scenario.Plan, dir string, seed uint64, rng *rand.Rand) (*Rig, error) {
-	nodes := s.Tiers[0].Nodes
+	nodes := s.Tiers[0].NodeCount
 	if s.Fleet == nil {
 		return &Rig{nodes: nodes, dir: dir}, nil // nobody says anything
 	}
 	// A place beyond the nodes' own stands beside a node for the faults: nodes are counted on from 0 again.
 	further, most := make(map[int]int), 0
 	for _, step := range plan.Steps {
-		switch step.Verb {
-		case scenario.TwinStart, scenario.NodeMove, scenario.LieDown, scenario.LieWell:
+		switch step.Action {
+		case scenario.DuplicateNodeStart, scenario.NodeStartMoved, scenario.FalseReportsDown, scenario.FalseReportsHealthy:
 			further[step.Node]++
 			most = max(most, further[step.Node])
 		}
@@ -46,8 +46,8 @@
 		return nil, err
 	}
 	g := &Rig{Relay: r, nodes: nodes, dir: dir, acts: make(map[int]int), further: make(map[int]int), last: places}
-	for i := range s.Between {
-		g.ways = append(g.ways, Ways(&s.Between[i], nodes, rng))
+	for i := range s.PeerFaults {
+		g.ways = append(g.ways, Ways(&s.PeerFaults[i], nodes, rng))
 	}
 	return g, nil
 }
@@ -83,13 +83,13 @@
 func (g *Rig) Carry(step *scenario.Step) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	number, acts := g.acts[step.Fault]
+	number, acts := g.acts[step.PeerFault]
 	switch {
-	case step.Verb == scenario.BetweenOn && !acts:
-		g.acts[step.Fault] = g.Relay.Begin(g.ways[step.Fault])
-	case step.Verb == scenario.BetweenOff && acts:
+	case step.Action == scenario.PeerFaultStart && !acts:
+		g.acts[step.PeerFault] = g.Relay.Begin(g.ways[step.PeerFault])
+	case step.Action == scenario.PeerFaultEnd && acts:
 		g.Relay.End(number)
-		delete(g.acts, step.Fault)
+		delete(g.acts, step.PeerFault)
 	}
 }
 
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -29,7 +29,7 @@
 	default:
 		return nil, nil, fmt.Errorf("policy %q is not one of %s", name, strings.Join(Policies, ", "))
 	}
-	d, err = Break(fault, d, rules)
+	d, err = InjectFault(fault, d, rules)
 	return d, module, err
 }
 
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -28,7 +28,7 @@
 const unseen = 50 * policy.Millisecond
 
 // Slack is by how much a node with this fault lets an op lie past its client's end, in place of the settings' slack.
-func Slack(fault string, settings policy.Micros) policy.Micros {
+func AnswerSlack(fault string, settings policy.Micros) policy.Micros {
 	switch fault {
 	case "lost-answer":
 		return settings + policy.Second*3600
@@ -39,7 +39,7 @@
 }
 
 // Break puts a fault around a decider. No name is no fault.
-func Break(fault string, d policy.Decider, rules *config.Rules) (policy.Decider, error) {
+func InjectFault(fault string, d policy.Decider, rules *config.Rules) (policy.Decider, error) {
 	switch fault {
 	case "":
 		return d, nil
--- a/internal/standin/server/conn.go
+++ b/internal/standin/server/conn.go
@@ -28,12 +28,12 @@
 }
 
 // price is what a request costs for being the first on its connection.
-func price(r *http.Request, kind *scenario.Kind) policy.Micros {
+func price(r *http.Request, kind *scenario.MachineType) policy.Micros {
 	c, ok := r.Context().Value(connKey{}).(*connection)
 	if !ok || c.used.Swap(true) {
 		return 0
 	}
-	return kind.ConnPrice.Micros()
+	return kind.ConnectionCost.Micros()
 }
 
 // raw writes bytes that net/http would not, and resets the connection.
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -33,7 +33,7 @@
 
 // World is what the server has around it.
 type World struct {
-	Account *ledger.Account // nil: nothing is booked
+	Account *ledger.Ledger // nil: nothing is booked
 	Now     func() policy.Micros
 	// Find says what an id on the wire stands for.
 	Find func(id string, r *http.Request) (ledger.TryID, *Op, bool)
@@ -44,7 +44,7 @@
 // Server is one server. Its address stays the same over its life.
 type Server struct {
 	place    int
-	kind     *scenario.Kind
+	kind     *scenario.MachineType
 	world    World
 	mu       sync.Mutex
 	model    *fleet.Server
@@ -52,7 +52,7 @@
 	http     *http.Server
 	listener net.Listener
 	timer    *time.Timer
-	mode     scenario.Mode
+	mode     scenario.ServerMode
 	life     chan struct{} // closed when it dies
 	silent   chan struct{} // closed when it speaks again; nil: it speaks
 	started  policy.Micros
@@ -64,7 +64,7 @@
 }
 
 // New makes a server that is not up yet.
-func New(place int, kind *scenario.Kind, traits fleet.Traits, addr string, world World) *Server {
+func New(place int, kind *scenario.MachineType, traits fleet.Traits, addr string, world World) *Server {
 	return &Server{place: place, kind: kind, world: world, model: fleet.New(traits), addr: addr}
 }
 
@@ -93,7 +93,7 @@
 	}
 	s.life, s.silent, s.conns, s.listener = make(chan struct{}), nil, make(map[net.Conn]bool), l
 	s.timer = time.AfterFunc(time.Hour, s.advance)
-	idle := time.Duration(s.kind.IdleClose) * time.Microsecond
+	idle := time.Duration(s.kind.IdleTimeout) * time.Microsecond
 	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.count,
 		ConnContext: withConn, ErrorLog: nothing}
 	go s.http.Serve(l)
@@ -165,7 +165,7 @@
 	s.wake()
 }
 
-func (s *Server) Behave(mode scenario.Mode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
+func (s *Server) Behave(mode scenario.ServerMode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
 
 // Ignore lets a share of the pushes that come by some nodes go without an answer; they don't run. 0 ends it.
 func (s *Server) Ignore(share float64, of func(ledger.TryID) bool) {
@@ -196,7 +196,7 @@
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		s.conns[c] = s.kind.Conns > 0 && len(s.conns) >= s.kind.Conns
+		s.conns[c] = s.kind.MaxConnections > 0 && len(s.conns) >= s.kind.MaxConnections
 	case http.StateClosed, http.StateHijacked:
 		delete(s.conns, c)
 	}
@@ -224,8 +224,8 @@
 func (s *Server) book(j *fleet.Job, v *visit) {
 	switch {
 	case j.Begun() && s.world.Account != nil:
-		s.world.Account.Effect(v.push)
-		s.world.Account.Worked(v.push, j.Work)
+		s.world.Account.RecordEffect(v.push)
+		s.world.Account.RecordWork(v.push, j.Work)
 	case !j.Begun() && v.op.Memory != nil:
 		v.op.Lock.Lock()
 		v.op.Memory.Forget(v.op.Key)
@@ -263,9 +263,9 @@
 	v := &visit{done: make(chan struct{}), push: -1, op: op}
 	told := true
 	if a := s.world.Account; a != nil {
-		v.push = a.Push(try, s.place, now)
+		v.push = a.RecordPush(try, s.place, now)
 		node, _ := a.NodeOf(try)
-		told = a.KnowsStart(node, s.place, s.Started())
+		told = a.KnowsServerStart(node, s.place, s.Started())
 	}
 	if s.ignoring(try) {
 		select {
@@ -286,10 +286,10 @@
 		w.Header().Set("Connection", "close")
 		turnAway(w)
 		return
-	case mode == scenario.Errors:
+	case mode == scenario.ModeErrors:
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return
-	case mode == scenario.TurnsAway:
+	case mode == scenario.ModeReject:
 		turnAway(w)
 		return
 	}
@@ -311,9 +311,9 @@
 	s.wake()
 	s.mu.Unlock()
 	if a := s.world.Account; a != nil {
-		a.Pressed(pressed)
+		a.RecordPeakLoad(pressed)
 		if got == fleet.Tips || got == fleet.TipsUnseen {
-			a.Tipped(s.place, got == fleet.Tips)
+			a.RecordCollapse(s.place, got == fleet.Tips)
 		}
 	}
 	if got != fleet.Taken {
@@ -379,19 +379,19 @@
 	body, _ := json.Marshal(Body{s.place, v.push})
 	s.mu.Lock()
 	mode, cut := s.mode, s.cut
-	if mode == scenario.Resets {
+	if mode == scenario.ModeReset {
 		s.cut++
 	}
 	load := s.load()
 	s.mu.Unlock()
 	switch mode {
-	case scenario.Resets:
+	case scenario.ModeReset:
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		raw(w, whole[:cut%len(whole)])
-	case scenario.Spoils:
+	case scenario.ModeCorrupt:
 		raw(w, "\x16\x03\x01 this is no HTTP\r\n\r\n")
 	default:
-		if s.kind.LoadReport {
+		if s.kind.ReportsLoad {
 			w.Header().Set("X-Pressure", "TEXT "+load)
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -408,7 +408,7 @@
 
 func (s *Server) report(w http.ResponseWriter) {
 	s.mu.Lock()
-	load, well := s.load(), s.mode == scenario.Honest && !s.model.Tipped()
+	load, well := s.load(), s.mode == scenario.ModeNormal && !s.model.Tipped()
 	s.mu.Unlock()
 	if !well {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -21,7 +21,7 @@
 func up(t *testing.T, memory *fleet.Memory) *Server {
 	t.Helper()
 	begun := time.Now()
-	kind := &scenario.Kind{Conns: 3, IdleClose: 5_000_000, LoadReport: true}
+	kind := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
 	var lock sync.Mutex
 	// An address from which nobody connects: a port given back could be taken by anybody while the server is down.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
@@ -61,23 +61,23 @@
 	if got := ask(t, s, ""); !bytes.HasPrefix([]byte(got), []byte("HTTP/1.1 400")) {
 		t.Errorf("no id: %q", got)
 	}
-	s.Behave(scenario.Resets)
+	s.Behave(scenario.ModeReset)
 	for n := range 5 { // each time one byte further
 		if got := ask(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
 			t.Errorf("reset %d: %q", n, got)
 		}
 	}
-	s.Behave(scenario.Spoils)
+	s.Behave(scenario.ModeCorrupt)
 	if got := ask(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
 		t.Errorf("spoilt: %q", got)
 	}
-	for mode, want := range map[scenario.Mode]string{scenario.Errors: "HTTP/1.1 500", scenario.TurnsAway: "HTTP/1.1 503"} {
+	for mode, want := range map[scenario.ServerMode]string{scenario.ModeErrors: "HTTP/1.1 500", scenario.ModeReject: "HTTP/1.1 503"} {
 		s.Behave(mode)
 		if got := ask(t, s, "1"); !bytes.HasPrefix([]byte(got), []byte(want)) {
 			t.Errorf("mode %d: %q", mode, got)
 		}
 	}
-	s.Behave(scenario.Honest)
+	s.Behave(scenario.ModeNormal)
 	s.Down(true)
 	if got := ask(t, s, "1"); got != "" {
 		t.Errorf("silent: %q", got)
@@ -126,7 +126,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	s := New(0, &scenario.Kind{IdleClose: scenario.Span(policy.Second)}, fleet.Traits{Cores: 1, Speed: 1}, addr,
+	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, fleet.Traits{Cores: 1, Speed: 1}, addr,
 		World{Now: func() policy.Micros { return 0 }})
 	if err := s.Up(false); err != nil {
 		t.Fatal(err)
