--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -33,42 +33,42 @@
 )
 
 // tolerance is what each time limit may be exceeded by, on sockets; in simulated time it is smaller.
-const tolerance = 50 * policy.Millisecond
+const socketTolerance = 50 * policy.Millisecond
 
 // Rules are the four rules' names, as expect.broken has them.
 var RuleNames = []string{"answer", "effect", "drain", "cold"}
 
 type op struct {
 	category, tenant, tier int
-	at                     policy.Micros // meant to be sent
-	worth                  float64       // benefit, less where the tenant is beyond its share
+	intendedAt             policy.Micros // meant to be sent
+	offeredBenefit         float64       // benefit, less where the tenant is beyond its share
 	effects                int
 	verdict                Verdict // of the last try that ended; Served stays
-	took                   policy.Micros
+	latency                policy.Micros
 	tries                  int
 }
 
 type try struct {
 	op              OpID
 	node            int
-	sent, notAfter  policy.Micros
+	sent, deadline  policy.Micros
 	verdict         Verdict
 	ended           policy.Micros
 	pushes, answers int
-	effect          bool
+	hadEffect       bool
 }
 
 // death is the end of a node without warning.
-type death struct {
+type nodeCrash struct {
 	node int
 	at   policy.Micros
 }
 
 // pause is a time in which a node's process was stopped.
-type pause struct {
+type nodePause struct {
 	node     int
 	from, to policy.Micros // to 0: it still is
-	told     []func(at policy.Micros)
+	deferred []func(at policy.Micros)
 }
 
 type push struct {
@@ -80,62 +80,62 @@
 }
 
 // listed is what a node was told last of a server.
-type listed struct {
-	state   policy.ServerState
-	at      policy.Micros // when it was told of state
-	started policy.Micros
-	fresh   policy.Micros // when it was told of started
+type listedState struct {
+	state           policy.ServerState
+	stateRecordedAt policy.Micros // when it was told of state
+	started         policy.Micros
+	startRecordedAt policy.Micros // when it was told of started
 }
 
 // Account is the account of one run. Its methods may be called from any goroutine.
 type Ledger struct {
-	mu        sync.Mutex
-	scenario  *scenario.Scenario
-	begin     policy.Micros
-	tolerance policy.Micros
-	ops       []op
-	tries     []try
-	pushes    []push
-	told      map[[2]int]listed // by node and server
-	deaths    []death
-	pauses    []pause
-	quota     []float64 // ops in the present second, by tenant
-	second    []policy.Micros
-	series    []Bucket
-	span      policy.Micros // of a bucket
-	latency   *hdrhistogram.Histogram
-	byKind    []*hdrhistogram.Histogram
-	result    Result
-	notes     []string
+	mu                sync.Mutex
+	scenario          *scenario.Scenario
+	loadStart         policy.Micros
+	tolerance         policy.Micros
+	ops               []op
+	tries             []try
+	pushes            []push
+	listed            map[[2]int]listedState // by node and server
+	crashes           []nodeCrash
+	pauses            []nodePause
+	opsThisSecond     []float64 // ops in the present second, by tenant
+	secondStart       []policy.Micros
+	series            []Bucket
+	bucketDuration    policy.Micros // of a bucket
+	latency           *hdrhistogram.Histogram
+	latencyByCategory []*hdrhistogram.Histogram
+	result            Result
+	breachMessages    []string
 }
 
 // mostNotes is how many breaches are told in words.
-const mostNotes = 20
+const maxBreachMessages = 20
 
 // New makes an account of a run whose load begins at a moment and is cut into buckets of span. In simulated time
 // clocks are exact, and the tolerance is a tenth.
-func New(s *scenario.Scenario, begin, span policy.Micros, simulated bool) *Ledger {
-	a := &Ledger{scenario: s, begin: begin, tolerance: tolerance, span: span, told: make(map[[2]int]listed),
-		quota: make([]float64, len(s.Tenants)), second: make([]policy.Micros, len(s.Tenants)),
-		latency: histogram()}
+func New(s *scenario.Scenario, loadStart, bucketDuration policy.Micros, simulated bool) *Ledger {
+	ledger := &Ledger{scenario: s, loadStart: loadStart, tolerance: socketTolerance, bucketDuration: bucketDuration, listed: make(map[[2]int]listedState),
+		opsThisSecond: make([]float64, len(s.Tenants)), secondStart: make([]policy.Micros, len(s.Tenants)),
+		latency: newHistogram()}
 	if simulated {
-		a.tolerance /= 10
+		ledger.tolerance /= 10
 	}
 	for range s.Categories {
-		a.byKind = append(a.byKind, histogram())
+		ledger.latencyByCategory = append(ledger.latencyByCategory, newHistogram())
 	}
-	return a
+	return ledger
 }
 
 // histogram counts microseconds up to five minutes to three digits.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
 
 // Tolerance is by how much time limits may be exceeded.
 func (a *Ledger) Tolerance() policy.Micros { return a.tolerance }
 
-func (a *Ledger) note(text string) {
-	if len(a.notes) < mostNotes {
-		a.notes = append(a.notes, text)
+func (a *Ledger) addBreach(text string) {
+	if len(a.breachMessages) < maxBreachMessages {
+		a.breachMessages = append(a.breachMessages, text)
 	}
 }
 
@@ -146,29 +146,29 @@
 func (a *Ledger) RecordOp(at policy.Micros, category, tenant, tier int) OpID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o := op{category: category, tenant: tenant, tier: tier, at: at}
+	o := op{category: category, tenant: tenant, tier: tier, intendedAt: at}
 	if tier == 0 {
-		o.worth = a.scenario.Categories[category].Benefit
+		o.offeredBenefit = a.scenario.Categories[category].Benefit
 		if tenant >= 0 && a.scenario.Tenants[tenant].Quota > 0 {
-			if at-a.second[tenant] >= policy.Second {
-				a.second[tenant], a.quota[tenant] = at, 0
+			if at-a.secondStart[tenant] >= policy.Second {
+				a.secondStart[tenant], a.opsThisSecond[tenant] = at, 0
 			}
-			if a.quota[tenant]++; a.quota[tenant] > a.scenario.Tenants[tenant].Quota {
-				o.worth *= a.scenario.Limits.BeyondShareBenefit
+			if a.opsThisSecond[tenant]++; a.opsThisSecond[tenant] > a.scenario.Tenants[tenant].Quota {
+				o.offeredBenefit *= a.scenario.Limits.BeyondShareBenefit
 			}
 		}
-		a.bucket(at, category).Offered++
+		a.bucketAt(at, category).Offered++
 	}
 	a.ops = append(a.ops, o)
 	return OpID(len(a.ops) - 1)
 }
 
 // Try books a request to a node, and when its client gives up.
-func (a *Ledger) RecordTry(id OpID, node int, sent, notAfter policy.Micros) TryID {
+func (a *Ledger) RecordTry(id OpID, node int, sent, deadline policy.Micros) TryID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ops[id].tries++
-	a.tries = append(a.tries, try{op: id, node: node, sent: sent, notAfter: notAfter})
+	a.tries = append(a.tries, try{op: id, node: node, sent: sent, deadline: deadline})
 	return TryID(len(a.tries) - 1)
 }
 
@@ -180,20 +180,20 @@
 	if verdict == Served || verdict == Nacked || verdict == Failed {
 		if t.answers++; t.answers > 1 {
 			a.result.DoubleAnswers++
-			a.note(say("try %d got a second answer", id))
+			a.addBreach(sprintf("try %d got a second answer", id))
 			return
 		}
-		if slack := a.scenario.Limits.AnswerSlack.Micros(); at > t.notAfter+slack+a.tolerance && !a.stopped(t, at) {
+		if slack := a.scenario.Limits.AnswerSlack.Micros(); at > t.deadline+slack+a.tolerance && !a.wasPaused(t, at) {
 			a.result.LateAnswers++
-			a.note(say("try %d was answered %v ms past its client's end", id, ms(at-t.notAfter)))
+			a.addBreach(sprintf("try %d was answered %v ms past its client's end", id, milliseconds(at-t.deadline)))
 		}
 	}
 	if t.verdict != Pending {
 		return
 	}
 	t.verdict, t.ended = verdict, at
-	if verdict == Nacked && t.effect {
-		a.falseNack(id, t)
+	if verdict == Nacked && t.hadEffect {
+		a.checkFalseNack(id, t)
 	}
 	o := &a.ops[t.op]
 	if o.verdict == Served {
@@ -205,24 +205,24 @@
 	}
 	switch verdict {
 	case Served:
-		o.took = at - o.at
-		a.latency.RecordValue(max(1, int64(o.took)))
-		a.byKind[o.category].RecordValue(max(1, int64(o.took)))
-		b := a.bucket(at, o.category)
-		b.Served++
-		b.Benefit += a.gain(o)
+		o.latency = at - o.intendedAt
+		a.latency.RecordValue(max(1, int64(o.latency)))
+		a.latencyByCategory[o.category].RecordValue(max(1, int64(o.latency)))
+		bucket := a.bucketAt(at, o.category)
+		bucket.Served++
+		bucket.Benefit += a.earnedBenefit(o)
 	case Nacked:
-		a.bucket(at, o.category).Nacked++
+		a.bucketAt(at, o.category).Nacked++
 	}
 }
 
 // gain is what an op that was served is worth.
-func (a *Ledger) gain(o *op) float64 {
+func (a *Ledger) earnedBenefit(o *op) float64 {
 	c := &a.scenario.Categories[o.category]
-	if o.took <= c.TargetLatency.Micros() {
-		return o.worth
+	if o.latency <= c.TargetLatency.Micros() {
+		return o.offeredBenefit
 	}
-	return o.worth * c.LateBenefit
+	return o.offeredBenefit * c.LateBenefit
 }
 
 // Extra books an answer that belongs to no request that is out.
@@ -232,13 +232,13 @@
 func (a *Ledger) RecordNodeCrash(node int, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deaths = append(a.deaths, death{node, at})
+	a.crashes = append(a.crashes, nodeCrash{node, at})
 }
 
 // died says whether a try was in its node's hands, or on its way there, when the node died.
-func (a *Ledger) died(t *try) bool {
-	for _, d := range a.deaths {
-		if d.node == t.node && t.sent <= d.at+a.tolerance && (t.ended == 0 || t.ended >= d.at) {
+func (a *Ledger) lostToCrash(t *try) bool {
+	for _, crash := range a.crashes {
+		if crash.node == t.node && t.sent <= crash.at+a.tolerance && (t.ended == 0 || t.ended >= crash.at) {
 			return true
 		}
 	}
@@ -247,36 +247,36 @@
 
 // Paused says that a node's process is stopped from now on, or goes on. What it was to answer meanwhile comes late by no
 // fault of its own, and it counts as told of what came meanwhile once it goes on.
-func (a *Ledger) RecordNodePause(node int, stopped bool, at policy.Micros) {
+func (a *Ledger) RecordNodePause(node int, paused bool, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if stopped {
-		a.pauses = append(a.pauses, pause{node: node, from: at})
+	if paused {
+		a.pauses = append(a.pauses, nodePause{node: node, from: at})
 		return
 	}
-	if p := a.pausedNow(node); p != nil {
-		p.to = at
-		for _, tell := range p.told {
-			tell(at)
+	if pause := a.currentPause(node); pause != nil {
+		pause.to = at
+		for _, record := range pause.deferred {
+			record(at)
 		}
-		p.told = nil
+		pause.deferred = nil
 	}
 }
 
 // pausedNow is the pause that a node is in, or nil.
-func (a *Ledger) pausedNow(node int) *pause {
+func (a *Ledger) currentPause(node int) *nodePause {
 	for i := range a.pauses {
-		if p := &a.pauses[i]; p.node == node && p.to == 0 {
-			return p
+		if pause := &a.pauses[i]; pause.node == node && pause.to == 0 {
+			return pause
 		}
 	}
 	return nil
 }
 
 // stopped says whether a try's node was stopped while it had the try, before its client's end.
-func (a *Ledger) stopped(t *try, end policy.Micros) bool {
+func (a *Ledger) wasPaused(t *try, until policy.Micros) bool {
 	for i := range a.pauses {
-		if p := &a.pauses[i]; p.node == t.node && p.from <= end && (p.to == 0 || p.to+a.tolerance >= t.sent) {
+		if pause := &a.pauses[i]; pause.node == t.node && pause.from <= until && (pause.to == 0 || pause.to+a.tolerance >= t.sent) {
 			return true
 		}
 	}
@@ -292,12 +292,12 @@
 	a.pushes = append(a.pushes, push{try: id, server: server, at: at})
 	if t.verdict != Pending && t.verdict != ClientLeft && at > t.ended+a.tolerance {
 		a.result.LatePushes++
-		a.note(say("try %d was sent to server %d after its end", id, server))
+		a.addBreach(sprintf("try %d was sent to server %d after its end", id, server))
 	}
-	if l, known := a.told[[2]int{t.node, server}]; known && l.state != policy.Ready {
-		if grace := a.scenario.Limits.DrainGrace.Micros(); at > l.at+grace+a.tolerance {
+	if entry, known := a.listed[[2]int{t.node, server}]; known && entry.state != policy.Ready {
+		if grace := a.scenario.Limits.DrainGrace.Micros(); at > entry.stateRecordedAt+grace+a.tolerance {
 			a.result.DrainBreaches++
-			a.note(say("server %d got try %d %v ms after node %d was told that it drains", server, id, ms(at-l.at), t.node))
+			a.addBreach(sprintf("server %d got try %d %v ms after node %d was told that it drains", server, id, milliseconds(at-entry.stateRecordedAt), t.node))
 		}
 	}
 	return PushID(len(a.pushes) - 1)
@@ -308,34 +308,34 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t := &a.tries[a.pushes[id].try]
-	t.effect = true
+	t.hadEffect = true
 	o := &a.ops[t.op]
 	o.effects++
 	if t.verdict == Nacked {
-		a.falseNack(a.pushes[id].try, t)
+		a.checkFalseNack(a.pushes[id].try, t)
 	}
 	if o.effects > 1 && a.scenario.Categories[o.category].Delivery != "redeliverable" {
 		a.result.DoubleEffects++
-		a.note(say("op %d (%s) had its effect %d times: %s", t.op, a.scenario.Categories[o.category].Name, o.effects, a.ran(t.op)))
+		a.addBreach(sprintf("op %d (%s) had its effect %d times: %s", t.op, a.scenario.Categories[o.category].Name, o.effects, a.describePushes(t.op)))
 	}
 }
 
 // ran lists the pushes of an op.
-func (a *Ledger) ran(id OpID) (text string) {
+func (a *Ledger) describePushes(id OpID) (text string) {
 	for i := range a.pushes {
 		if p := &a.pushes[i]; a.tries[p.try].op == id {
-			text += say("; try %d at server %d after %v ms", p.try, p.server, ms(p.at-a.ops[id].at))
+			text += sprintf("; try %d at server %d after %v ms", p.try, p.server, milliseconds(p.at-a.ops[id].intendedAt))
 		}
 	}
 	return strings.TrimPrefix(text, "; ")
 }
 
 // falseNack judges a nack of a try that has run: only what may run again anywhere may be nacked then.
-func (a *Ledger) falseNack(id TryID, t *try) {
+func (a *Ledger) checkFalseNack(id TryID, t *try) {
 	c := &a.scenario.Categories[a.ops[t.op].category]
 	if c.Delivery == "at_most_once" || c.Delivery == "deduplicated" && c.DedupScope != "all" {
 		a.result.FalseNacks++
-		a.note(say("try %d (%s) was nacked and has run", id, c.Name))
+		a.addBreach(sprintf("try %d (%s) was nacked and has run", id, c.Name))
 	}
 }
 
@@ -360,9 +360,9 @@
 func (a *Ledger) RecordNodeStart(node int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for key := range a.told {
+	for key := range a.listed {
 		if key[0] == node {
-			delete(a.told, key)
+			delete(a.listed, key)
 		}
 	}
 }
@@ -371,50 +371,50 @@
 func (a *Ledger) RecordServerState(node, server int, state policy.ServerState, started, at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p := a.pausedNow(node); p != nil {
-		p.told = append(p.told, func(at policy.Micros) { a.tell(node, server, state, started, at) })
+	if pause := a.currentPause(node); pause != nil {
+		pause.deferred = append(pause.deferred, func(at policy.Micros) { a.setListedState(node, server, state, started, at) })
 		return
 	}
-	a.tell(node, server, state, started, at)
+	a.setListedState(node, server, state, started, at)
 }
 
-func (a *Ledger) tell(node, server int, state policy.ServerState, started, at policy.Micros) {
+func (a *Ledger) setListedState(node, server int, state policy.ServerState, started, at policy.Micros) {
 	key := [2]int{node, server}
-	l, known := a.told[key]
-	if !known || l.state == policy.Ready != (state == policy.Ready) {
-		l.at = at
+	entry, known := a.listed[key]
+	if !known || entry.state == policy.Ready != (state == policy.Ready) {
+		entry.stateRecordedAt = at
 	}
-	if !known || l.started != started {
-		l.started, l.fresh = started, at
+	if !known || entry.started != started {
+		entry.started, entry.startRecordedAt = started, at
 	}
-	l.state = state
-	a.told[key] = l
+	entry.state = state
+	a.listed[key] = entry
 }
 
 // KnowsStart says whether a node had been told of a server's start.
 func (a *Ledger) KnowsServerStart(node, server int, started policy.Micros) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l, known := a.told[[2]int{node, server}]
-	return known && l.started == started
+	entry, known := a.listed[[2]int{node, server}]
+	return known && entry.started == started
 }
 
 // Tipped books that a cold server fell over, and whether nodes that knew sent most of it.
-func (a *Ledger) RecordCollapse(server int, known bool) {
+func (a *Ledger) RecordCollapse(server int, startKnown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.result.CollapsedServers++
-	if known {
+	if startKnown {
 		a.result.ColdBreaches++
-		a.note(say("server %d was pushed over while cold", server))
+		a.addBreach(sprintf("server %d was pushed over while cold", server))
 	}
 }
 
 // Pressed books the fullest window of a cold server, as a share of what it bears.
-func (a *Ledger) RecordPeakLoad(share float64) {
+func (a *Ledger) RecordPeakLoad(load float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.result.ColdPeakLoad = max(a.result.ColdPeakLoad, share)
+	a.result.ColdPeakLoad = max(a.result.ColdPeakLoad, load)
 }
 
 // NodeOf is the node of a try.
@@ -450,11 +450,11 @@
 }
 
 // Sample books one server's throttle at a node.
-func (a *Ledger) RecordThrottle(at policy.Micros, of Throttle) {
+func (a *Ledger) RecordThrottle(at policy.Micros, sample Throttle) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	of.AtMs = ms(at - a.begin)
-	a.result.Throttles = append(a.result.Throttles, of)
+	sample.AtMs = milliseconds(at - a.loadStart)
+	a.result.Throttles = append(a.result.Throttles, sample)
 }
 
 // Progress is how the run stands.
@@ -486,20 +486,20 @@
 func (a *Ledger) SetLoadStart(at policy.Micros) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.begin = at
+	a.loadStart = at
 }
 
 // Cut says that the run ends before its time: whoever still waits goes without an answer, by no fault of a node.
 func (a *Ledger) Abort(at policy.Micros) {
 	a.mu.Lock()
-	open := make([]TryID, 0, len(a.tries))
+	pending := make([]TryID, 0, len(a.tries))
 	for i := range a.tries {
 		if a.tries[i].verdict == Pending {
-			open = append(open, TryID(i))
+			pending = append(pending, TryID(i))
 		}
 	}
 	a.mu.Unlock()
-	for _, id := range open {
+	for _, id := range pending {
 		a.RecordTryEnd(id, at, ClientLeft)
 	}
 }
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -10,9 +10,9 @@
 	"canvasrouter/policy"
 )
 
-const msec = policy.Millisecond
+const millisecond = policy.Millisecond
 
-func account(t *testing.T) *Ledger {
+func newTestLedger(t *testing.T) *Ledger {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`name = "x"
 [load]
@@ -53,147 +53,158 @@
 // Each breach is seen, and what only looks like one is none.
 func TestRules(t *testing.T) {
 	const slots, booking, cancel = 0, 1, 2
-	try := func(a *Ledger, category int) (OpID, TryID) {
-		op := a.RecordOp(0, category, -1, 0)
-		return op, a.RecordTry(op, 0, 0, 200*msec)
+	try := func(ledger *Ledger, category int) (OpID, TryID) {
+		op := ledger.RecordOp(0, category, -1, 0)
+		return op, ledger.RecordTry(op, 0, 0, 200*millisecond)
 	}
 	for name, c := range map[string]struct {
-		do   func(*Ledger)
-		want []string
+		record func(*Ledger)
+		want   []string
 	}{
-		"served": {func(a *Ledger) { _, x := try(a, slots); a.RecordPush(x, 0, 1); a.RecordTryEnd(x, 50*msec, Served) }, []string{}},
-		"twice answered": {func(a *Ledger) { _, x := try(a, slots); a.RecordTryEnd(x, 50*msec, Served); a.RecordExtraAnswer(x) },
+		"served": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 0, 1)
+			ledger.RecordTryEnd(id, 50*millisecond, Served)
+		}, []string{}},
+		"twice answered": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 50*millisecond, Served)
+			ledger.RecordExtraAnswer(id)
+		},
 			[]string{"answer"}},
-		"never answered": {func(a *Ledger) { _, x := try(a, slots); a.RecordTryEnd(x, 500*msec, Unanswered) }, []string{"answer"}},
-		"held by a node that died": {func(a *Ledger) {
-			_, x := try(a, slots)
-			a.RecordNodeCrash(0, 10*msec)
-			a.RecordTryEnd(x, 11*msec, ConnectionLost)
+		"never answered": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 500*millisecond, Unanswered)
+		}, []string{"answer"}},
+		"held by a node that died": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordNodeCrash(0, 10*millisecond)
+			ledger.RecordTryEnd(id, 11*millisecond, ConnectionLost)
 		},
 			[]string{}},
-		"broken before the node died": {func(a *Ledger) {
-			_, x := try(a, slots)
-			a.RecordTryEnd(x, 5*msec, ConnectionLost)
-			a.RecordNodeCrash(0, 10*msec)
+		"broken before the node died": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 5*millisecond, ConnectionLost)
+			ledger.RecordNodeCrash(0, 10*millisecond)
 		},
 			[]string{"answer"}},
-		"sent after its node died and came back": {func(a *Ledger) {
-			a.RecordNodeCrash(0, 0)
-			op := a.RecordOp(900*msec, slots, -1, 0)
-			a.RecordTryEnd(a.RecordTry(op, 0, 900*msec, 1100*msec), 1500*msec, Unanswered)
+		"sent after its node died and came back": {func(ledger *Ledger) {
+			ledger.RecordNodeCrash(0, 0)
+			op := ledger.RecordOp(900*millisecond, slots, -1, 0)
+			ledger.RecordTryEnd(ledger.RecordTry(op, 0, 900*millisecond, 1100*millisecond), 1500*millisecond, Unanswered)
 		}, []string{"answer"}},
-		"held by a node that was stopped": {func(a *Ledger) {
-			_, x := try(a, slots)
-			a.RecordNodePause(0, true, 10*msec)
-			a.RecordTryEnd(x, 500*msec, Unanswered)
-			a.RecordNodePause(0, false, 900*msec)
+		"held by a node that was stopped": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordNodePause(0, true, 10*millisecond)
+			ledger.RecordTryEnd(id, 500*millisecond, Unanswered)
+			ledger.RecordNodePause(0, false, 900*millisecond)
 		}, []string{}},
-		"sent after its node went on": {func(a *Ledger) {
-			a.RecordNodePause(0, true, 0)
-			a.RecordNodePause(0, false, 100*msec)
-			op := a.RecordOp(900*msec, slots, -1, 0)
-			a.RecordTryEnd(a.RecordTry(op, 0, 900*msec, 1100*msec), 1500*msec, Unanswered)
+		"sent after its node went on": {func(ledger *Ledger) {
+			ledger.RecordNodePause(0, true, 0)
+			ledger.RecordNodePause(0, false, 100*millisecond)
+			op := ledger.RecordOp(900*millisecond, slots, -1, 0)
+			ledger.RecordTryEnd(ledger.RecordTry(op, 0, 900*millisecond, 1100*millisecond), 1500*millisecond, Unanswered)
 		}, []string{"answer"}},
-		"drained while its node was stopped": {func(a *Ledger) {
-			a.RecordNodePause(0, true, 0)
-			a.RecordServerState(0, 3, policy.Draining, 0, 10*msec)
-			a.RecordNodePause(0, false, 4000*msec)
-			op := a.RecordOp(4000*msec, slots, -1, 0)
-			a.RecordPush(a.RecordTry(op, 0, 4000*msec, 4200*msec), 3, 4100*msec)
+		"drained while its node was stopped": {func(ledger *Ledger) {
+			ledger.RecordNodePause(0, true, 0)
+			ledger.RecordServerState(0, 3, policy.Draining, 0, 10*millisecond)
+			ledger.RecordNodePause(0, false, 4000*millisecond)
+			op := ledger.RecordOp(4000*millisecond, slots, -1, 0)
+			ledger.RecordPush(ledger.RecordTry(op, 0, 4000*millisecond, 4200*millisecond), 3, 4100*millisecond)
 		}, []string{}},
-		"just in time": {func(a *Ledger) { _, x := try(a, slots); a.RecordTryEnd(x, 270*msec, Failed) }, []string{}},
-		"late":         {func(a *Ledger) { _, x := try(a, slots); a.RecordTryEnd(x, 271*msec, Failed) }, []string{"answer"}},
-		"client left":  {func(a *Ledger) { _, x := try(a, slots); a.RecordTryEnd(x, 50*msec, ClientLeft) }, []string{}},
-		"run for one who left": {func(a *Ledger) {
-			_, x := try(a, slots)
-			p := a.RecordPush(x, 0, 1)
-			a.RecordTryEnd(x, 9, ClientLeft)
-			a.RecordEffect(p)
+		"just in time": {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 270*millisecond, Failed) }, []string{}},
+		"late":         {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 271*millisecond, Failed) }, []string{"answer"}},
+		"client left":  {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 50*millisecond, ClientLeft) }, []string{}},
+		"run for one who left": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			p := ledger.RecordPush(id, 0, 1)
+			ledger.RecordTryEnd(id, 9, ClientLeft)
+			ledger.RecordEffect(p)
 		}, []string{}},
-		"sent after its end": {func(a *Ledger) {
-			_, x := try(a, slots)
-			a.RecordTryEnd(x, 10*msec, Served)
-			a.RecordPush(x, 1, 61*msec)
+		"sent after its end": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 10*millisecond, Served)
+			ledger.RecordPush(id, 1, 61*millisecond)
 		},
 			[]string{"answer"}},
-		"ran twice, may": {func(a *Ledger) {
-			_, x := try(a, slots)
-			a.RecordEffect(a.RecordPush(x, 0, 1))
-			a.RecordEffect(a.RecordPush(x, 1, 2))
-			a.RecordTryEnd(x, 9, Served)
+		"ran twice, may": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
+			ledger.RecordEffect(ledger.RecordPush(id, 1, 2))
+			ledger.RecordTryEnd(id, 9, Served)
 		}, []string{}},
-		"ran twice, may not": {func(a *Ledger) {
-			_, x := try(a, cancel)
-			a.RecordEffect(a.RecordPush(x, 0, 1))
-			a.RecordEffect(a.RecordPush(x, 1, 2))
-			a.RecordTryEnd(x, 9, Served)
+		"ran twice, may not": {func(ledger *Ledger) {
+			_, id := try(ledger, cancel)
+			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
+			ledger.RecordEffect(ledger.RecordPush(id, 1, 2))
+			ledger.RecordTryEnd(id, 9, Served)
 		}, []string{"effect"}},
-		"two tries of one op ran": {func(a *Ledger) {
-			op, x := try(a, booking)
-			a.RecordEffect(a.RecordPush(x, 0, 1))
-			a.RecordTryEnd(x, 9, Failed)
-			y := a.RecordTry(op, 0, 10, 200*msec)
-			a.RecordEffect(a.RecordPush(y, 0, 11))
-			a.RecordTryEnd(y, 20, Served)
+		"two tries of one op ran": {func(ledger *Ledger) {
+			op, id := try(ledger, booking)
+			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
+			ledger.RecordTryEnd(id, 9, Failed)
+			second := ledger.RecordTry(op, 0, 10, 200*millisecond)
+			ledger.RecordEffect(ledger.RecordPush(second, 0, 11))
+			ledger.RecordTryEnd(second, 20, Served)
 		}, []string{"effect"}},
-		"nacked and had run": {func(a *Ledger) {
-			_, x := try(a, cancel)
-			a.RecordEffect(a.RecordPush(x, 0, 1))
-			a.RecordTryEnd(x, 9, Nacked)
+		"nacked and had run": {func(ledger *Ledger) {
+			_, id := try(ledger, cancel)
+			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
+			ledger.RecordTryEnd(id, 9, Nacked)
 		}, []string{"effect"}},
-		"nacked and ran later": {func(a *Ledger) {
-			_, x := try(a, cancel)
-			p := a.RecordPush(x, 0, 1)
-			a.RecordTryEnd(x, 9, Nacked)
-			a.RecordEffect(p)
+		"nacked and ran later": {func(ledger *Ledger) {
+			_, id := try(ledger, cancel)
+			p := ledger.RecordPush(id, 0, 1)
+			ledger.RecordTryEnd(id, 9, Nacked)
+			ledger.RecordEffect(p)
 		}, []string{"effect"}},
-		"nacked, ran, may run again": {func(a *Ledger) {
-			_, x := try(a, booking)
-			a.RecordEffect(a.RecordPush(x, 0, 1))
-			a.RecordTryEnd(x, 9, Nacked)
+		"nacked, ran, may run again": {func(ledger *Ledger) {
+			_, id := try(ledger, booking)
+			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
+			ledger.RecordTryEnd(id, 9, Nacked)
 		}, []string{}},
-		"drained, told to the process before": {func(a *Ledger) {
-			a.RecordServerState(0, 1, policy.Draining, 0, 0)
-			a.RecordNodeStart(0)
-			a.RecordServerState(0, 1, policy.Ready, 0, 500*msec)
-			_, x := try(a, slots)
-			a.RecordPush(x, 1, 2500*msec)
-			a.RecordTryEnd(x, 2501*msec-2300*msec, ClientLeft)
+		"drained, told to the process before": {func(ledger *Ledger) {
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
+			ledger.RecordNodeStart(0)
+			ledger.RecordServerState(0, 1, policy.Ready, 0, 500*millisecond)
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 1, 2500*millisecond)
+			ledger.RecordTryEnd(id, 2501*millisecond-2300*millisecond, ClientLeft)
 		}, []string{}},
-		"drained, told to the process anew": {func(a *Ledger) {
-			a.RecordServerState(0, 1, policy.Draining, 0, 0)
-			a.RecordNodeStart(0)
-			a.RecordServerState(0, 1, policy.Draining, 0, 500*msec)
-			_, x := try(a, slots)
-			a.RecordPush(x, 1, 2500*msec)
-			a.RecordTryEnd(x, 2501*msec-2300*msec, ClientLeft)
+		"drained, told to the process anew": {func(ledger *Ledger) {
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
+			ledger.RecordNodeStart(0)
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 500*millisecond)
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 1, 2500*millisecond)
+			ledger.RecordTryEnd(id, 2501*millisecond-2300*millisecond, ClientLeft)
 		}, []string{"drain"}},
-		"drained, inside the grace": {func(a *Ledger) {
-			a.RecordServerState(0, 1, policy.Draining, 0, 0)
-			_, x := try(a, slots)
-			a.RecordPush(x, 1, 550*msec)
-			a.RecordTryEnd(x, 551*msec-300*msec, ClientLeft)
+		"drained, inside the grace": {func(ledger *Ledger) {
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 1, 550*millisecond)
+			ledger.RecordTryEnd(id, 551*millisecond-300*millisecond, ClientLeft)
 		}, []string{}},
-		"drained, past the grace": {func(a *Ledger) {
-			a.RecordServerState(0, 1, policy.Draining, 0, 0)
-			a.RecordServerState(0, 1, policy.Gone, 0, 300*msec) // counts from the first word
-			_, x := try(a, slots)
-			a.RecordPush(x, 1, 551*msec)
-			a.RecordTryEnd(x, 560*msec, ClientLeft)
+		"drained, past the grace": {func(ledger *Ledger) {
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
+			ledger.RecordServerState(0, 1, policy.Gone, 0, 300*millisecond) // counts from the first word
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 1, 551*millisecond)
+			ledger.RecordTryEnd(id, 560*millisecond, ClientLeft)
 		}, []string{"drain"}},
-		"drained and back": {func(a *Ledger) {
-			a.RecordServerState(0, 1, policy.Draining, 0, 0)
-			a.RecordServerState(0, 1, policy.Ready, 0, 100*msec)
-			_, x := try(a, slots)
-			a.RecordPush(x, 1, 900*msec)
-			a.RecordTryEnd(x, 900*msec, ClientLeft)
+		"drained and back": {func(ledger *Ledger) {
+			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
+			ledger.RecordServerState(0, 1, policy.Ready, 0, 100*millisecond)
+			_, id := try(ledger, slots)
+			ledger.RecordPush(id, 1, 900*millisecond)
+			ledger.RecordTryEnd(id, 900*millisecond, ClientLeft)
 		}, []string{}},
-		"tipped over by those who knew": {func(a *Ledger) { a.RecordCollapse(0, true) }, []string{"cold"}},
-		"tipped over unseen":            {func(a *Ledger) { a.RecordCollapse(0, false) }, []string{}},
+		"tipped over by those who knew": {func(ledger *Ledger) { ledger.RecordCollapse(0, true) }, []string{"cold"}},
+		"tipped over unseen":            {func(ledger *Ledger) { ledger.RecordCollapse(0, false) }, []string{}},
 	} {
-		a := account(t)
-		c.do(a)
-		r := a.Finish(policy.Second)
+		ledger := newTestLedger(t)
+		c.record(ledger)
+		r := ledger.Finish(policy.Second)
 		if diff := cmp.Diff(c.want, r.BrokenRules); diff != "" {
 			t.Errorf("%s: %s %v", name, diff, r.BreachMessages)
 		}
@@ -201,23 +212,23 @@
 }
 
 // Benefit, latency and waste are counted as the fields say.
-func TestFigures(t *testing.T) {
-	a := account(t)
-	for i, took := range []policy.Micros{50 * msec, 150 * msec} { // in its target latency, and past it
-		op := a.RecordOp(policy.Micros(i), 0, -1, 0)
-		x := a.RecordTry(op, 0, policy.Micros(i), 200*msec)
-		p := a.RecordPush(x, 0, 1)
-		a.RecordWork(p, 10*msec)
-		a.RecordServedBy(p)
-		a.RecordTryEnd(x, policy.Micros(i)+took, Served)
+func TestResultFields(t *testing.T) {
+	ledger := newTestLedger(t)
+	for i, took := range []policy.Micros{50 * millisecond, 150 * millisecond} { // in its target latency, and past it
+		op := ledger.RecordOp(policy.Micros(i), 0, -1, 0)
+		firstTry := ledger.RecordTry(op, 0, policy.Micros(i), 200*millisecond)
+		pushID := ledger.RecordPush(firstTry, 0, 1)
+		ledger.RecordWork(pushID, 10*millisecond)
+		ledger.RecordServedBy(pushID)
+		ledger.RecordTryEnd(firstTry, policy.Micros(i)+took, Served)
 	}
-	op := a.RecordOp(2, 0, -1, 0)
-	x := a.RecordTry(op, 0, 2, 200*msec)
-	a.RecordWork(a.RecordPush(x, 1, 3), 20*msec)
-	a.RecordTryEnd(x, 100*msec, Failed)
-	y := a.RecordTry(op, 0, 110*msec, 200*msec)
-	a.RecordTryEnd(y, 120*msec, Nacked)
-	r := a.Finish(policy.Second)
+	op := ledger.RecordOp(2, 0, -1, 0)
+	firstTry := ledger.RecordTry(op, 0, 2, 200*millisecond)
+	ledger.RecordWork(ledger.RecordPush(firstTry, 1, 3), 20*millisecond)
+	ledger.RecordTryEnd(firstTry, 100*millisecond, Failed)
+	secondTry := ledger.RecordTry(op, 0, 110*millisecond, 200*millisecond)
+	ledger.RecordTryEnd(secondTry, 120*millisecond, Nacked)
+	r := ledger.Finish(policy.Second)
 	got := []float64{float64(r.Ops), float64(r.Served), float64(r.Nacked), float64(r.DeadLettered), r.ServedBenefit, r.WastedWork,
 		r.PushesPerOp, r.TriesPerOp}
 	if diff := cmp.Diff([]float64{3, 2, 1, 0, 0.5, 0.5, 0.75, 1.333333}, got); diff != "" {
@@ -236,8 +247,8 @@
 		}
 	}
 	bound := 0.9
-	a.scenario.Expect = scenario.Expect{MinServedBenefit: &bound, BrokenRules: []string{"cold"}}
-	r.CheckExpectations(a)
+	ledger.scenario.Expect = scenario.Expect{MinServedBenefit: &bound, BrokenRules: []string{"cold"}}
+	r.CheckExpectations(ledger)
 	if len(r.FailedExpectations) != 2 {
 		t.Errorf("failures %v", r.FailedExpectations)
 	}
--- a/internal/lab/ledger/result.go
+++ b/internal/lab/ledger/result.go
@@ -9,10 +9,10 @@
 	"canvasrouter/policy"
 )
 
-func say(format string, args ...any) string { return fmt.Sprintf(format, args...) }
+func sprintf(format string, args ...any) string { return fmt.Sprintf(format, args...) }
 
 // ms is a time in milliseconds, to a microsecond.
-func ms(t policy.Micros) float64 { return float64(t) / 1000 }
+func milliseconds(t policy.Micros) float64 { return float64(t) / 1000 }
 
 // Result is what a run came to: the JSON of --json. Ratios are 0 where nothing was counted.
 type Result struct {
@@ -105,11 +105,11 @@
 }
 
 // bucket finds a category's bucket of a moment.
-func (a *Ledger) bucket(at policy.Micros, category int) *Bucket {
-	n := int(max(0, at-a.begin)/a.span)*len(a.scenario.Categories) + category
+func (a *Ledger) bucketAt(at policy.Micros, category int) *Bucket {
+	n := int(max(0, at-a.loadStart)/a.bucketDuration)*len(a.scenario.Categories) + category
 	for len(a.series) <= n {
 		next := len(a.series)
-		a.series = append(a.series, Bucket{AtMs: ms(policy.Micros(next/len(a.scenario.Categories)) * a.span),
+		a.series = append(a.series, Bucket{AtMs: milliseconds(policy.Micros(next/len(a.scenario.Categories)) * a.bucketDuration),
 			Category: next % len(a.scenario.Categories)})
 	}
 	return &a.series[n]
@@ -120,11 +120,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.result // a copy: the account can be closed again
-	a.finishTries(&r)
-	a.finishOps(&r, end)
-	a.finishWork(&r)
-	r.P50Ms, r.P99Ms, r.P999Ms = quantile(a.latency, 50), quantile(a.latency, 99), quantile(a.latency, 99.9)
-	r.Series, r.BreachMessages = a.series, a.notes
+	a.tallyTries(&r)
+	a.tallyOps(&r, end)
+	a.tallyWork(&r)
+	r.P50Ms, r.P99Ms, r.P999Ms = quantileMs(a.latency, 50), quantileMs(a.latency, 99), quantileMs(a.latency, 99.9)
+	r.Series, r.BreachMessages = a.series, a.breachMessages
 	r.BrokenRules = []string{}
 	for i, broken := range []bool{
 		r.Unanswered+r.DoubleAnswers+r.LateAnswers+r.LatePushes > 0,
@@ -139,55 +139,55 @@
 	return &r
 }
 
-func (a *Ledger) finishTries(r *Result) {
-	first, pushes := 0, 0
+func (a *Ledger) tallyTries(r *Result) {
+	clientTries, pushes := 0, 0
 	for i := range a.tries {
 		t := &a.tries[i]
-		inner := a.ops[t.op].tier != 0
+		betweenTiers := a.ops[t.op].tier != 0
 		switch {
 		case t.verdict == Pending, t.verdict == Unanswered, t.verdict == ConnectionLost:
-			if a.died(t) {
+			if a.lostToCrash(t) {
 				r.LostToCrash++
-			} else if a.stopped(t, t.notAfter) {
+			} else if a.wasPaused(t, t.deadline) {
 				r.LostToPause++
-			} else if t.verdict != Pending || !inner {
+			} else if t.verdict != Pending || !betweenTiers {
 				r.Unanswered++
-				a.note(say("try %d to node %d got no answer", i, t.node))
+				a.addBreach(sprintf("try %d to node %d got no answer", i, t.node))
 			}
 		}
-		if !inner && t.verdict != Refused {
-			first++
+		if !betweenTiers && t.verdict != Refused {
+			clientTries++
 			pushes += t.pushes
 		}
 	}
-	r.PushesPerOp = ratio(float64(pushes), float64(first))
+	r.PushesPerOp = ratio(float64(pushes), float64(clientTries))
 }
 
-func (a *Ledger) finishOps(r *Result, end policy.Micros) {
-	type sum struct{ gained, offered float64 }
+func (a *Ledger) tallyOps(r *Result, end policy.Micros) {
+	type sum struct{ earned, offered float64 }
 	tenants := make([]sum, len(a.scenario.Tenants))
-	kinds := make([]sum, len(a.scenario.Categories))
-	var whole, last sum
+	categories := make([]sum, len(a.scenario.Categories))
+	var total, lastQuarter sum
 	tries := 0
 	for range a.scenario.Categories {
 		r.Categories = append(r.Categories, CategoryResult{})
 	}
-	quarter := a.begin + (end-a.begin)*3/4
+	lastQuarterStart := a.loadStart + (end-a.loadStart)*3/4
 	for i := range a.ops {
 		o := &a.ops[i]
 		if o.tier != 0 {
 			continue
 		}
-		k := &r.Categories[o.category]
+		category := &r.Categories[o.category]
 		r.Ops++
-		k.Ops++
+		category.Ops++
 		tries += o.tries
-		gain := 0.0
+		earned := 0.0
 		switch o.verdict {
 		case Served:
 			r.Served++
-			k.Served++
-			gain = a.gain(o)
+			category.Served++
+			earned = a.earnedBenefit(o)
 		case Nacked:
 			r.Nacked++
 		case ClientLeft:
@@ -196,121 +196,121 @@
 		case Failed:
 			r.DeadLettered++
 		}
-		add := func(s *sum) { s.gained += gain; s.offered += o.worth }
-		add(&whole)
-		add(&kinds[o.category])
+		add := func(s *sum) { s.earned += earned; s.offered += o.offeredBenefit }
+		add(&total)
+		add(&categories[o.category])
 		if o.tenant >= 0 {
 			add(&tenants[o.tenant])
 		}
-		if o.at >= quarter {
-			add(&last)
+		if o.intendedAt >= lastQuarterStart {
+			add(&lastQuarter)
 		}
 	}
-	r.ServedBenefit, r.LastQuarterBenefit = ratio(whole.gained, whole.offered), ratio(last.gained, last.offered)
+	r.ServedBenefit, r.LastQuarterBenefit = ratio(total.earned, total.offered), ratio(lastQuarter.earned, lastQuarter.offered)
 	r.TriesPerOp = ratio(float64(tries), float64(r.Ops))
 	r.PushesAllTiers = ratio(float64(len(a.pushes)), float64(r.Ops))
 	r.WorstTenantBenefit = 1
 	for _, t := range tenants {
 		if t.offered > 0 {
-			r.WorstTenantBenefit = min(r.WorstTenantBenefit, ratio(t.gained, t.offered))
+			r.WorstTenantBenefit = min(r.WorstTenantBenefit, ratio(t.earned, t.offered))
 		}
 	}
 	for i := range r.Categories {
-		k := &r.Categories[i]
-		k.Name, k.ServedBenefit = a.scenario.Categories[i].Name, ratio(kinds[i].gained, kinds[i].offered)
-		k.P50Ms, k.P99Ms = quantile(a.byKind[i], 50), quantile(a.byKind[i], 99)
+		category := &r.Categories[i]
+		category.Name, category.ServedBenefit = a.scenario.Categories[i].Name, ratio(categories[i].earned, categories[i].offered)
+		category.P50Ms, category.P99Ms = quantileMs(a.latencyByCategory[i], 50), quantileMs(a.latencyByCategory[i], 99)
 	}
 }
 
 // finishWork adds up core time whose answer reached no client, and the latency of each bucket.
-func (a *Ledger) finishWork(r *Result) {
-	var all, wasted policy.Micros
+func (a *Ledger) tallyWork(r *Result) {
+	var total, wasted policy.Micros
 	for i := range a.series {
 		a.series[i].WastedMs = 0
 	}
 	for i := range a.pushes {
 		p := &a.pushes[i]
-		all += p.work
+		total += p.work
 		if !p.served {
 			wasted += p.work
-			a.bucket(p.at, a.ops[a.tries[p.try].op].category).WastedMs += ms(p.work)
+			a.bucketAt(p.at, a.ops[a.tries[p.try].op].category).WastedMs += milliseconds(p.work)
 		}
 	}
-	r.WastedWork = ratio(float64(wasted), float64(all))
-	spans := make([]*hdrhistogram.Histogram, len(a.series))
+	r.WastedWork = ratio(float64(wasted), float64(total))
+	histograms := make([]*hdrhistogram.Histogram, len(a.series))
 	for i := range a.ops {
 		if o := &a.ops[i]; o.tier == 0 && o.verdict == Served {
-			n := int(max(0, o.at+o.took-a.begin)/a.span)*len(a.scenario.Categories) + o.category
-			if spans[n] == nil {
-				spans[n] = hdrhistogram.New(1, 300_000_000, 2)
+			n := int(max(0, o.intendedAt+o.latency-a.loadStart)/a.bucketDuration)*len(a.scenario.Categories) + o.category
+			if histograms[n] == nil {
+				histograms[n] = hdrhistogram.New(1, 300_000_000, 2)
 			}
-			spans[n].RecordValue(max(1, int64(o.took)))
+			histograms[n].RecordValue(max(1, int64(o.latency)))
 		}
 	}
-	for i, h := range spans {
+	for i, h := range histograms {
 		if h != nil {
-			a.series[i].P50Ms, a.series[i].P99Ms = quantile(h, 50), quantile(h, 99)
+			a.series[i].P50Ms, a.series[i].P99Ms = quantileMs(h, 50), quantileMs(h, 99)
 		}
 	}
 }
 
-func quantile(h *hdrhistogram.Histogram, of float64) float64 {
-	return float64(h.ValueAtQuantile(of)) / 1000
+func quantileMs(h *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
 // ratio is a share to six digits; 0 of nothing.
-func ratio(a, b float64) float64 {
-	if b == 0 {
+func ratio(numerator, denominator float64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return math.Round(a/b*1e6) / 1e6
+	return math.Round(numerator/denominator*1e6) / 1e6
 }
 
 // Judge compares a result with what its experiment expects, and writes down what was not met.
 func (r *Result) CheckExpectations(a *Ledger) {
 	r.FailedExpectations = []string{}
 	fail := func(format string, args ...any) {
-		r.FailedExpectations = append(r.FailedExpectations, say(format, args...))
+		r.FailedExpectations = append(r.FailedExpectations, sprintf(format, args...))
 	}
-	e := &a.scenario.Expect
-	meant := map[string]bool{}
-	for _, rule := range e.BrokenRules {
-		meant[rule] = true
+	expect := &a.scenario.Expect
+	expectedBroken := map[string]bool{}
+	for _, rule := range expect.BrokenRules {
+		expectedBroken[rule] = true
 	}
 	for _, rule := range r.BrokenRules {
-		if !meant[rule] {
+		if !expectedBroken[rule] {
 			fail("rule %q is broken", rule)
 		}
-		delete(meant, rule)
+		delete(expectedBroken, rule)
 	}
 	for _, rule := range RuleNames {
-		if meant[rule] {
+		if expectedBroken[rule] {
 			fail("rule %q was to be broken and is not", rule)
 		}
 	}
-	least := func(what string, got float64, bound *float64) {
+	requireMin := func(what string, got float64, bound *float64) {
 		if bound != nil && got < *bound {
 			fail("%s is %.3f, at least %.3f was expected", what, got, *bound)
 		}
 	}
-	most := func(what string, got float64, bound *float64) {
+	requireMax := func(what string, got float64, bound *float64) {
 		if bound != nil && got > *bound {
 			fail("%s is %.3f, at most %.3f was expected", what, got, *bound)
 		}
 	}
-	least("served_benefit", r.ServedBenefit, e.MinServedBenefit)
-	least("worst_tenant", r.WorstTenantBenefit, e.MinWorstTenantBenefit)
-	least("last_quarter_benefit", r.LastQuarterBenefit, e.MinLastQuarterBenefit)
-	most("pushes_per_op", r.PushesPerOp, e.MaxPushesPerOp)
-	most("wasted_work", r.WastedWork, e.MaxWastedWork)
-	if e.MaxP99 != nil {
-		bound := e.MaxP99.Milliseconds()
-		most("p99 in ms", r.P99Ms, &bound)
+	requireMin("served_benefit", r.ServedBenefit, expect.MinServedBenefit)
+	requireMin("worst_tenant", r.WorstTenantBenefit, expect.MinWorstTenantBenefit)
+	requireMin("last_quarter_benefit", r.LastQuarterBenefit, expect.MinLastQuarterBenefit)
+	requireMax("pushes_per_op", r.PushesPerOp, expect.MaxPushesPerOp)
+	requireMax("wasted_work", r.WastedWork, expect.MaxWastedWork)
+	if expect.MaxP99 != nil {
+		bound := expect.MaxP99.Milliseconds()
+		requireMax("p99 in ms", r.P99Ms, &bound)
 	}
-	if e.Category != nil {
-		for _, k := range r.Categories {
-			if k.Name == e.Category.Name {
-				least("served_benefit of "+k.Name, k.ServedBenefit, &e.Category.MinServedBenefit)
+	if expect.Category != nil {
+		for _, category := range r.Categories {
+			if category.Name == expect.Category.Name {
+				requireMin("served_benefit of "+category.Name, category.ServedBenefit, &expect.Category.MinServedBenefit)
 			}
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -33,9 +33,9 @@
 func (a *Arrival) Unscored() bool { return a.AlwaysFails || a.KillsFor > 0 }
 
 // Make computes the arrivals of a whole load of the given length.
-func Generate(s *scenario.Scenario, length policy.Micros, seed uint64) []Arrival {
-	when, what := stream.New(seed, "arrivals"), stream.New(seed, "mix")
-	var out []Arrival
+func Generate(s *scenario.Scenario, duration policy.Micros, seed uint64) []Arrival {
+	timing, mix := stream.New(seed, "arrivals"), stream.New(seed, "mix")
+	var arrivals []Arrival
 	for at := policy.Micros(0); ; {
 		rate := s.Load.Rate / 1e6 // a microsecond
 		burst := 1
@@ -43,64 +43,64 @@
 		case "even":
 			at += max(1, policy.Micros(1/rate))
 		case "poisson":
-			at += max(1, policy.Micros(when.ExpFloat64()/rate))
+			at += max(1, policy.Micros(timing.ExpFloat64()/rate))
 		case "bursty":
-			burst = 1 + int(when.ExpFloat64()*(s.Load.MeanBurst-1)+0.5)
-			at += max(1, policy.Micros(when.ExpFloat64()*s.Load.MeanBurst/rate))
+			burst = 1 + int(timing.ExpFloat64()*(s.Load.MeanBurst-1)+0.5)
+			at += max(1, policy.Micros(timing.ExpFloat64()*s.Load.MeanBurst/rate))
 		}
-		if at >= length {
+		if at >= duration {
 			break
 		}
 		for range burst {
-			out = append(out, arrival(s, at, -1, what))
+			arrivals = append(arrivals, newArrival(s, at, -1, mix))
 		}
 	}
 	// Further load of bursts: arrivals of their own, so that the rest stays as it is without them.
 	for i, t := range s.Disturbances {
-		further := map[string]float64{"burst": t.Factor - 1, "failing": t.Factor, "poison": t.Share}[t.Kind]
-		if further <= 0 {
+		extraFactor := map[string]float64{"burst": t.Factor - 1, "failing": t.Factor, "poison": t.Share}[t.Kind]
+		if extraFactor <= 0 {
 			continue
 		}
-		more, share, tenant := stream.New(seed, fmt.Sprintf("burst %d", i)), 1.0, -1
+		random, share, tenant := stream.New(seed, fmt.Sprintf("burst %d", i)), 1.0, -1
 		if t.Tenant != "" {
-			whole := 0.0
+			totalShare := 0.0
 			for n, x := range s.Tenants {
-				whole += x.Share
+				totalShare += x.Share
 				if x.Name == t.Tenant {
 					tenant, share = n, x.Share
 				}
 			}
-			share /= whole
+			share /= totalShare
 		}
-		rate := s.Load.Rate / 1e6 * further * share
+		rate := s.Load.Rate / 1e6 * extraFactor * share
 		for at := t.At.Micros(); rate > 0; {
-			at += max(1, policy.Micros(more.ExpFloat64()/rate))
-			if at >= min(length, (t.At+t.Duration).Micros()) {
+			at += max(1, policy.Micros(random.ExpFloat64()/rate))
+			if at >= min(duration, (t.At+t.Duration).Micros()) {
 				break
 			}
-			a := arrival(s, at, tenant, more)
+			a := newArrival(s, at, tenant, random)
 			if a.AlwaysFails = t.Kind == "failing"; t.Kind == "poison" {
 				a.KillsFor, a.KillTier = policy.Micros(t.Factor*float64(policy.Second)), s.TierIndex(t.Tier)
 			}
-			out = append(out, a)
+			arrivals = append(arrivals, a)
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
-	return out
+	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].At < arrivals[j].At })
+	return arrivals
 }
 
-func arrival(s *scenario.Scenario, at policy.Micros, tenant int, rng *rand.Rand) Arrival {
-	a := Arrival{At: at, Category: choose(len(s.Categories), func(i int) float64 { return s.Categories[i].Share }, rng),
+func newArrival(s *scenario.Scenario, at policy.Micros, tenant int, rng *rand.Rand) Arrival {
+	a := Arrival{At: at, Category: weightedChoice(len(s.Categories), func(i int) float64 { return s.Categories[i].Share }, rng),
 		Tenant: tenant}
 	if tenant < 0 && len(s.Tenants) > 0 {
-		a.Tenant = choose(len(s.Tenants), func(i int) float64 { return s.Tenants[i].Share }, rng)
+		a.Tenant = weightedChoice(len(s.Tenants), func(i int) float64 { return s.Tenants[i].Share }, rng)
 	}
 	c := &s.Categories[a.Category]
 	for _, t := range s.Tiers {
 		work := float64(c.MeanWork)
 		if c.WorkVariation > 0 { // log-normal with that mean and that coefficient of variation
-			v := math.Log(1 + c.WorkVariation*c.WorkVariation)
-			work *= math.Exp(math.Sqrt(v)*rng.NormFloat64() - v/2)
+			variance := math.Log(1 + c.WorkVariation*c.WorkVariation)
+			work *= math.Exp(math.Sqrt(variance)*rng.NormFloat64() - variance/2)
 		}
 		a.WorkByTier = append(a.WorkByTier, max(1, policy.Micros(work)))
 		calls := int(t.CallsPerOp)
@@ -116,14 +116,14 @@
 }
 
 // choose draws a number below n by weights.
-func choose(n int, weight func(int) float64, rng *rand.Rand) int {
-	whole := 0.0
+func weightedChoice(n int, weight func(int) float64, rng *rand.Rand) int {
+	total := 0.0
 	for i := range n {
-		whole += weight(i)
+		total += weight(i)
 	}
-	x := rng.Float64() * whole
+	draw := rng.Float64() * total
 	for i := range n {
-		if x -= weight(i); x < 0 {
+		if draw -= weight(i); draw < 0 {
 			return i
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 // Read reads a trace that fits the experiment. An error names the line.
-func ReadTrace(r io.Reader, s *scenario.Scenario, length policy.Micros) (out []Arrival, err error) {
+func ReadTrace(r io.Reader, s *scenario.Scenario, duration policy.Micros) (arrivals []Arrival, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	last := policy.Micros(0)
@@ -169,11 +169,11 @@
 				return nil, fmt.Errorf("trace line %d: work_us %d is not above 0", n, work)
 			}
 		}
-		if last = a.At; a.At < length {
-			out = append(out, a)
+		if last = a.At; a.At < duration {
+			arrivals = append(arrivals, a)
 		}
 	}
-	return out, lines.Err()
+	return arrivals, lines.Err()
 }
 
 // Try is what a client knows of an op when a try has ended.
@@ -187,16 +187,16 @@
 
 // Again says whether and after what wait a client tries again by itself: a redeliverable op after any failure, a
 // deduplicated one whose group is all servers while its window surely covers the next try, any after a nack.
-func ShouldRetry(s *scenario.Scenario, category int, t Try) (wait policy.Micros, again bool) {
+func ShouldRetry(s *scenario.Scenario, category int, t Try) (delay policy.Micros, retry bool) {
 	c := &s.Categories[category]
-	wait = s.Load.RetryDelay.Micros()
+	delay = s.Load.RetryDelay.Micros()
 	if s.Load.HonorsRetryAfter {
-		wait = max(wait, min(t.RetryAfter, s.Limits.MaxRetryAfter.Micros()))
+		delay = max(delay, min(t.RetryAfter, s.Limits.MaxRetryAfter.Micros()))
 	}
-	if t.Index >= s.Load.Retries || t.Elapsed+wait >= c.TTL.Micros() {
+	if t.Index >= s.Load.Retries || t.Elapsed+delay >= c.TTL.Micros() {
 		return 0, false
 	}
-	inside := t.Elapsed+wait+c.TTL.Micros() < c.DedupWindow.Micros()
-	return wait, t.Nacked || t.Refused || c.Delivery == "redeliverable" ||
-		c.Delivery == "deduplicated" && c.DedupScope == "all" && inside
+	withinWindow := t.Elapsed+delay+c.TTL.Micros() < c.DedupWindow.Micros()
+	return delay, t.Nacked || t.Refused || c.Delivery == "redeliverable" ||
+		c.Delivery == "deduplicated" && c.DedupScope == "all" && withinWindow
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -12,7 +12,7 @@
 	"canvasrouter/policy"
 )
 
-func experiment(t *testing.T, more string) *scenario.Scenario {
+func parseScenario(t *testing.T, extra string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`name = "x"
 [[category]]
@@ -40,7 +40,7 @@
 name = "back"
   [[tier.kind]]
   count = 2
-` + more))
+` + extra))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,10 +48,10 @@
 }
 
 // Each kind of arrivals keeps the rate, the mix and the mean work, and is the same for the same seed.
-func TestMake(t *testing.T) {
+func TestGenerate(t *testing.T) {
 	const length = 60 * policy.Second
 	for _, kind := range []string{"poisson", "bursty", "even"} {
-		s := experiment(t, "[load]\nrate = 500.0\nretries = 1\narrivals = \""+kind+"\"\n")
+		s := parseScenario(t, "[load]\nrate = 500.0\nretries = 1\narrivals = \""+kind+"\"\n")
 		got := Generate(s, length, 5)
 		if diff := cmp.Diff(got, Generate(s, length, 5)); diff != "" {
 			t.Errorf("%s: another load from the same seed", kind)
@@ -79,9 +79,9 @@
 
 // A burst adds arrivals and leaves those of the ordinary load as they are.
 func TestBurst(t *testing.T) {
-	calm := experiment(t, "[load]\nrate = 100.0\n")
-	rough := experiment(t, "[load]\nrate = 100.0\n[[trouble]]\nkind = \"burst\"\nat = \"2s\"\nfor = \"1s\"\nfactor = 4.0\ntenant = \"a\"\n")
-	a, b := Generate(calm, 5*policy.Second, 1), Generate(rough, 5*policy.Second, 1)
+	withoutBurst := parseScenario(t, "[load]\nrate = 100.0\n")
+	withBurst := parseScenario(t, "[load]\nrate = 100.0\n[[trouble]]\nkind = \"burst\"\nat = \"2s\"\nfor = \"1s\"\nfactor = 4.0\ntenant = \"a\"\n")
+	a, b := Generate(withoutBurst, 5*policy.Second, 1), Generate(withBurst, 5*policy.Second, 1)
 	if more := len(b) - len(a); more < 200 || more > 400 {
 		t.Errorf("%d more", more)
 	}
@@ -93,7 +93,7 @@
 }
 
 func TestTrace(t *testing.T) {
-	s := experiment(t, "[load]\nrate = 50.0\nimpatient = 0.2\n")
+	s := parseScenario(t, "[load]\nrate = 50.0\nimpatient = 0.2\n")
 	made := Generate(s, 3*policy.Second, 9)
 	var file bytes.Buffer
 	if err := WriteTrace(&file, made); err != nil {
@@ -118,12 +118,12 @@
 }
 
 // A client repeats a deduplicated op by itself only while the group surely still drops the repeat.
-func TestAgain(t *testing.T) {
-	s := experiment(t, "[load]\nrate = 1.0\nretries = 1\nretry_wait = \"50ms\"\n")
+func TestShouldRetry(t *testing.T) {
+	s := parseScenario(t, "[load]\nrate = 1.0\nretries = 1\nretry_wait = \"50ms\"\n")
 	for _, c := range []struct {
 		category int
 		try      Try
-		again    bool
+		retry    bool
 	}{
 		{0, Try{}, true},
 		{0, Try{Index: 1}, false},
@@ -131,12 +131,12 @@
 		{1, Try{Elapsed: 100 * policy.Millisecond}, true},
 		{1, Try{Nacked: true, Elapsed: 100 * policy.Millisecond}, true},
 	} {
-		if _, again := ShouldRetry(s, c.category, c.try); again != c.again {
-			t.Errorf("%+v: again %v", c, again)
+		if _, retry := ShouldRetry(s, c.category, c.try); retry != c.retry {
+			t.Errorf("%+v: again %v", c, retry)
 		}
 	}
 	s.Categories[1].DedupWindow = scenario.Duration(500 * policy.Millisecond)
-	if _, again := ShouldRetry(s, 1, Try{Elapsed: 100 * policy.Millisecond}); again {
+	if _, retry := ShouldRetry(s, 1, Try{Elapsed: 100 * policy.Millisecond}); retry {
 		t.Error("repeated where the window may be over")
 	}
 }
--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -18,17 +18,17 @@
 
 // Machines are the servers of all tiers, zones dealt in turn. The order is the same in every run.
 func (s *Scenario) Machines() (all []Machine) {
-	for t := range s.Tiers {
-		n := 0
-		for k := range s.Tiers[t].MachineTypes {
-			kind := &s.Tiers[t].MachineTypes[k]
-			for range kind.Count {
-				m := Machine{Tier: t, Zone: n % len(s.Zones), Type: kind, TypeIndex: k}
-				if kind.CellSize > 0 {
-					m.Cell = n / kind.CellSize
+	for tier := range s.Tiers {
+		indexInTier := 0
+		for typeIndex := range s.Tiers[tier].MachineTypes {
+			machineType := &s.Tiers[tier].MachineTypes[typeIndex]
+			for range machineType.Count {
+				m := Machine{Tier: tier, Zone: indexInTier % len(s.Zones), Type: machineType, TypeIndex: typeIndex}
+				if machineType.CellSize > 0 {
+					m.Cell = indexInTier / machineType.CellSize
 				}
 				all = append(all, m)
-				n++
+				indexInTier++
 			}
 		}
 	}
@@ -45,24 +45,24 @@
 
 // Balancers are the nodes of all tiers.
 func (s *Scenario) Nodes() (all []Node) {
-	of := make([]int, len(s.Tiers))
+	nodeCounts := make([]int, len(s.Tiers))
 	for n := range s.Tiers[0].NodeCount {
 		all = append(all, Node{Zone: n % len(s.Zones), Index: n, Server: -1})
 	}
-	of[0] = s.Tiers[0].NodeCount
-	for place, m := range s.Machines() {
+	nodeCounts[0] = s.Tiers[0].NodeCount
+	for server, m := range s.Machines() {
 		if next := m.Tier + 1; next < len(s.Tiers) {
-			all = append(all, Node{Tier: next, Zone: m.Zone, Server: place, Index: of[next]})
-			of[next]++
+			all = append(all, Node{Tier: next, Zone: m.Zone, Server: server, Index: nodeCounts[next]})
+			nodeCounts[next]++
 		}
 	}
 	for i := range all {
-		all[i].NodeCount = of[all[i].Tier]
+		all[i].NodeCount = nodeCounts[all[i].Tier]
 	}
 	return all
 }
 
-var effects = map[string]string{"redeliverable": "idempotent", "deduplicated": "deduplicated",
+var effectByDelivery = map[string]string{"redeliverable": "idempotent", "deduplicated": "deduplicated",
 	"at_most_once": "at_most_once"}
 
 // Repeats are the categories' kinds of repeat, as the module has them.
@@ -71,45 +71,45 @@
 
 // Config is a node's configuration in the platform's form. Known is the list that it starts with, in the registry's; fleet
 // is its key of that name, left out if nil.
-func (s *Scenario) NodeConfig(b Node, name, listen, discovery string, seed uint64, known json.RawMessage, fleet any) []byte {
+func (s *Scenario) NodeConfig(node Node, name, listen, registryAddr string, seed uint64, cachedList json.RawMessage, fleet any) []byte {
 	type object = map[string]any
-	var tiers, kinds []string
+	var tiers, machineTypes []string
 	for _, t := range s.Tiers {
 		tiers = append(tiers, t.Name)
 	}
-	idle := 0.0
-	for _, k := range s.Tiers[b.Tier].MachineTypes {
-		kinds = append(kinds, k.Name)
-		if idle == 0 || k.IdleTimeout.Milliseconds() < idle {
-			idle = k.IdleTimeout.Milliseconds()
+	minIdleTimeoutMs := 0.0
+	for _, k := range s.Tiers[node.Tier].MachineTypes {
+		machineTypes = append(machineTypes, k.Name)
+		if minIdleTimeoutMs == 0 || k.IdleTimeout.Milliseconds() < minIdleTimeoutMs {
+			minIdleTimeoutMs = k.IdleTimeout.Milliseconds()
 		}
 	}
 	categories, tenants := []object{}, []object{}
 	for _, c := range s.Categories {
-		o := object{"name": c.Name, "benefit": c.Benefit, "tardy_benefit": c.LateBenefit, "effect": effects[c.Delivery],
+		category := object{"name": c.Name, "benefit": c.Benefit, "tardy_benefit": c.LateBenefit, "effect": effectByDelivery[c.Delivery],
 			"target_latency": c.TargetLatency.Milliseconds(), "ttl": c.TTL.Milliseconds()}
 		if c.Delivery == "deduplicated" {
-			o["key_scope"], o["repeat_window"] = c.DedupScope, c.DedupWindow.Milliseconds()
+			category["key_scope"], category["repeat_window"] = c.DedupScope, c.DedupWindow.Milliseconds()
 		}
-		categories = append(categories, o)
+		categories = append(categories, category)
 	}
 	for _, t := range s.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "share": t.Share, "quota_rps": t.Quota})
 	}
-	l := s.Limits
-	settings := object{"tier": b.Tier, "tiers": tiers, "fleet_size": b.NodeCount, "slot_no": b.Index, "az": b.Zone,
-		"failure_domains": s.Zones, "kinds": kinds, "tick": 5.0, "registry_mode": "ask", "categories": categories,
-		"tenants": tenants, "beyond_share_benefit": l.BeyondShareBenefit,
-		"limits": object{"max_pushes": l.MaxPushes, "may_duplicate": l.MayDuplicate, "may_cancel": l.MayCancel,
-			"dial_timeout": l.DialTimeout.Milliseconds(), "idle_close": idle, "retry_after": l.MaxRetryAfter > 0,
-			"max_retry_after": l.MaxRetryAfter.Milliseconds()},
-		"safety": object{"answer_slack": l.AnswerSlack.Milliseconds(), "cold_from": l.ColdInitialShare, "cold": l.ColdWarmUpTime.Milliseconds(),
-			"overload_factor": l.ColdOverloadFactor, "tip_after": l.ColdOverloadWindow.Milliseconds(), "must_ask_in": 10000.0,
-			"drain_grace": l.DrainGrace.Milliseconds()},
-		"prices": object{"cross_zone": l.CrossZoneCost}}
-	document := object{"name": name, "listen": listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", seed), "log_level": "warn", "known": known, "settings": settings,
-		"limits": object{"cores": 1.0, "memory_mb": l.MemoryMB, "sockets": l.Sockets}}
+	limits := s.Limits
+	settings := object{"tier": node.Tier, "tiers": tiers, "fleet_size": node.NodeCount, "slot_no": node.Index, "az": node.Zone,
+		"failure_domains": s.Zones, "kinds": machineTypes, "tick": 5.0, "registry_mode": "ask", "categories": categories,
+		"tenants": tenants, "beyond_share_benefit": limits.BeyondShareBenefit,
+		"limits": object{"max_pushes": limits.MaxPushes, "may_duplicate": limits.MayDuplicate, "may_cancel": limits.MayCancel,
+			"dial_timeout": limits.DialTimeout.Milliseconds(), "idle_close": minIdleTimeoutMs, "retry_after": limits.MaxRetryAfter > 0,
+			"max_retry_after": limits.MaxRetryAfter.Milliseconds()},
+		"safety": object{"answer_slack": limits.AnswerSlack.Milliseconds(), "cold_from": limits.ColdInitialShare, "cold": limits.ColdWarmUpTime.Milliseconds(),
+			"overload_factor": limits.ColdOverloadFactor, "tip_after": limits.ColdOverloadWindow.Milliseconds(), "must_ask_in": 10000.0,
+			"drain_grace": limits.DrainGrace.Milliseconds()},
+		"prices": object{"cross_zone": limits.CrossZoneCost}}
+	document := object{"name": name, "listen": listen, "discovery": registryAddr,
+		"seed": fmt.Sprintf("%016x", seed), "log_level": "warn", "known": cachedList, "settings": settings,
+		"limits": object{"cores": 1.0, "memory_mb": limits.MemoryMB, "sockets": limits.Sockets}}
 	if fleet != nil {
 		document["fleet"] = fleet
 		if s.Fleet.PeerMessaging {
@@ -125,9 +125,9 @@
 
 // Traits are a machine's, as the model takes them.
 func (m Machine) ModelSpec(s *Scenario) fleet.Traits {
-	k := m.Type
-	return fleet.Traits{Cores: k.Cores, Speed: k.Speed, Queue: k.QueueLimit, JamOver: k.JamQueuePerCore, JamAfter: k.JamDelay.Micros(),
-		JamFactor: k.JamSlowdown, JamIdle: k.JamRecoveryTime.Micros(), CrowdOver: k.CrowdingPerCore, CrowdLoss: k.CrowdingSlowdown, Cold: fleet.Cold{From: s.Limits.ColdInitialShare,
+	machineType := m.Type
+	return fleet.Traits{Cores: machineType.Cores, Speed: machineType.Speed, Queue: machineType.QueueLimit, JamOver: machineType.JamQueuePerCore, JamAfter: machineType.JamDelay.Micros(),
+		JamFactor: machineType.JamSlowdown, JamIdle: machineType.JamRecoveryTime.Micros(), CrowdOver: machineType.CrowdingPerCore, CrowdLoss: machineType.CrowdingSlowdown, Cold: fleet.Cold{From: s.Limits.ColdInitialShare,
 			Warm: s.Limits.ColdWarmUpTime.Micros(), Factor: s.Limits.ColdOverloadFactor, Window: s.Limits.ColdOverloadWindow.Micros(), Mean: s.MeanWork()}}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Group is the group that drops a category's repeats at this machine, and for how long, if repeats are dropped.
-func (m Machine) DedupGroup(s *Scenario, category int) (group int, window policy.Micros, kept bool) {
+func (m Machine) DedupGroup(s *Scenario, category int) (group int, window policy.Micros, deduplicated bool) {
 	c := &s.Categories[category]
 	switch c.DedupScope {
 	case "zone":
@@ -158,19 +158,19 @@
 
 // Of gives the memory of a category's group at a machine, or nil where repeats are not dropped. It remembers for slack
 // longer than the category's window.
-func (all DedupMemories) Get(s *Scenario, category int, m Machine, slack policy.Micros) *fleet.Memory {
-	group, window, kept := m.DedupGroup(s, category)
-	if !kept {
+func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.Memory {
+	group, window, deduplicated := m.DedupGroup(s, category)
+	if !deduplicated {
 		return nil
 	}
 	key := [3]int{category, m.Tier, group}
-	if all[key] == nil {
-		all[key] = fleet.NewMemory(window + slack)
+	if memories[key] == nil {
+		memories[key] = fleet.NewMemory(window + extraRetention)
 	}
-	return all[key]
+	return memories[key]
 }
 
 // Entry is how the registry lists a machine that has been up for long, by its place in the plan.
-func (m Machine) RegistryEntry(place int) registry.Entry {
-	return registry.Entry{Server: place, Zone: m.Zone, Kind: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
+func (m Machine) RegistryEntry(server int) registry.Entry {
+	return registry.Entry{Server: server, Zone: m.Zone, Kind: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
 }
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -79,10 +79,10 @@
 }
 
 const (
-	noticed   = policy.Second            // after which the registry knows that a process has ended
-	exitAfter = 500 * policy.Millisecond // past the grace, a server that was drained ends
-	corrected = 2 * policy.Second        // after which a stale list is put right
-	forEver   = policy.Micros(1 << 40)
+	failureDetectionDelay    = policy.Second            // after which the registry knows that a process has ended
+	exitDelay                = 500 * policy.Millisecond // past the grace, a server that was drained ends
+	staleListCorrectionDelay = 2 * policy.Second        // after which a stale list is put right
+	forever                  = policy.Micros(1 << 40)
 )
 
 // Plan makes the plan of the troubles.
@@ -91,35 +91,35 @@
 	p.InitialCount = len(p.Machines)
 	for _, t := range s.Disturbances {
 		first := len(p.Steps)
-		p.add(s, t, rng)
+		p.addDisturbance(s, t, rng)
 		if len(p.Steps) > first {
 			p.Steps[first].Event = fmt.Sprintf("%s: %s", t.Kind, DisturbanceKinds[t.Kind])
 		}
 	}
 	for i, b := range s.PeerFaults {
-		p.between(i, &b)
+		p.addPeerFault(i, &b)
 	}
 	sort.SliceStable(p.Steps, func(i, j int) bool { return p.Steps[i].At < p.Steps[j].At })
 	return p
 }
 
 // between plans a fault between nodes, which begins and ends, or does so by turns.
-func (p *Plan) between(i int, b *PeerFault) {
-	at, end := b.At.Micros(), (b.At + b.Duration).Micros()
-	if b.Duration == 0 {
-		end = forEver
+func (p *Plan) addPeerFault(index int, fault *PeerFault) {
+	at, end := fault.At.Micros(), (fault.At + fault.Duration).Micros()
+	if fault.Duration == 0 {
+		end = forever
 	}
-	p.Steps = append(p.Steps, Step{At: at, Action: PeerFaultStart, PeerFault: i, Event: fmt.Sprintf("%s: %s", b.Kind, PeerFaultKinds[b.Kind])})
-	if every := b.FlapInterval.Micros(); b.Kind == "flap" && b.Duration > 0 {
-		for t := at + every; t+every < end; t += 2 * every {
-			p.Steps = append(p.Steps, Step{At: t, Action: PeerFaultEnd, PeerFault: i}, Step{At: t + every, Action: PeerFaultStart, PeerFault: i})
+	p.Steps = append(p.Steps, Step{At: at, Action: PeerFaultStart, PeerFault: index, Event: fmt.Sprintf("%s: %s", fault.Kind, PeerFaultKinds[fault.Kind])})
+	if interval := fault.FlapInterval.Micros(); fault.Kind == "flap" && fault.Duration > 0 {
+		for t := at + interval; t+interval < end; t += 2 * interval {
+			p.Steps = append(p.Steps, Step{At: t, Action: PeerFaultEnd, PeerFault: index}, Step{At: t + interval, Action: PeerFaultStart, PeerFault: index})
 		}
 	}
-	p.Steps = append(p.Steps, Step{At: end, Action: PeerFaultEnd, PeerFault: i, Event: b.Kind + " ends"})
+	p.Steps = append(p.Steps, Step{At: end, Action: PeerFaultEnd, PeerFault: index, Event: fault.Kind + " ends"})
 }
 
 // hit draws the servers or nodes that a trouble is for.
-func (t *Disturbance) hit(all []int, rng *rand.Rand) []int {
+func (t *Disturbance) drawTargets(all []int, rng *rand.Rand) []int {
 	return DrawSubset(all, t.Count, t.Share, rng)
 }
 
@@ -132,15 +132,15 @@
 		n = max(1, int(share*float64(len(all))+0.5))
 	}
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	hit := all[:min(n, len(all))]
-	sort.Ints(hit)
-	return hit
+	subset := all[:min(n, len(all))]
+	sort.Ints(subset)
+	return subset
 }
 
-func (p *Plan) add(s *Scenario, t Disturbance, rng *rand.Rand) {
+func (p *Plan) addDisturbance(s *Scenario, t Disturbance, rng *rand.Rand) {
 	at, end := t.At.Micros(), (t.At + t.Duration).Micros()
 	if t.Duration == 0 {
-		end = forEver
+		end = forever
 	}
 	tier := s.TierIndex(t.Tier)
 	zone := -1
@@ -160,117 +160,117 @@
 			nodes = append(nodes, i)
 		}
 	}
-	step := func(x Step) { p.Steps = append(p.Steps, x) }
-	both := func(on, off Step) {
-		on.At, off.At = at, end
-		step(on)
-		step(off)
+	addStep := func(step Step) { p.Steps = append(p.Steps, step) }
+	addStartAndEnd := func(first, last Step) {
+		first.At, last.At = at, end
+		addStep(first)
+		addStep(last)
 	}
 	// gone takes a server away and brings it back cold, and the registry notices both.
-	gone := func(i int, how Action) {
-		step(Step{At: at, Action: how, Server: i})
-		step(Step{At: at + noticed, Action: ServerSetListed, Server: i, State: policy.Gone})
-		step(Step{At: max(end, at+noticed+1), Action: ServerStart, Server: i})
-		step(Step{At: max(end, at+noticed+1), Action: ServerSetListed, Server: i, State: policy.Ready})
+	failAndRestart := func(i int, action Action) {
+		addStep(Step{At: at, Action: action, Server: i})
+		addStep(Step{At: at + failureDetectionDelay, Action: ServerSetListed, Server: i, State: policy.Gone})
+		addStep(Step{At: max(end, at+failureDetectionDelay+1), Action: ServerStart, Server: i})
+		addStep(Step{At: max(end, at+failureDetectionDelay+1), Action: ServerSetListed, Server: i, State: policy.Ready})
 	}
 	// replace drains a server and puts a new cold one in its place.
-	replace := func(i int, when, left policy.Micros) {
+	replace := func(i int, drainAt, replacedAt policy.Micros) {
 		p.Machines = append(p.Machines, p.Machines[i])
-		next := len(p.Machines) - 1
-		step(Step{At: when, Action: ServerSetListed, Server: i, State: policy.Draining})
-		step(Step{At: left, Action: ServerStart, Server: next})
-		step(Step{At: left, Action: ServerSetListed, Server: next, State: policy.Ready})
-		step(Step{At: left, Action: ServerSetListed, Server: i, State: policy.Gone})
-		step(Step{At: left + s.Limits.DrainGrace.Micros() + exitAfter, Action: ServerCrash, Server: i})
+		replacement := len(p.Machines) - 1
+		addStep(Step{At: drainAt, Action: ServerSetListed, Server: i, State: policy.Draining})
+		addStep(Step{At: replacedAt, Action: ServerStart, Server: replacement})
+		addStep(Step{At: replacedAt, Action: ServerSetListed, Server: replacement, State: policy.Ready})
+		addStep(Step{At: replacedAt, Action: ServerSetListed, Server: i, State: policy.Gone})
+		addStep(Step{At: replacedAt + s.Limits.DrainGrace.Micros() + exitDelay, Action: ServerCrash, Server: i})
 	}
 	switch t.Kind {
 	case "slow":
-		for _, i := range t.hit(servers, rng) {
-			both(Step{Action: ServerSlow, Server: i, Factor: t.Factor}, Step{Action: ServerSlow, Server: i, Factor: 1})
+		for _, i := range t.drawTargets(servers, rng) {
+			addStartAndEnd(Step{Action: ServerSlow, Server: i, Factor: t.Factor}, Step{Action: ServerSlow, Server: i, Factor: 1})
 		}
 	case "stall":
-		for _, i := range t.hit(servers, rng) {
-			step(Step{At: at, Action: ServerStall, Server: i, Time: end})
+		for _, i := range t.drawTargets(servers, rng) {
+			addStep(Step{At: at, Action: ServerStall, Server: i, Time: end})
 		}
 	case "crash":
-		for _, i := range t.hit(servers, rng) {
-			gone(i, ServerCrash)
+		for _, i := range t.drawTargets(servers, rng) {
+			failAndRestart(i, ServerCrash)
 		}
 	case "lost":
-		for _, i := range t.hit(servers, rng) {
-			gone(i, ServerSilence)
+		for _, i := range t.drawTargets(servers, rng) {
+			failAndRestart(i, ServerSilence)
 		}
 	case "errors", "turned-away", "reset", "spoilt":
 		mode := map[string]ServerMode{"errors": ModeErrors, "turned-away": ModeReject, "reset": ModeReset, "spoilt": ModeCorrupt}[t.Kind]
-		for _, i := range t.hit(servers, rng) {
-			both(Step{Action: ServerSetMode, Server: i, Mode: mode}, Step{Action: ServerSetMode, Server: i})
+		for _, i := range t.drawTargets(servers, rng) {
+			addStartAndEnd(Step{Action: ServerSetMode, Server: i, Mode: mode}, Step{Action: ServerSetMode, Server: i})
 		}
 	case "drain":
-		for _, i := range t.hit(servers, rng) {
+		for _, i := range t.drawTargets(servers, rng) {
 			replace(i, at, max(end, at+1))
 		}
 	case "deploy":
-		hit := t.hit(servers, rng)
-		for n, i := range hit {
-			when := at + t.Duration.Micros()*policy.Micros(n)/policy.Micros(len(hit))
-			replace(i, when, when+s.Limits.DrainGrace.Micros())
+		targets := t.drawTargets(servers, rng)
+		for n, i := range targets {
+			drainAt := at + t.Duration.Micros()*policy.Micros(n)/policy.Micros(len(targets))
+			replace(i, drainAt, drainAt+s.Limits.DrainGrace.Micros())
 		}
 	case "list-lie":
-		for _, i := range t.hit(servers, rng) {
-			both(Step{Action: ServerSetListed, Server: i, State: policy.Gone}, Step{Action: ServerSetListed, Server: i, State: policy.Ready})
+		for _, i := range t.drawTargets(servers, rng) {
+			addStartAndEnd(Step{Action: ServerSetListed, Server: i, State: policy.Gone}, Step{Action: ServerSetListed, Server: i, State: policy.Ready})
 		}
 	case "registry-down":
-		both(Step{Action: RegistryDown}, Step{Action: RegistryUp})
+		addStartAndEnd(Step{Action: RegistryDown}, Step{Action: RegistryUp})
 	case "registry-slow":
-		both(Step{Action: RegistryDelay, Time: policy.Micros(t.Factor * float64(policy.Second))}, Step{Action: RegistryDelay})
+		addStartAndEnd(Step{Action: RegistryDelay, Time: policy.Micros(t.Factor * float64(policy.Second))}, Step{Action: RegistryDelay})
 	case "registry-stale":
-		step(Step{At: at, Action: RegistrySaveSnapshot})
-		both(Step{Action: RegistryDown}, Step{Action: RegistryServeSnapshot})
-		step(Step{At: end, Action: RegistryUp})
-		step(Step{At: end + corrected, Action: RegistryServeCurrent})
+		addStep(Step{At: at, Action: RegistrySaveSnapshot})
+		addStartAndEnd(Step{Action: RegistryDown}, Step{Action: RegistryServeSnapshot})
+		addStep(Step{At: end, Action: RegistryUp})
+		addStep(Step{At: end + staleListCorrectionDelay, Action: RegistryServeCurrent})
 	case "node-crash":
-		for _, i := range t.hit(nodes, rng) {
-			both(Step{Action: NodeCrash, Node: i}, Step{Action: NodeStart, Node: i})
+		for _, i := range t.drawTargets(nodes, rng) {
+			addStartAndEnd(Step{Action: NodeCrash, Node: i}, Step{Action: NodeStart, Node: i})
 		}
 	case "node-restart":
-		for _, i := range t.hit(nodes, rng) {
-			step(Step{At: at, Action: NodeTerminate, Node: i})
+		for _, i := range t.drawTargets(nodes, rng) {
+			addStep(Step{At: at, Action: NodeTerminate, Node: i})
 		}
 	case "node-pause":
-		for _, i := range t.hit(nodes, rng) {
-			both(Step{Action: NodePause, Node: i}, Step{Action: NodeResume, Node: i})
+		for _, i := range t.drawTargets(nodes, rng) {
+			addStartAndEnd(Step{Action: NodePause, Node: i}, Step{Action: NodeResume, Node: i})
 		}
 	case "node-empty", "node-move":
-		again := map[string]Action{"node-empty": NodeStartEmpty, "node-move": NodeStartMoved}[t.Kind]
-		for _, i := range t.hit(nodes, rng) {
-			both(Step{Action: NodeCrash, Node: i}, Step{Action: again, Node: i})
+		restart := map[string]Action{"node-empty": NodeStartEmpty, "node-move": NodeStartMoved}[t.Kind]
+		for _, i := range t.drawTargets(nodes, rng) {
+			addStartAndEnd(Step{Action: NodeCrash, Node: i}, Step{Action: restart, Node: i})
 		}
 	case "node-twin":
-		for _, i := range t.hit(nodes, rng) {
-			both(Step{Action: DuplicateNodeStart, Node: i}, Step{Action: DuplicateNodeEnd, Node: i})
+		for _, i := range t.drawTargets(nodes, rng) {
+			addStartAndEnd(Step{Action: DuplicateNodeStart, Node: i}, Step{Action: DuplicateNodeEnd, Node: i})
 		}
 	case "liar-down":
-		step(Step{At: at, Action: FalseReportsDown})
+		addStep(Step{At: at, Action: FalseReportsDown})
 	case "liar-well":
-		step(Step{At: at, Action: FalseReportsHealthy})
+		addStep(Step{At: at, Action: FalseReportsHealthy})
 	case "clock-step":
-		both(Step{Action: ClockStep, Time: policy.Micros(t.Factor * float64(policy.Second))}, Step{Action: ClockStep})
+		addStartAndEnd(Step{Action: ClockStep, Time: policy.Micros(t.Factor * float64(policy.Second))}, Step{Action: ClockStep})
 	case "slow-way":
-		both(Step{Action: ZoneDelay, Zone: zone, Time: policy.Micros(t.Factor * float64(policy.Second)), Factor: t.Share}, Step{Action: ZoneDelay, Zone: zone})
+		addStartAndEnd(Step{Action: ZoneDelay, Zone: zone, Time: policy.Micros(t.Factor * float64(policy.Second)), Factor: t.Share}, Step{Action: ZoneDelay, Zone: zone})
 	case "one-sided":
-		hit := t
-		hit.Share = 0 // which servers: count; the share is of pushes
-		for _, i := range hit.hit(servers, rng) {
-			both(Step{Action: PartialLoss, Server: i, Factor: t.Share}, Step{Action: PartialLoss, Server: i})
+		targets := t
+		targets.Share = 0 // which servers: count; the share is of pushes
+		for _, i := range targets.drawTargets(servers, rng) {
+			addStartAndEnd(Step{Action: PartialLoss, Server: i, Factor: t.Share}, Step{Action: PartialLoss, Server: i})
 		}
 	case "burst", "failing", "poison":
 		// Its arrivals are made with the load.
-		step(Step{At: at, Action: NoAction})
+		addStep(Step{At: at, Action: NoAction})
 	}
 }
 
 // heavyEach is which nodes get more than others under an uneven load.
-const heavyEach = 5
+const heavyNodeInterval = 5
 
 // Deal is the node of the first tier that the front deals a request to, by its turn.
 func (s *Scenario) AssignNode(turn int) int {
@@ -278,15 +278,15 @@
 	if s.Load.UnevenFactor == 0 {
 		return turn % nodes
 	}
-	heavy := (nodes + heavyEach - 1) / heavyEach
+	heavyNodes := (nodes + heavyNodeInterval - 1) / heavyNodeInterval
 	// Turns run over all shares evenly, by the golden section, so that no two requests in a row go by the same pattern.
-	const section = 0.6180339887498949
-	_, x := math.Modf(float64(turn) * section)
-	x *= float64(heavy)*s.Load.UnevenFactor + float64(nodes-heavy)
-	if own := float64(heavy) * s.Load.UnevenFactor; x < own {
-		return int(x/s.Load.UnevenFactor) * heavyEach
+	const goldenSection = 0.6180339887498949
+	_, position := math.Modf(float64(turn) * goldenSection)
+	position *= float64(heavyNodes)*s.Load.UnevenFactor + float64(nodes-heavyNodes)
+	if heavyTotal := float64(heavyNodes) * s.Load.UnevenFactor; position < heavyTotal {
+		return int(position/s.Load.UnevenFactor) * heavyNodeInterval
 	} else {
-		light := int(x - own)
-		return light/(heavyEach-1)*heavyEach + light%(heavyEach-1) + 1
+		lightIndex := int(position - heavyTotal)
+		return lightIndex/(heavyNodeInterval-1)*heavyNodeInterval + lightIndex%(heavyNodeInterval-1) + 1
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -285,214 +285,214 @@
 	s := &Scenario{}
 	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := decoder.Decode(s); err != nil {
-		return nil, located(err)
+		return nil, withPosition(err)
 	}
-	s.defaults()
-	if key, problem := s.check(); problem != "" {
-		line, column := position(raw, key)
+	s.setDefaults()
+	if key, problem := s.validate(); problem != "" {
+		line, column := keyPosition(raw, key)
 		return nil, fmt.Errorf("line %d, column %d: key %s: %s", line, column, key, problem)
 	}
 	return s, nil
 }
 
 // located turns the library's errors into one line with key, line and column.
-func located(err error) error {
+func withPosition(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		err = &unknown.Errors[0]
 	}
-	var at *toml.DecodeError
-	if errors.As(err, &at) {
-		line, column := at.Position()
-		return fmt.Errorf("line %d, column %d: key %s: %s", line, column, strings.Join(at.Key(), "."),
-			strings.TrimPrefix(strings.ReplaceAll(at.Error(), "\n", " "), "toml: "))
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, column := decodeError.Position()
+		return fmt.Errorf("line %d, column %d: key %s: %s", line, column, strings.Join(decodeError.Key(), "."),
+			strings.TrimPrefix(strings.ReplaceAll(decodeError.Error(), "\n", " "), "toml: "))
 	}
 	return err
 }
 
 // most is how many servers, and how many nodes, an experiment may have.
-const most = 20_000
+const maxFleetSize = 20_000
 
-func orElse[T comparable](value *T, fallback T) {
+func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
 		*value = fallback
 	}
 }
 
-const ms = Duration(policy.Millisecond)
+const millisecond = Duration(policy.Millisecond)
 
-func (s *Scenario) defaults() {
-	orElse(&s.Duration, 10000*ms)
-	orElse(&s.ShortDuration, min(s.Duration, 4000*ms))
-	orElse(&s.Driver, "live")
+func (s *Scenario) setDefaults() {
+	setDefault(&s.Duration, 10000*millisecond)
+	setDefault(&s.ShortDuration, min(s.Duration, 4000*millisecond))
+	setDefault(&s.Driver, "live")
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"a"}
 	}
-	orElse(&s.Load.Arrivals, "poisson")
-	orElse(&s.Load.MeanBurst, 8)
-	orElse(&s.Load.LeadTime, 300*ms)
-	orElse(&s.Load.RetryDelay, 50*ms)
+	setDefault(&s.Load.Arrivals, "poisson")
+	setDefault(&s.Load.MeanBurst, 8)
+	setDefault(&s.Load.LeadTime, 300*millisecond)
+	setDefault(&s.Load.RetryDelay, 50*millisecond)
 	for i := range s.Categories {
 		c := &s.Categories[i]
-		orElse(&c.Share, 1)
-		orElse(&c.Benefit, 1)
-		orElse(&c.Delivery, "redeliverable")
+		setDefault(&c.Share, 1)
+		setDefault(&c.Benefit, 1)
+		setDefault(&c.Delivery, "redeliverable")
 		if c.Delivery == "deduplicated" {
-			orElse(&c.DedupScope, "all")
-			orElse(&c.DedupWindow, c.TTL)
+			setDefault(&c.DedupScope, "all")
+			setDefault(&c.DedupWindow, c.TTL)
 		}
 	}
 	for i := range s.Tenants {
-		orElse(&s.Tenants[i].Share, 1)
+		setDefault(&s.Tenants[i].Share, 1)
 	}
 	for i := range s.Tiers {
 		t := &s.Tiers[i]
 		if i == 0 {
-			orElse(&t.NodeCount, 1)
+			setDefault(&t.NodeCount, 1)
 		}
 		for j := range t.MachineTypes {
 			k := &t.MachineTypes[j]
-			orElse(&k.Name, "std")
-			orElse(&k.Cores, 1)
-			orElse(&k.Speed, 1)
-			orElse(&k.QueueLimit, 64)
-			orElse(&k.IdleTimeout, 5000*ms)
-			orElse(&k.JamDelay, 1000*ms)
-			orElse(&k.JamSlowdown, 2)
-			orElse(&k.JamRecoveryTime, 2000*ms)
+			setDefault(&k.Name, "std")
+			setDefault(&k.Cores, 1)
+			setDefault(&k.Speed, 1)
+			setDefault(&k.QueueLimit, 64)
+			setDefault(&k.IdleTimeout, 5000*millisecond)
+			setDefault(&k.JamDelay, 1000*millisecond)
+			setDefault(&k.JamSlowdown, 2)
+			setDefault(&k.JamRecoveryTime, 2000*millisecond)
 		}
 	}
 	l := &s.Limits
-	orElse(&l.MaxPushes, 3)
-	orElse(&l.DialTimeout, 100*ms)
-	orElse(&l.Sockets, 1024)
-	orElse(&l.MemoryMB, 192)
-	orElse(&l.AnswerSlack, 20*ms)
-	orElse(&l.DrainGrace, 1500*ms)
-	orElse(&l.ColdInitialShare, 0.3)
-	orElse(&l.ColdWarmUpTime, 4000*ms)
-	orElse(&l.ColdOverloadFactor, 3)
-	orElse(&l.ColdOverloadWindow, 1000*ms)
-	orElse(&l.BeyondShareBenefit, 0.2)
-	orElse(&s.Registry.Mode, "watch")
-	orElse(&s.Registry.Delay, 100*ms)
-	orElse(&s.Network.Delay, ms/5)
-	orElse(&s.Network.Jitter, ms/10)
+	setDefault(&l.MaxPushes, 3)
+	setDefault(&l.DialTimeout, 100*millisecond)
+	setDefault(&l.Sockets, 1024)
+	setDefault(&l.MemoryMB, 192)
+	setDefault(&l.AnswerSlack, 20*millisecond)
+	setDefault(&l.DrainGrace, 1500*millisecond)
+	setDefault(&l.ColdInitialShare, 0.3)
+	setDefault(&l.ColdWarmUpTime, 4000*millisecond)
+	setDefault(&l.ColdOverloadFactor, 3)
+	setDefault(&l.ColdOverloadWindow, 1000*millisecond)
+	setDefault(&l.BeyondShareBenefit, 0.2)
+	setDefault(&s.Registry.Mode, "watch")
+	setDefault(&s.Registry.Delay, 100*millisecond)
+	setDefault(&s.Network.Delay, millisecond/5)
+	setDefault(&s.Network.Jitter, millisecond/10)
 	if s.Fleet != nil {
-		orElse(&s.Fleet.Share, 1)
+		setDefault(&s.Fleet.Share, 1)
 	}
 	for i := range s.PeerFaults {
 		b := &s.PeerFaults[i]
-		orElse(&b.FlapInterval, 300*ms)
-		orElse(&b.Factor, 0.2)
+		setDefault(&b.FlapInterval, 300*millisecond)
+		setDefault(&b.Factor, 0.2)
 	}
 	for i := range s.Disturbances {
 		t := &s.Disturbances[i]
-		orElse(&t.Factor, 3)
+		setDefault(&t.Factor, 3)
 		if len(s.Tiers) > 0 {
-			orElse(&t.Tier, s.Tiers[0].Name)
+			setDefault(&t.Tier, s.Tiers[0].Name)
 		}
 	}
 }
 
 // check gives the first key that no run can be made with, and what is wrong with it.
-func (s *Scenario) check() (key, problem string) {
-	bad := func(k, format string, args ...any) {
+func (s *Scenario) validate() (key, problem string) {
+	addProblem := func(k, format string, args ...any) {
 		if key == "" {
 			key, problem = k, fmt.Sprintf(format, args...)
 		}
 	}
-	among := func(k, value string, of ...string) {
-		if !slices.Contains(of, value) {
-			bad(k, "%q is not one of %s", value, strings.Join(of, ", "))
+	requireOneOf := func(k, value string, allowed ...string) {
+		if !slices.Contains(allowed, value) {
+			addProblem(k, "%q is not one of %s", value, strings.Join(allowed, ", "))
 		}
 	}
 	if s.Name == "" {
-		bad("name", "is missing")
+		addProblem("name", "is missing")
 	}
-	among("driver", s.Driver, "live", "sim")
-	among("load.arrivals", s.Load.Arrivals, "poisson", "bursty", "even")
-	among("registry.mode", s.Registry.Mode, "watch", "whole")
+	requireOneOf("driver", s.Driver, "live", "sim")
+	requireOneOf("load.arrivals", s.Load.Arrivals, "poisson", "bursty", "even")
+	requireOneOf("registry.mode", s.Registry.Mode, "watch", "whole")
 	if !(s.Load.Rate > 0) && s.Load.TraceFile == "" {
-		bad("load.rate", "is not above 0")
+		addProblem("load.rate", "is not above 0")
 	}
 	if s.Load.UnevenFactor < 0 {
-		bad("load.uneven", "%v is negative", s.Load.UnevenFactor)
+		addProblem("load.uneven", "%v is negative", s.Load.UnevenFactor)
 	}
 	if len(s.Categories) == 0 {
-		bad("category", "is missing: there must be one")
+		addProblem("category", "is missing: there must be one")
 	}
 	for i, c := range s.Categories {
-		at := fmt.Sprintf("category.%d.", i)
+		prefix := fmt.Sprintf("category.%d.", i)
 		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#%") {
-			bad(at+"name", "%q is no part of a path", c.Name)
+			addProblem(prefix+"name", "%q is no part of a path", c.Name)
 		}
 		if c.MeanWork <= 0 {
-			bad(at+"work", "is not above 0")
+			addProblem(prefix+"work", "is not above 0")
 		}
 		if c.TargetLatency <= 0 || c.TTL < c.TargetLatency {
-			bad(at+"target_latency", "%v ms is not above 0, or past the ttl of %v ms", c.TargetLatency.Milliseconds(), c.TTL.Milliseconds())
+			addProblem(prefix+"target_latency", "%v ms is not above 0, or past the ttl of %v ms", c.TargetLatency.Milliseconds(), c.TTL.Milliseconds())
 		}
 		if c.Share < 0 || c.WorkVariation < 0 || c.Benefit < 0 {
-			bad(at+"share", "share, spread and benefit must not be negative")
+			addProblem(prefix+"share", "share, spread and benefit must not be negative")
 		}
-		among(at+"repeat", c.Delivery, "redeliverable", "deduplicated", "at_most_once")
+		requireOneOf(prefix+"repeat", c.Delivery, "redeliverable", "deduplicated", "at_most_once")
 		if c.Delivery == "deduplicated" {
-			among(at+"scope", c.DedupScope, "all", "zone", "cell")
+			requireOneOf(prefix+"scope", c.DedupScope, "all", "zone", "cell")
 		}
 	}
 	if len(s.Tiers) == 0 {
-		bad("tier", "is missing: there must be one")
+		addProblem("tier", "is missing: there must be one")
 	}
 	for i, t := range s.Tiers {
-		at := fmt.Sprintf("tier.%d.", i)
+		prefix := fmt.Sprintf("tier.%d.", i)
 		if t.Name == "" || strings.ContainsAny(t.Name, ", ") {
-			bad(at+"name", "%q is no name", t.Name)
+			addProblem(prefix+"name", "%q is no name", t.Name)
 		}
 		if i > 0 && t.NodeCount != 0 {
-			bad(at+"nodes", "a later tier has a node for each server of the tier before")
+			addProblem(prefix+"nodes", "a later tier has a node for each server of the tier before")
 		}
 		if i == len(s.Tiers)-1 && t.CallsPerOp != 0 {
-			bad(at+"calls", "there is no next tier")
+			addProblem(prefix+"calls", "there is no next tier")
 		}
 		if t.NodeCount < 0 || t.CallsPerOp < 0 {
-			bad(at+"nodes", "nodes and calls must not be negative")
+			addProblem(prefix+"nodes", "nodes and calls must not be negative")
 		}
 		if len(t.MachineTypes) == 0 {
-			bad(at+"kind", "is missing: there must be one")
+			addProblem(prefix+"kind", "is missing: there must be one")
 		}
 		for j, k := range t.MachineTypes {
 			if k.Count < 1 || k.Cores < 1 || !(k.Speed > 0) || k.QueueLimit < 0 || k.CellSize < 0 {
-				bad(fmt.Sprintf("%skind.%d.count", at, j), "count, cores and speed must be above 0, queue and cell not under 0")
+				addProblem(fmt.Sprintf("%skind.%d.count", prefix, j), "count, cores and speed must be above 0, queue and cell not under 0")
 			}
 		}
 	}
 	machines, nodes := 0, 0
 	for i, t := range s.Tiers {
-		behind := machines
+		previousTiers := machines
 		for _, k := range t.MachineTypes {
-			if machines += min(k.Count, most+1); machines > most {
-				bad(fmt.Sprintf("tier.%d.kind", i), "more than %d servers in all", most)
+			if machines += min(k.Count, maxFleetSize+1); machines > maxFleetSize {
+				addProblem(fmt.Sprintf("tier.%d.kind", i), "more than %d servers in all", maxFleetSize)
 			}
 		}
-		if nodes += min(t.NodeCount, most+1); i < len(s.Tiers)-1 {
-			nodes += machines - behind
+		if nodes += min(t.NodeCount, maxFleetSize+1); i < len(s.Tiers)-1 {
+			nodes += machines - previousTiers
 		}
-		if nodes > most {
-			bad(fmt.Sprintf("tier.%d.nodes", i), "more than %d nodes in all", most)
+		if nodes > maxFleetSize {
+			addProblem(fmt.Sprintf("tier.%d.nodes", i), "more than %d nodes in all", maxFleetSize)
 		}
 	}
 	if s.Limits.MaxPushes < 1 || s.Limits.MaxPushes > 8 {
-		bad("limits.max_pushes", "%d is not from 1 to 8", s.Limits.MaxPushes)
+		addProblem("limits.max_pushes", "%d is not from 1 to 8", s.Limits.MaxPushes)
 	}
 	if !(s.Limits.ColdInitialShare > 0) || s.Limits.ColdInitialShare > 1 {
-		bad("limits.cold_from", "%v is not above 0 and at most 1", s.Limits.ColdInitialShare)
+		addProblem("limits.cold_from", "%v is not above 0 and at most 1", s.Limits.ColdInitialShare)
 	}
 	for i, t := range s.Disturbances {
-		at := fmt.Sprintf("trouble.%d.", i)
+		prefix := fmt.Sprintf("trouble.%d.", i)
 		if slices.Contains([]string{"node-move", "node-twin", "liar-down", "liar-well"}, t.Kind) && s.Fleet == nil {
-			bad(at+"kind", "there is no [fleet]: a node has no address for nodes")
+			addProblem(prefix+"kind", "there is no [fleet]: a node has no address for nodes")
 		}
 		if DisturbanceKinds[t.Kind] == "" {
 			kinds := make([]string, 0, len(DisturbanceKinds))
@@ -500,67 +500,67 @@
 				kinds = append(kinds, k)
 			}
 			sort.Strings(kinds)
-			among(at+"kind", t.Kind, kinds...)
+			requireOneOf(prefix+"kind", t.Kind, kinds...)
 		}
 		if slices.Contains(SimulatedOnly, t.Kind) && s.Driver != "sim" {
-			bad(at+"kind", "%q is made in simulated time alone: driver = \"sim\"", t.Kind)
+			addProblem(prefix+"kind", "%q is made in simulated time alone: driver = \"sim\"", t.Kind)
 		}
 		if slices.Contains(LiveOnly, t.Kind) && s.Driver != "live" {
-			bad(at+"kind", "%q needs processes: driver = \"live\"", t.Kind)
+			addProblem(prefix+"kind", "%q needs processes: driver = \"live\"", t.Kind)
 		}
 		if t.Kind == "slow-way" && t.Zone == "" {
-			bad(at+"zone", "is missing: the way between it and the others")
+			addProblem(prefix+"zone", "is missing: the way between it and the others")
 		}
 		if t.Zone != "" {
-			among(at+"zone", t.Zone, s.Zones...)
+			requireOneOf(prefix+"zone", t.Zone, s.Zones...)
 		}
 		if s.TierIndex(t.Tier) < 0 {
-			bad(at+"tier", "%q is no tier", t.Tier)
+			addProblem(prefix+"tier", "%q is no tier", t.Tier)
 		}
 		if !(t.Factor > 0) && t.Kind != "clock-step" {
-			bad(at+"factor", "is not above 0")
+			addProblem(prefix+"factor", "is not above 0")
 		}
 		if t.Share < 0 || t.Share > 1 || t.Count < 0 {
-			bad(at+"share", "%v is not from 0 to 1, or count is negative", t.Share)
+			addProblem(prefix+"share", "%v is not from 0 to 1, or count is negative", t.Share)
 		}
 		if t.Tenant != "" && !slices.ContainsFunc(s.Tenants, func(x Tenant) bool { return x.Name == t.Tenant }) {
-			bad(at+"tenant", "%q is no tenant", t.Tenant)
+			addProblem(prefix+"tenant", "%q is no tenant", t.Tenant)
 		}
 	}
-	s.checkBetween(bad)
+	s.validatePeerFaults(addProblem)
 	if c := s.Expect.Category; c != nil && !slices.ContainsFunc(s.Categories, func(x Category) bool { return x.Name == c.Name }) {
-		bad("expect.category.name", "%q is no category", c.Name)
+		addProblem("expect.category.name", "%q is no category", c.Name)
 	}
 	return key, problem
 }
 
-func (s *Scenario) checkBetween(bad func(key, format string, args ...any)) {
+func (s *Scenario) validatePeerFaults(addProblem func(key, format string, args ...any)) {
 	if s.Fleet != nil && (s.Fleet.Share < 0 || s.Fleet.Share > 1) {
-		bad("fleet.share", "%v is not from 0 to 1", s.Fleet.Share)
+		addProblem("fleet.share", "%v is not from 0 to 1", s.Fleet.Share)
 	}
 	for i, b := range s.PeerFaults {
-		at := fmt.Sprintf("between.%d.", i)
+		prefix := fmt.Sprintf("between.%d.", i)
 		total := 0
-		for _, part := range b.PartSizes {
-			if total += part; part < 1 {
-				bad(at+"parts", "%d is not above 0", part)
+		for _, size := range b.PartSizes {
+			if total += size; size < 1 {
+				addProblem(prefix+"parts", "%d is not above 0", size)
 			}
 		}
 		switch {
 		case PeerFaultKinds[b.Kind] == "":
-			bad(at+"kind", "%q is no fault between nodes", b.Kind)
+			addProblem(prefix+"kind", "%q is no fault between nodes", b.Kind)
 		case s.Fleet == nil:
-			bad(at+"kind", "there is no [fleet]: nodes say nothing to each other")
+			addProblem(prefix+"kind", "there is no [fleet]: nodes say nothing to each other")
 		case s.Driver != "live":
-			bad(at+"kind", "faults between nodes need processes: driver = \"live\"")
+			addProblem(prefix+"kind", "faults between nodes need processes: driver = \"live\"")
 		case (b.Kind == "groups" || b.Kind == "chain") && len(b.PartSizes) < 2:
-			bad(at+"parts", "there must be two or more")
+			addProblem(prefix+"parts", "there must be two or more")
 		case b.Share < 0 || b.Share > 1 || b.Count < 0:
-			bad(at+"share", "%v is not from 0 to 1, or count is negative", b.Share)
+			addProblem(prefix+"share", "%v is not from 0 to 1, or count is negative", b.Share)
 		case b.Kind != "slow" && b.Factor > 1 || b.Factor < 0:
-			bad(at+"factor", "%v is not from 0 to 1", b.Factor)
-		case b.Kind == "flap" && b.FlapInterval < 10*ms:
-			bad(at+"every", "%v ms is under 10 ms", b.FlapInterval.Milliseconds())
+			addProblem(prefix+"factor", "%v is not from 0 to 1", b.Factor)
+		case b.Kind == "flap" && b.FlapInterval < 10*millisecond:
+			addProblem(prefix+"every", "%v ms is under 10 ms", b.FlapInterval.Milliseconds())
 		}
 	}
 }
@@ -571,12 +571,12 @@
 }
 
 // position finds where a key stands, as "category.1.work" or, if it was left out, the table that it belongs to.
-func position(raw []byte, key string) (line, column int) {
+func keyPosition(raw []byte, key string) (line, column int) {
 	line, column = 1, 1
 	parser := unstable.Parser{}
 	parser.Reset(raw)
-	seen := map[string]int{} // of arrays of tables
-	at, best := "", 0
+	arrayLengths := map[string]int{} // of arrays of tables
+	table, bestLength := "", 0
 	for parser.NextExpression() {
 		e := parser.Expression()
 		var names []string
@@ -590,18 +590,18 @@
 		path := ""
 		switch e.Kind {
 		case unstable.Table:
-			at, path = resolve(names, seen), resolve(names, seen)
+			table, path = indexedPath(names, arrayLengths), indexedPath(names, arrayLengths)
 		case unstable.ArrayTable:
-			outer := resolve(names[:len(names)-1], seen)
+			outer := indexedPath(names[:len(names)-1], arrayLengths)
 			array := strings.TrimPrefix(outer+"."+names[len(names)-1], ".")
-			seen[array]++
-			at = fmt.Sprintf("%s.%d", array, seen[array]-1)
-			path = at
+			arrayLengths[array]++
+			table = fmt.Sprintf("%s.%d", array, arrayLengths[array]-1)
+			path = table
 		case unstable.KeyValue:
-			path = strings.TrimPrefix(at+"."+strings.Join(names, "."), ".")
+			path = strings.TrimPrefix(table+"."+strings.Join(names, "."), ".")
 		}
-		if (path == key || strings.HasPrefix(key, path+".")) && len(path) > best {
-			best = len(path)
+		if (path == key || strings.HasPrefix(key, path+".")) && len(path) > bestLength {
+			bestLength = len(path)
 			before := raw[:min(int(offset), len(raw))]
 			line = 1 + bytes.Count(before, []byte("\n"))
 			column = len(before) - bytes.LastIndexByte(before, '\n')
@@ -611,13 +611,13 @@
 }
 
 // resolve puts the number of the last table into each name that is an array of tables.
-func resolve(names []string, seen map[string]int) string {
-	at := ""
+func indexedPath(names []string, arrayLengths map[string]int) string {
+	path := ""
 	for _, name := range names {
-		at = strings.TrimPrefix(at+"."+name, ".")
-		if n := seen[at]; n > 0 {
-			at = fmt.Sprintf("%s.%d", at, n-1)
+		path = strings.TrimPrefix(path+"."+name, ".")
+		if n := arrayLengths[path]; n > 0 {
+			path = fmt.Sprintf("%s.%d", path, n-1)
 		}
 	}
-	return at
+	return path
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"canvasrouter/internal/lab/load/stream"
 )
 
-const small = `name = "x"
+const smallScenario = `name = "x"
 [load]
 rate = 10.0
 [[category]]
@@ -33,7 +33,7 @@
 `
 
 // An error names the line, the column and the key.
-func TestErrors(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`rate = 10.0`, `rate = 10.0` + "\nrates = 1", "line 4, column 1: key load.rates: "},
 		{`rate = 10.0`, `rate = "ten"`, "line 3, column 8: key load.rate: "},
@@ -49,7 +49,7 @@
 		{`ttl = "200ms"`, `ttl = "50ms"`, "key category.0.target_latency: "},
 		{`[load]`, `[load`, "line 2, column "},
 	} {
-		_, err := Parse([]byte(strings.Replace(small, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(smallScenario, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v, want %s", c.new, err, c.want)
 		}
@@ -57,8 +57,8 @@
 }
 
 // What an experiment makes of a node's configuration is one that the node takes.
-func TestConfigIsTaken(t *testing.T) {
-	s, err := Parse([]byte(small + "[[tenant]]\nname = \"a\"\nquota = 5.0\n"))
+func TestNodeConfigIsValid(t *testing.T) {
+	s, err := Parse([]byte(smallScenario + "[[tenant]]\nname = \"a\"\nquota = 5.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 
 // A plan is the same for the same seed, and takes back what it does.
 func TestPlan(t *testing.T) {
-	s, err := Parse([]byte(strings.ReplaceAll(small, `kind = "slow"`, "kind = \"deploy\"")))
+	s, err := Parse([]byte(strings.ReplaceAll(smallScenario, `kind = "slow"`, "kind = \"deploy\"")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 
 // FuzzParse: whatever the file holds, reading it ends with an experiment that can be planned or with one line.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallScenario))
 	f.Add([]byte("name = \"x\"\n[[tier]]\n[[tier.kind]]\ncount = -1\n[[trouble]]\nkind = \"drain\"\nshare = 2.0"))
 	f.Add([]byte("[load]\nrate = nan\n[[category]]\nwork = \"1h\"\n[[category.x]]\n"))
 	f.Add([]byte("name = 'x'\n\"tier\" = [{name = \"a\", kind = [{count = 1}]}]\nload.rate = 1.0\n"))
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -13,365 +13,365 @@
 	"canvasrouter/policy"
 )
 
-func keyText(op ledger.OpID) string { return strconv.Itoa(int(op)) }
+func dedupKey(op ledger.OpID) string { return strconv.Itoa(int(op)) }
 
 // balancer is one node: the real actor, on a clock of its own that this driver moves.
-type balancer struct {
+type simNode struct {
 	scenario.Node
-	run        *run
-	place      int
-	node       *node.Node
-	module     *policy.Node
-	clock      *node.Clock
-	up         bool
-	leaving    bool          // SIGTERM came
-	found      policy.Micros // when the front takes it for up or down, after a change
-	lives      int
-	slack      policy.Micros
-	hands      []*hand
-	flights    []*flight
-	byRequest  map[*node.Request]*hand
-	wakes      policy.Micros
-	subscribed bool
-	generation uint64
+	run         *run
+	globalIndex int
+	actor       *node.Node
+	module      *policy.Node
+	clock       *node.Clock
+	up          bool
+	draining    bool          // SIGTERM came
+	lastSeenUp  policy.Micros // when the front takes it for up or down, after a change
+	incarnation int
+	answerSlack policy.Micros
+	requests    []*request
+	pushes      []*simPush
+	byRequest   map[*node.Request]*request
+	wakeAt      policy.Micros
+	subscribed  bool
+	generation  uint64
 }
 
 // handle is a push as the node knows it.
-type handle = *node.Push
+type nodePush = *node.Push
 
 // hand is one request at a node.
-type hand struct {
-	op       ledger.OpID
-	arrival  *load.Arrival
-	category int
-	notAfter policy.Micros // the client's end, as it told
-	repeated bool
-	then     func(ledger.Verdict) // told once, at the client
-	advice   policy.Micros
+type request struct {
+	op         ledger.OpID
+	arrival    *load.Arrival
+	category   int
+	deadline   policy.Micros // the client's end, as it told
+	isRetry    bool
+	onEnd      func(ledger.Verdict) // told once, at the client
+	retryAfter policy.Micros
 
-	try      ledger.TryID
-	node     *node.Op
-	acked    *flight // whose answer it got
-	over     bool    // for its client
-	answered bool    // by the node
+	try       ledger.TryID
+	nodeOp    *node.Op
+	ackedPush *simPush // whose answer it got
+	ended     bool     // for its client
+	answered  bool     // by the node
 }
 
 // start makes a new node with the list of the beginning.
-func (b *balancer) start() {
-	r := b.run
-	c, most, err := r.options(b.Node)
+func (n *simNode) start() {
+	r := n.run
+	c, maxPendingOps, err := r.nodeOptions(n.Node)
 	if err != nil {
 		r.err = err
 		return
 	}
-	b.lives++
-	b.up, b.leaving, b.subscribed, b.generation = true, false, false, 1
-	b.clock = node.NewSimulatedClock(r.now)
-	b.byRequest = make(map[*node.Request]*hand)
-	b.wakes = 0
+	n.incarnation++
+	n.up, n.draining, n.subscribed, n.generation = true, false, false, 1
+	n.clock = node.NewSimulatedClock(r.now)
+	n.byRequest = make(map[*node.Request]*request)
+	n.wakeAt = 0
 	var decider policy.Decider
-	decider, b.module = r.decider(c, stream.New(r.Seed, "node "+strconv.Itoa(b.place)+" "+strconv.Itoa(b.lives)).Uint64())
+	decider, n.module = r.newDecider(c, stream.New(r.Seed, "node "+strconv.Itoa(n.globalIndex)+" "+strconv.Itoa(n.incarnation)).Uint64())
 	if r.err != nil {
 		return
 	}
-	b.slack = trial.AnswerSlack(r.Fault, c.AnswerSlack)
-	b.node = node.New(node.Options{MostOpen: min(most, c.MostOpen), Slack: b.slack}, decider, b.clock, quiet)
-	known := &node.List{Form: policy.ListCached}
-	r.account.RecordNodeStart(b.place)
+	n.answerSlack = trial.AnswerSlack(r.Fault, c.AnswerSlack)
+	n.actor = node.New(node.Options{MostOpen: min(maxPendingOps, c.MostOpen), Slack: n.answerSlack}, decider, n.clock, discardLogger)
+	cachedList := &node.List{Form: policy.ListCached}
+	r.ledger.RecordNodeStart(n.globalIndex)
 	for i, m := range r.plan.Machines[:r.plan.InitialCount] {
-		if m.Tier == b.Tier {
-			entries, _ := r.list(m.RegistryEntry(i))
-			known.Entries = append(known.Entries, entries...)
-			known.Addrs = append(known.Addrs, "")
-			r.account.RecordServerState(b.place, i, policy.Ready, 0, r.now)
+		if m.Tier == n.Tier {
+			entries, _ := r.policyEntries(m.RegistryEntry(i))
+			cachedList.Entries = append(cachedList.Entries, entries...)
+			cachedList.Addrs = append(cachedList.Addrs, "")
+			r.ledger.RecordServerState(n.globalIndex, i, policy.Ready, 0, r.now)
 		}
 	}
-	b.node.Start(b, b, known)
-	b.work()
+	n.actor.Start(n, n, cachedList)
+	n.runPending()
 }
 
 // work lets the node do what has come and is due, then sees what it did.
-func (b *balancer) work() {
+func (b *simNode) runPending() {
 	b.clock.Set(b.run.now)
-	next, set := b.node.Turn()
-	b.look()
-	if set && (b.wakes <= b.run.now || next < b.wakes) {
-		b.wakes = next
-		life := b.lives
-		b.run.at(next, func() {
-			if b.up && b.lives == life && b.wakes == next {
-				b.wakes = 0
-				b.work()
+	next, set := b.actor.Turn()
+	b.collectResults()
+	if set && (b.wakeAt <= b.run.now || next < b.wakeAt) {
+		b.wakeAt = next
+		incarnation := b.incarnation
+		b.run.schedule(next, func() {
+			if b.up && b.incarnation == incarnation && b.wakeAt == next {
+				b.wakeAt = 0
+				b.runPending()
 			}
 		})
 	}
 }
 
 // look finds the ops that were answered and the pushes that were given up.
-func (b *balancer) look() {
-	kept := b.hands[:0]
-	for _, h := range b.hands {
+func (b *simNode) collectResults() {
+	kept := b.requests[:0]
+	for _, h := range b.requests {
 		select {
-		case a := <-h.node.Answered():
-			b.answer(h, a)
+		case answer := <-h.nodeOp.Answered():
+			b.sendAnswer(h, answer)
 		default:
 			kept = append(kept, h)
 		}
 	}
-	for i := len(kept); i < len(b.hands); i++ {
-		b.hands[i] = nil
+	for i := len(kept); i < len(b.requests); i++ {
+		b.requests[i] = nil
 	}
-	b.hands = kept
-	flying := b.flights[:0]
-	for _, f := range b.flights {
-		if f.handle.Context.Err() == nil {
-			flying = append(flying, f)
+	b.requests = kept
+	pending := b.pushes[:0]
+	for _, f := range b.pushes {
+		if f.nodePush.Context.Err() == nil {
+			pending = append(pending, f)
 			continue
 		}
-		b.giveUp(f)
+		b.cancelPush(f)
 	}
-	for i := len(flying); i < len(b.flights); i++ {
-		b.flights[i] = nil
+	for i := len(pending); i < len(b.pushes); i++ {
+		b.pushes[i] = nil
 	}
-	b.flights = flying
-	if b.leaving && len(b.hands) == 0 && len(b.flights) == 0 {
-		b.leaving = false
+	b.pushes = pending
+	if b.draining && len(b.requests) == 0 && len(b.pushes) == 0 {
+		b.draining = false
 		b.up = false
-		b.run.at(b.run.now+100*policy.Millisecond, b.start)
+		b.run.schedule(b.run.now+100*policy.Millisecond, b.start)
 	}
 }
 
 // giveUp closes a push's connection, and tells the node that it ended so.
-func (b *balancer) giveUp(f *flight) {
-	if !f.given {
-		f.given = true
-		b.run.at(b.run.now+b.run.hop(), func() { f.to.leave(f) })
+func (b *simNode) cancelPush(f *simPush) {
+	if !f.cancelled {
+		f.cancelled = true
+		b.run.schedule(b.run.now+b.run.networkDelay(), func() { f.to.connectionClosed(f) })
 		if !f.answered {
 			f.answered = true
-			b.run.at(b.run.now, func() { b.tell(f, policy.Cancelled) })
+			b.run.schedule(b.run.now, func() { b.endPush(f, policy.Cancelled) })
 		}
 	}
 }
 
 // answer carries the node's answer to the client.
-func (b *balancer) answer(h *hand, a node.Answer) {
+func (b *simNode) sendAnswer(h *request, answer node.Answer) {
 	h.answered = true
-	delete(b.byRequest, &h.node.Request)
-	a.Body.Release()
+	delete(b.byRequest, &h.nodeOp.Request)
+	answer.Body.Release()
 	verdict := map[node.Verdict]ledger.Verdict{node.Acked: ledger.Served, node.Nacked: ledger.Nacked,
-		node.DeadLettered: ledger.Failed, node.Left: ledger.ClientLeft}[a.Verdict]
+		node.DeadLettered: ledger.Failed, node.Left: ledger.ClientLeft}[answer.Verdict]
 	if verdict == ledger.ClientLeft {
 		return
 	}
-	h.advice = a.RetryAfter
-	if verdict == ledger.Served && h.acked != nil {
-		b.run.account.RecordServedBy(h.acked.push)
+	h.retryAfter = answer.RetryAfter
+	if verdict == ledger.Served && h.ackedPush != nil {
+		b.run.ledger.RecordServedBy(h.ackedPush.id)
 	}
-	b.run.at(b.run.now+b.run.hop(), func() { h.end(b.run, verdict) })
+	b.run.schedule(b.run.now+b.run.networkDelay(), func() { h.finish(b.run, verdict) })
 }
 
 // end is what the client saw of its request.
-func (h *hand) end(r *run, verdict ledger.Verdict) {
-	r.account.RecordTryEnd(h.try, r.now, verdict)
-	if !h.over {
-		h.over = true
-		h.then(verdict)
+func (h *request) finish(r *run, verdict ledger.Verdict) {
+	r.ledger.RecordTryEnd(h.try, r.now, verdict)
+	if !h.ended {
+		h.ended = true
+		h.onEnd(verdict)
 	}
 }
 
 // take is a client's request on its way to the node.
-func (b *balancer) take(h *hand) {
+func (b *simNode) submit(h *request) {
 	r := b.run
-	h.try = r.account.RecordTry(h.op, b.place, r.now, h.notAfter)
-	left := h.notAfter - r.now
-	r.at(r.now+r.hop(), func() { b.arrive(h, left) })
+	h.try = r.ledger.RecordTry(h.op, b.globalIndex, r.now, h.deadline)
+	timeLeft := h.deadline - r.now
+	r.schedule(r.now+r.networkDelay(), func() { b.arrive(h, timeLeft) })
 	// A client that hears nothing stays a little past the last moment for an answer, so that a late one is seen.
-	last := h.notAfter + r.Scenario.Limits.AnswerSlack.Micros() + r.account.Tolerance() + watch
-	r.at(last, func() {
-		if !h.over {
-			h.end(r, ledger.Unanswered)
+	waitEnd := h.deadline + r.Scenario.Limits.AnswerSlack.Micros() + r.ledger.Tolerance() + lateAnswerWindow
+	r.schedule(waitEnd, func() {
+		if !h.ended {
+			h.finish(r, ledger.Unanswered)
 			b.abandon(h)
 		}
 	})
 }
 
-func (b *balancer) arrive(h *hand, left policy.Micros) {
+func (b *simNode) arrive(h *request, timeLeft policy.Micros) {
 	r := b.run
-	if !b.up || b.leaving {
-		r.at(r.now+r.hop(), func() { h.end(r, ledger.Refused) })
+	if !b.up || b.draining {
+		r.schedule(r.now+r.networkDelay(), func() { h.finish(r, ledger.Refused) })
 		return
 	}
 	op := node.NewOp()
 	op.Body, _ = node.ReadPayload(strings.NewReader(""), 0)
 	op.Category = policy.CategoryID(h.category)
 	op.Tenant = policy.TenantID(max(0, h.arrival.Tenant))
-	op.NotAfter = r.now + max(0, left)/policy.Millisecond*policy.Millisecond
-	op.Repeated = h.repeated
-	h.node = op
+	op.NotAfter = r.now + max(0, timeLeft)/policy.Millisecond*policy.Millisecond
+	op.Repeated = h.isRetry
+	h.nodeOp = op
 	b.byRequest[&op.Request] = h
-	b.hands = append(b.hands, h)
+	b.requests = append(b.requests, h)
 	b.clock.Set(r.now)
-	b.node.Arrive(op)
-	b.work()
+	b.actor.Arrive(op)
+	b.runPending()
 }
 
 // abandon tells the node that the client has left.
-func (b *balancer) abandon(h *hand) {
-	if b.up && h.node != nil && !h.answered {
+func (b *simNode) abandon(h *request) {
+	if b.up && h.nodeOp != nil && !h.answered {
 		b.clock.Set(b.run.now)
-		b.node.Abandon(h.node)
-		b.work()
+		b.actor.Abandon(h.nodeOp)
+		b.runPending()
 	}
 }
 
 // Push implements node.Servers.
-func (b *balancer) Push(p *node.Push) {
+func (b *simNode) Push(p *node.Push) {
 	r := b.run
 	h := b.byRequest[p.Request]
 	p.Begin() // simulated connections are up at once
-	to, known := r.byID[p.Server]
-	f := &flight{node: b, handle: p, hand: h, push: -1}
-	b.flights = append(b.flights, f)
+	serverIndex, known := r.serverIndexByID[p.Server]
+	f := &simPush{from: b, nodePush: p, request: h, id: -1}
+	b.pushes = append(b.pushes, f)
 	if h == nil || !known {
 		f.to = r.servers[0]
 		f.answered = true
-		r.at(r.now, func() { b.tell(f, policy.ConnectFailed) })
+		r.schedule(r.now, func() { b.endPush(f, policy.ConnectFailed) })
 		return
 	}
-	f.to, f.arrival, f.try = r.servers[to], h.arrival, h.try
-	f.work, f.until = h.arrival.WorkByTier[b.Tier], r.now+p.For
-	if way, lost := r.way(b, f.to); !lost {
-		r.at(r.now+r.hop()+way, func() { f.to.arrive(f) })
+	f.to, f.arrival, f.try = r.servers[serverIndex], h.arrival, h.try
+	f.work, f.deadline = h.arrival.WorkByTier[b.Tier], r.now+p.For
+	if extraDelay, lost := r.pathImpairment(b, f.to); !lost {
+		r.schedule(r.now+r.networkDelay()+extraDelay, func() { f.to.arrive(f) })
 	}
 }
 
 // Follow implements node.Servers: nothing is kept that a list would change.
-func (b *balancer) Follow(*node.List) {}
+func (b *simNode) Follow(*node.List) {}
 
 // CloseIdle does nothing: simulated connections don't die unseen.
-func (b *balancer) CloseIdle(policy.ServerID) {}
+func (b *simNode) CloseIdle(policy.ServerID) {}
 
 // ended is an outcome that came back over the network.
-func (b *balancer) ended(f *flight, how policy.Outcome) {
-	if !f.given || how == policy.Reset {
-		f.given = true
-		b.tell(f, how)
+func (b *simNode) receiveOutcome(f *simPush, outcome policy.Outcome) {
+	if !f.cancelled || outcome == policy.Reset {
+		f.cancelled = true
+		b.endPush(f, outcome)
 	}
 }
 
 // tell ends a push at its node, if that still lives.
-func (b *balancer) tell(f *flight, how policy.Outcome) {
-	f.handle.Body.Close()
+func (b *simNode) endPush(f *simPush, outcome policy.Outcome) {
+	f.nodePush.Body.Close()
 	if !b.up || b.byRequest == nil {
 		return
 	}
-	for i, other := range b.flights {
+	for i, other := range b.pushes {
 		if other == f {
-			b.flights = append(b.flights[:i], b.flights[i+1:]...)
+			b.pushes = append(b.pushes[:i], b.pushes[i+1:]...)
 			break
 		}
 	}
-	if how == policy.Acked && f.hand.acked == nil && !f.hand.answered {
-		f.hand.acked = f
+	if outcome == policy.Acked && f.request.ackedPush == nil && !f.request.answered {
+		f.request.ackedPush = f
 	}
 	b.clock.Set(b.run.now)
-	b.node.Ended(f.handle, node.Result{Outcome: how})
-	b.work()
+	b.actor.Ended(f.nodePush, node.Result{Outcome: outcome})
+	b.runPending()
 }
 
 // crash ends the node without a word.
-func (b *balancer) crash() {
+func (b *simNode) crash() {
 	r := b.run
 	if !b.up {
 		return
 	}
-	b.up, b.subscribed, b.leaving = false, false, false
-	r.account.RecordNodeCrash(b.place, r.now)
-	for _, f := range b.flights {
-		if !f.given {
-			f.given, f.answered = true, true
-			f.handle.Body.Close()
-			r.at(r.now+r.hop(), func() { f.to.leave(f) })
+	b.up, b.subscribed, b.draining = false, false, false
+	r.ledger.RecordNodeCrash(b.globalIndex, r.now)
+	for _, f := range b.pushes {
+		if !f.cancelled {
+			f.cancelled, f.answered = true, true
+			f.nodePush.Body.Close()
+			r.schedule(r.now+r.networkDelay(), func() { f.to.connectionClosed(f) })
 		}
 	}
-	for _, h := range b.hands {
-		r.at(r.now+r.hop(), func() { h.end(r, ledger.ConnectionLost) })
+	for _, h := range b.requests {
+		r.schedule(r.now+r.networkDelay(), func() { h.finish(r, ledger.ConnectionLost) })
 	}
-	b.flights, b.hands, b.byRequest = nil, nil, nil
+	b.pushes, b.requests, b.byRequest = nil, nil, nil
 }
 
 // terminate begins a planned restart: nothing new is taken, what is in hand is finished.
-func (b *balancer) terminate() {
+func (b *simNode) terminate() {
 	if b.up {
-		b.leaving = true
-		b.look()
+		b.draining = true
+		b.collectResults()
 	}
 }
 
 // Watch implements node.Registry. It is called from inside the node, so what it comes to is told later.
-func (b *balancer) Watch() {
-	r, life := b.run, b.lives
-	if r.down {
-		r.at(r.now+2*r.hop(), func() { b.listed(life, &node.List{Form: policy.ListFailed}) })
+func (b *simNode) Watch() {
+	r, incarnation := b.run, b.incarnation
+	if r.registryDown {
+		r.schedule(r.now+2*r.networkDelay(), func() { b.deliverList(incarnation, &node.List{Form: policy.ListFailed}) })
 		return
 	}
-	r.at(r.now+r.hop()+r.slow, func() {
-		if b.up && b.lives == life && !r.down {
+	r.schedule(r.now+r.networkDelay()+r.registryDelay, func() {
+		if b.up && b.incarnation == incarnation && !r.registryDown {
 			b.subscribed = true
-			b.send(true)
-		} else if b.up && b.lives == life {
-			b.listed(life, &node.List{Form: policy.ListFailed})
+			b.sendList(true)
+		} else if b.up && b.incarnation == incarnation {
+			b.deliverList(incarnation, &node.List{Form: policy.ListFailed})
 		}
 	})
 }
 
 // unsubscribe is the registry going down: the watch breaks.
-func (b *balancer) unsubscribe() {
+func (b *simNode) breakWatch() {
 	if b.subscribed {
 		b.subscribed = false
-		b.listed(b.lives, &node.List{Form: policy.ListFailed})
+		b.deliverList(b.incarnation, &node.List{Form: policy.ListFailed})
 	}
 }
 
-func (b *balancer) listed(life int, list *node.List) {
-	if b.up && b.lives == life {
+func (b *simNode) deliverList(incarnation int, list *node.List) {
+	if b.up && b.incarnation == incarnation {
 		b.clock.Set(b.run.now)
-		b.node.Listed(list)
-		b.work()
+		b.actor.Listed(list)
+		b.runPending()
 	}
 }
 
 // hear tells what has changed, to one that watches.
-func (b *balancer) hear() {
+func (b *simNode) notifyChanged() {
 	if b.up && b.subscribed {
-		b.send(false)
+		b.sendList(false)
 	}
 }
 
-func (b *balancer) send(first bool) {
+func (b *simNode) sendList(first bool) {
 	r := b.run
 	catalog := r.catalogs[b.Tier]
 	if catalog.Generation() == b.generation && !first {
 		return
 	}
-	entries, whole := catalog.Since(b.generation)
+	entries, full := catalog.Since(b.generation)
 	b.generation = catalog.Generation()
 	list := &node.List{Form: policy.ListChanges}
-	if whole {
+	if full {
 		list.Form = policy.ListWhole
 	}
-	list.Entries, list.Addrs = r.list(entries...)
+	list.Entries, list.Addrs = r.policyEntries(entries...)
 	listed := make(map[int]bool)
 	for _, e := range entries {
 		listed[e.Server] = true
-		r.account.RecordServerState(b.place, e.Server, e.State, e.Started, r.now)
+		r.ledger.RecordServerState(b.globalIndex, e.Server, e.State, e.Started, r.now)
 	}
-	if whole {
+	if full {
 		for i := range r.servers {
 			if r.servers[i].machine.Tier == b.Tier && !listed[i] {
-				r.account.RecordServerState(b.place, i, policy.Gone, r.servers[i].started, r.now)
+				r.ledger.RecordServerState(b.globalIndex, i, policy.Gone, r.servers[i].started, r.now)
 			}
 		}
 	}
-	b.listed(b.lives, list)
+	b.deliverList(b.incarnation, list)
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -10,31 +10,31 @@
 
 // server is one server of the fleet: the model, and the connections that nodes keep to it.
 type server struct {
-	run     *run
-	place   int
-	machine scenario.Machine
-	model   *fleet.Server
-	node    *balancer // its own, before the next tier
-	up      bool
-	silent  bool // down without a word
-	mode    scenario.ServerMode
-	started policy.Micros
-	wakes   policy.Micros
-	idle    map[*balancer][]policy.Micros // connections kept, by when each fell idle
-	open    int
+	run             *run
+	index           int
+	machine         scenario.Machine
+	model           *fleet.Server
+	nextTierNode    *simNode // its own, before the next tier
+	up              bool
+	silent          bool // down without a word
+	mode            scenario.ServerMode
+	started         policy.Micros
+	wakeAt          policy.Micros
+	idleConnections map[*simNode][]policy.Micros // connections kept, by when each fell idle
+	openConnections int
 }
 
-func newServer(r *run, place int, m scenario.Machine, up bool) *server {
-	return &server{run: r, place: place, machine: m, up: up, wakes: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
-		idle: make(map[*balancer][]policy.Micros)}
+func newServer(r *run, index int, m scenario.Machine, up bool) *server {
+	return &server{run: r, index: index, machine: m, up: up, wakeAt: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
+		idleConnections: make(map[*simNode][]policy.Micros)}
 }
 
 func (s *server) start() {
-	s.up, s.silent, s.started, s.open = true, false, s.run.now, 0
-	clear(s.idle)
+	s.up, s.silent, s.started, s.openConnections = true, false, s.run.now, 0
+	clear(s.idleConnections)
 	s.model.Start(s.run.now)
-	if s.node != nil && !s.node.up {
-		s.node.start() // a server's own node starts with it
+	if s.nextTierNode != nil && !s.nextTierNode.up {
+		s.nextTierNode.start() // a server's own node starts with it
 	}
 }
 
@@ -43,77 +43,77 @@
 	if !s.up {
 		return
 	}
-	s.up, s.open = false, 0
-	clear(s.idle)
+	s.up, s.openConnections = false, 0
+	clear(s.idleConnections)
 	for _, j := range s.model.Crash() {
-		f := j.Note.(*flight)
-		s.book(j, f)
+		f := j.Note.(*simPush)
+		s.recordJob(j, f)
 		if !s.silent {
 			f.answer(policy.Reset)
 		}
 	}
-	if s.node != nil {
-		s.node.crash()
+	if s.nextTierNode != nil {
+		s.nextTierNode.crash()
 	}
 }
 
 // die is what an op does to the server of a life that begins it. The registry notices late, as with other deaths.
-func (s *server) die(life, down policy.Micros) {
+func (s *server) killedByOp(serverStart, downFor policy.Micros) {
 	r := s.run
-	if !s.up || s.started != life {
+	if !s.up || s.started != serverStart {
 		return
 	}
 	s.crash()
-	r.at(r.now+policy.Second, func() {
+	r.schedule(r.now+policy.Second, func() {
 		if !s.up {
-			r.listed(s.place, policy.Gone)
+			r.setListed(s.index, policy.Gone)
 		}
 	})
-	r.at(r.now+down, func() {
+	r.schedule(r.now+downFor, func() {
 		if !s.up {
 			s.start()
-			r.listed(s.place, policy.Ready)
+			r.setListed(s.index, policy.Ready)
 		}
 	})
 }
 
 // connect takes a connection for a push, and says what it costs the server.
-func (s *server) connect(n *balancer) (price policy.Micros, room bool) {
-	kept := s.idle[n]
-	for len(kept) > 0 && s.run.now-kept[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
-		kept = kept[1:]
-		s.open--
+func (s *server) connect(n *simNode) (cost policy.Micros, ok bool) {
+	idle := s.idleConnections[n]
+	for len(idle) > 0 && s.run.now-idle[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
+		idle = idle[1:]
+		s.openConnections--
 	}
-	if len(kept) > 0 {
-		s.idle[n] = kept[:len(kept)-1]
+	if len(idle) > 0 {
+		s.idleConnections[n] = idle[:len(idle)-1]
 		return 0, true
 	}
-	s.idle[n] = kept
-	if most := s.machine.Type.MaxConnections; most > 0 && s.open >= most {
+	s.idleConnections[n] = idle
+	if maxConnections := s.machine.Type.MaxConnections; maxConnections > 0 && s.openConnections >= maxConnections {
 		return 0, false
 	}
-	s.open++
+	s.openConnections++
 	return s.machine.Type.ConnectionCost.Micros(), true
 }
 
 // disconnect gives a connection back; one of a push that was given up is closed.
-func (s *server) disconnect(f *flight) {
-	if !f.connected || f.life != s.started {
+func (s *server) disconnect(f *simPush) {
+	if !f.connected || f.serverStart != s.started {
 		return
 	}
 	f.connected = false
-	if f.given {
-		s.open--
+	if f.cancelled {
+		s.openConnections--
 		return
 	}
-	s.idle[f.node] = append(s.idle[f.node], s.run.now)
+	s.idleConnections[f.from] = append(s.idleConnections[f.from], s.run.now)
 }
 
 // arrive is a push's last byte at the server.
-func (s *server) arrive(f *flight) {
+func (s *server) arrive(f *simPush) {
 	r := s.run
 	switch {
-	case f.given:
+	case f.cancelled:
 		return // closed before it got here
 	case !s.up && s.silent:
 		return
@@ -121,10 +121,10 @@
 		f.answer(policy.ConnectFailed)
 		return
 	}
-	f.push = r.account.RecordPush(f.try, s.place, r.now)
-	f.arrived, f.life = true, s.started
-	price, room := s.connect(f.node)
-	if !room {
+	f.id = r.ledger.RecordPush(f.try, s.index, r.now)
+	f.arrived, f.serverStart = true, s.started
+	cost, connected := s.connect(f.from)
+	if !connected {
 		f.answer(policy.Full)
 		return
 	}
@@ -141,23 +141,23 @@
 		f.answer(policy.Errored)
 		return
 	}
-	key, category := r.account.OpOf(f.try)
-	memory := r.memory(category, s.machine)
-	if memory != nil && memory.Repeat(r.now, keyText(key)) {
+	key, category := r.ledger.OpOf(f.try)
+	memory := r.dedupMemory(category, s.machine)
+	if memory != nil && memory.Repeat(r.now, dedupKey(key)) {
 		f.answer(policy.Acked)
 		return
 	}
-	f.key = keyText(key)
-	f.job = &fleet.Job{Work: f.work + price, Told: r.account.KnowsServerStart(f.node.place, s.place, s.started), Note: f}
-	got := s.model.Arrive(r.now, f.job)
-	r.account.RecordPeakLoad(s.model.Pressed())
-	switch got {
+	f.key = dedupKey(key)
+	f.job = &fleet.Job{Work: f.work + cost, Told: r.ledger.KnowsServerStart(f.from.globalIndex, s.index, s.started), Note: f}
+	result := s.model.Arrive(r.now, f.job)
+	r.ledger.RecordPeakLoad(s.model.Pressed())
+	switch result {
 	case fleet.Taken:
-		if down := f.arrival.KillsFor; down > 0 && f.arrival.KillTier == s.machine.Tier {
-			r.at(r.now+policy.Millisecond, func() { s.die(f.life, down) })
+		if downFor := f.arrival.KillsFor; downFor > 0 && f.arrival.KillTier == s.machine.Tier {
+			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(f.serverStart, downFor) })
 		}
 	case fleet.Tips, fleet.TipsUnseen:
-		r.account.RecordCollapse(s.place, got == fleet.Tips)
+		r.ledger.RecordCollapse(s.index, result == fleet.Tips)
 		fallthrough
 	default:
 		if memory != nil {
@@ -166,138 +166,138 @@
 		f.job = nil
 		f.answer(policy.Full)
 	}
-	s.wake()
+	s.scheduleWake()
 }
 
 // wake sets the event at which the next job's own work is over.
-func (s *server) wake() {
+func (s *server) scheduleWake() {
 	next := s.model.Next()
-	if next == fleet.Never || s.wakes <= next && s.wakes > s.run.now {
+	if next == fleet.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
 		return
 	}
-	s.wakes = next
-	s.run.at(next, func() {
-		if s.wakes != next {
+	s.wakeAt = next
+	s.run.schedule(next, func() {
+		if s.wakeAt != next {
 			return
 		}
-		s.wakes = fleet.Never
+		s.wakeAt = fleet.Never
 		for _, j := range s.model.Advance(s.run.now) {
-			s.done(j)
+			s.jobDone(j)
 		}
-		s.wake()
+		s.scheduleWake()
 	})
 }
 
 // book writes down what a job was. One that never ran is no repeat's first.
-func (s *server) book(j *fleet.Job, f *flight) {
+func (s *server) recordJob(j *fleet.Job, f *simPush) {
 	if j.Begun() {
-		s.run.account.RecordEffect(f.push)
-		s.run.account.RecordWork(f.push, j.Work)
+		s.run.ledger.RecordEffect(f.id)
+		s.run.ledger.RecordWork(f.id, j.Work)
 		return
 	}
-	_, category := s.run.account.OpOf(f.try)
-	if memory := s.run.memory(category, s.machine); memory != nil {
+	_, category := s.run.ledger.OpOf(f.try)
+	if memory := s.run.dedupMemory(category, s.machine); memory != nil {
 		memory.Forget(f.key)
 	}
 }
 
 // done is the end of a job's own work. What it needs of the next tier comes now, one call after another.
-func (s *server) done(j *fleet.Job) {
-	f := j.Note.(*flight)
-	s.book(j, f)
+func (s *server) jobDone(j *fleet.Job) {
+	f := j.Note.(*simPush)
+	s.recordJob(j, f)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
 		calls = f.arrival.CallsByTier[s.machine.Tier]
 	}
-	s.call(j, f, calls)
+	s.callNextTier(j, f, calls)
 }
 
-func (s *server) call(j *fleet.Job, f *flight, left int) {
-	life := s.started
-	if left == 0 {
+func (s *server) callNextTier(j *fleet.Job, f *simPush, callsLeft int) {
+	serverStart := s.started
+	if callsLeft == 0 {
 		s.finish(j, f, policy.Acked)
 		return
 	}
 	now := s.run.now
-	_, category := s.run.account.OpOf(f.try)
-	until := now + s.run.Scenario.Categories[category].TTL.Micros()
+	_, category := s.run.ledger.OpOf(f.try)
+	deadline := now + s.run.Scenario.Categories[category].TTL.Micros()
 	if s.run.Scenario.Limits.PassesDeadline {
-		until = min(until, f.until)
+		deadline = min(deadline, f.deadline)
 	}
-	op := s.run.account.RecordOp(now, category, f.arrival.Tenant, s.machine.Tier+1)
-	s.node.take(&hand{op: op, arrival: f.arrival, category: category, notAfter: until, then: func(v ledger.Verdict) {
-		if s.started != life || !s.up {
+	op := s.run.ledger.RecordOp(now, category, f.arrival.Tenant, s.machine.Tier+1)
+	s.nextTierNode.submit(&request{op: op, arrival: f.arrival, category: category, deadline: deadline, onEnd: func(v ledger.Verdict) {
+		if s.started != serverStart || !s.up {
 			return // it has died since
 		}
 		if v != ledger.Served {
 			s.finish(j, f, policy.Errored)
 			return
 		}
-		s.call(j, f, left-1)
+		s.callNextTier(j, f, callsLeft-1)
 	}})
 }
 
-func (s *server) finish(j *fleet.Job, f *flight, how policy.Outcome) {
+func (s *server) finish(j *fleet.Job, f *simPush, outcome policy.Outcome) {
 	switch s.mode {
 	case scenario.ModeReset:
-		how = policy.Reset
+		outcome = policy.Reset
 	case scenario.ModeCorrupt:
-		how = policy.Errored
+		outcome = policy.Errored
 	}
-	f.answer(how)
+	f.answer(outcome)
 	s.model.Release(s.run.now, j)
-	s.wake()
+	s.scheduleWake()
 }
 
 // leave is a push's connection closing before its answer.
-func (s *server) leave(f *flight) {
-	if f.job == nil || f.life != s.started || !s.up {
+func (s *server) connectionClosed(f *simPush) {
+	if f.job == nil || f.serverStart != s.started || !s.up {
 		return
 	}
 	if s.model.Leave(s.run.now, f.job) {
-		s.book(f.job, f)
+		s.recordJob(f.job, f)
 	}
 	s.disconnect(f)
-	s.wake()
+	s.scheduleWake()
 }
 
 // memory is that of a category's group, or nil.
-func (r *run) memory(category int, m scenario.Machine) *fleet.Memory {
-	return r.memories.Get(r.Scenario, category, m, r.account.Tolerance())
+func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.Memory {
+	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
 // flight is one push on its way, at a server, or on its way back.
-type flight struct {
-	node      *balancer
-	to        *server
-	hand      *hand
-	arrival   *load.Arrival
-	try       ledger.TryID
-	push      ledger.PushID
-	job       *fleet.Job
-	key       string
-	work      policy.Micros
-	until     policy.Micros // the end that the node told the server
-	life      policy.Micros // of the server, when it arrived
-	arrived   bool
-	connected bool
-	given     bool // up by the node
-	answered  bool
-	handle    handle
+type simPush struct {
+	from        *simNode
+	to          *server
+	request     *request
+	arrival     *load.Arrival
+	try         ledger.TryID
+	id          ledger.PushID
+	job         *fleet.Job
+	key         string
+	work        policy.Micros
+	deadline    policy.Micros // the end that the node told the server
+	serverStart policy.Micros // of the server, when it arrived
+	arrived     bool
+	connected   bool
+	cancelled   bool // up by the node
+	answered    bool
+	nodePush    nodePush
 }
 
 // answer sends a push's outcome back.
-func (f *flight) answer(how policy.Outcome) {
+func (f *simPush) answer(outcome policy.Outcome) {
 	if f.answered {
 		return
 	}
 	f.answered = true
-	if how == policy.Reset {
-		f.given = true // the connection is no more
+	if outcome == policy.Reset {
+		f.cancelled = true // the connection is no more
 	}
 	f.to.disconnect(f)
-	r := f.node.run
-	if way, lost := r.way(f.node, f.to); !lost {
-		r.at(r.now+r.hop()+way, func() { f.node.ended(f, how) })
+	r := f.from.run
+	if extraDelay, lost := r.pathImpairment(f.from, f.to); !lost {
+		r.schedule(r.now+r.networkDelay()+extraDelay, func() { f.from.receiveOutcome(f, outcome) })
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -35,11 +35,11 @@
 }
 
 const (
-	start          = 1000 * policy.Second     // of the load, on the simulated clock
-	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sample         = 250 * policy.Millisecond // between looks at the throttles
-	unseen         = policy.Second            // until the front leaves out a node that has died
-	BucketDuration = 500 * policy.Millisecond // of the report's buckets
+	loadStart              = 1000 * policy.Second     // of the load, on the simulated clock
+	lateAnswerWindow       = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
+	throttleSampleInterval = 250 * policy.Millisecond // between looks at the throttles
+	nodeDownDetection      = policy.Second            // until the front leaves out a node that has died
+	BucketDuration         = 500 * policy.Millisecond // of the report's buckets
 )
 
 type event struct {
@@ -48,18 +48,18 @@
 	do    func()
 }
 
-type events struct {
+type eventQueue struct {
 	heap []event
 	next uint64
 }
 
-func (e *events) Len() int { return len(e.heap) }
-func (e *events) Less(i, j int) bool {
+func (e *eventQueue) Len() int { return len(e.heap) }
+func (e *eventQueue) Less(i, j int) bool {
 	return e.heap[i].at < e.heap[j].at || e.heap[i].at == e.heap[j].at && e.heap[i].order < e.heap[j].order
 }
-func (e *events) Swap(i, j int) { e.heap[i], e.heap[j] = e.heap[j], e.heap[i] }
-func (e *events) Push(x any)    { e.heap = append(e.heap, x.(event)) }
-func (e *events) Pop() any {
+func (e *eventQueue) Swap(i, j int) { e.heap[i], e.heap[j] = e.heap[j], e.heap[i] }
+func (e *eventQueue) Push(x any)    { e.heap = append(e.heap, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := e.heap[len(e.heap)-1]
 	e.heap[len(e.heap)-1] = event{}
 	e.heap = e.heap[:len(e.heap)-1]
@@ -69,32 +69,32 @@
 // run is one experiment being played.
 type run struct {
 	Options
-	account  *ledger.Ledger
-	events   events
-	now      policy.Micros
-	rng      *rand.Rand // of the network
-	plan     *scenario.Plan
-	servers  []*server
-	nodes    []*balancer
-	catalogs []*registry.Catalog // by tier
-	slow     policy.Micros       // registry's further delay
-	down     bool
-	memories scenario.DedupMemories
-	byID     map[policy.ServerID]int
-	turn     int // of the front
-	step     policy.Micros
-	ways     []scenario.Step // by zone: what its way to the others does
-	hidden   []float64       // by server: share of the pushes of half of the nodes that is lost
-	err      error
+	ledger          *ledger.Ledger
+	events          eventQueue
+	now             policy.Micros
+	rng             *rand.Rand // of the network
+	plan            *scenario.Plan
+	servers         []*server
+	nodes           []*simNode
+	catalogs        []*registry.Catalog // by tier
+	registryDelay   policy.Micros       // registry's further delay
+	registryDown    bool
+	memories        scenario.DedupMemories
+	serverIndexByID map[policy.ServerID]int
+	frontTurn       int // of the front
+	clockStep       policy.Micros
+	zoneDelays      []scenario.Step // by zone: what its way to the others does
+	lostPushShare   []float64       // by server: share of the pushes of half of the nodes that is lost
+	err             error
 }
 
 // Run plays an experiment to its end, or until ctx is done; then the result is partial.
 func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
 	s := o.Scenario
-	r := &run{Options: o, now: start - s.Load.LeadTime.Micros(), rng: stream.New(o.Seed, "network"),
-		account:  ledger.New(s, start, BucketDuration, true),
+	r := &run{Options: o, now: loadStart - s.Load.LeadTime.Micros(), rng: stream.New(o.Seed, "network"),
+		ledger:   ledger.New(s, loadStart, BucketDuration, true),
 		plan:     s.Plan(stream.New(o.Seed, "troubles")),
-		memories: make(scenario.DedupMemories), byID: make(map[policy.ServerID]int)}
+		memories: make(scenario.DedupMemories), serverIndexByID: make(map[policy.ServerID]int)}
 	r.build()
 	if r.err != nil {
 		return nil, nil, r.err
@@ -102,33 +102,33 @@
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
 		if step.At < o.LoadDuration {
-			r.at(start+step.At, func() { r.carryOut(step) })
+			r.schedule(loadStart+step.At, func() { r.applyStep(step) })
 		}
 	}
 	for i := range o.Arrivals {
 		a := &o.Arrivals[i]
-		r.at(start+a.At, func() { r.offer(a) })
+		r.schedule(loadStart+a.At, func() { r.startClientOp(a) })
 	}
-	longest := policy.Micros(0)
+	maxTTL := policy.Micros(0)
 	for _, c := range s.Categories {
-		longest = max(longest, c.TTL.Micros())
+		maxTTL = max(maxTTL, c.TTL.Micros())
 	}
-	end := start + o.LoadDuration + longest + s.Limits.AnswerSlack.Micros() + 2*watch + policy.Second
-	r.every(start, sample, r.sample)
+	end := loadStart + o.LoadDuration + maxTTL + s.Limits.AnswerSlack.Micros() + 2*lateAnswerWindow + policy.Second
+	r.schedulePeriodic(loadStart, throttleSampleInterval, r.sampleThrottles)
 	if o.OnSecond != nil {
-		r.every(start, policy.Second, func() { o.OnSecond(r.now-start, r.account) })
+		r.schedulePeriodic(loadStart, policy.Second, func() { o.OnSecond(r.now-loadStart, r.ledger) })
 	}
-	partial := r.play(ctx, end)
+	partial := r.processEvents(ctx, end)
 	if partial {
-		r.account.Abort(r.now)
+		r.ledger.Abort(r.now)
 	}
-	result := r.account.Finish(start + min(o.LoadDuration, r.now-start))
+	result := r.ledger.Finish(loadStart + min(o.LoadDuration, r.now-loadStart))
 	result.Partial = partial
-	return result, r.account, r.err
+	return result, r.ledger, r.err
 }
 
 // play works off events up to a moment.
-func (r *run) play(ctx context.Context, end policy.Micros) (partial bool) {
+func (r *run) processEvents(ctx context.Context, end policy.Micros) (partial bool) {
 	for n := 0; len(r.events.heap) > 0 && r.events.heap[0].at <= end && r.err == nil; n++ {
 		if n%1024 == 0 && ctx.Err() != nil {
 			return true
@@ -140,54 +140,54 @@
 	return false
 }
 
-func (r *run) at(when policy.Micros, do func()) {
+func (r *run) schedule(when policy.Micros, do func()) {
 	r.events.next++
 	heap.Push(&r.events, event{max(when, r.now), r.events.next, do})
 }
 
-func (r *run) every(first, span policy.Micros, do func()) {
-	r.at(first, func() {
+func (r *run) schedulePeriodic(first, interval policy.Micros, do func()) {
+	r.schedule(first, func() {
 		do()
-		if r.now < start+r.LoadDuration {
-			r.every(r.now+span, span, do)
+		if r.now < loadStart+r.LoadDuration {
+			r.schedulePeriodic(r.now+interval, interval, do)
 		}
 	})
 }
 
 // hop is one way through the network.
-func (r *run) hop() policy.Micros {
+func (r *run) networkDelay() policy.Micros {
 	return r.Scenario.Network.Delay.Micros() + policy.Micros(r.rng.Float64()*float64(r.Scenario.Network.Jitter))
 }
 
 // way is what lies between a node and a server beyond the network's own time, and whether it loses what it carries now.
-func (r *run) way(b *balancer, s *server) (longer policy.Micros, lost bool) {
+func (r *run) pathImpairment(from *simNode, to *server) (extraDelay policy.Micros, lost bool) {
 	loss := 0.0
-	if b.Zone != s.machine.Zone {
-		for _, zone := range []int{b.Zone, s.machine.Zone} {
-			longer = max(longer, r.ways[zone].Time)
-			loss = max(loss, r.ways[zone].Factor)
+	if from.Zone != to.machine.Zone {
+		for _, zone := range []int{from.Zone, to.machine.Zone} {
+			extraDelay = max(extraDelay, r.zoneDelays[zone].Time)
+			loss = max(loss, r.zoneDelays[zone].Factor)
 		}
 	}
-	if b.Tier == 0 && b.place%2 == 0 {
-		loss = max(loss, r.hidden[s.place])
+	if from.Tier == 0 && from.globalIndex%2 == 0 {
+		loss = max(loss, r.lostPushShare[to.index])
 	}
-	return longer, loss > 0 && r.rng.Float64() < loss
+	return extraDelay, loss > 0 && r.rng.Float64() < loss
 }
 
 // id is a server's, a hash as at real nodes, so that the module's order of servers is no order of ours.
-func id(place int) policy.ServerID {
+func serverID(index int) policy.ServerID {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "s-%d", place)
+	fmt.Fprintf(h, "s-%d", index)
 	return policy.ServerID(h.Sum64() >> 16)
 }
 
 func (r *run) build() {
 	s := r.Scenario
-	r.ways, r.hidden = make([]scenario.Step, len(s.Zones)), make([]float64, len(r.plan.Machines))
+	r.zoneDelays, r.lostPushShare = make([]scenario.Step, len(s.Zones)), make([]float64, len(r.plan.Machines))
 	standing := make([][]registry.Entry, len(s.Tiers))
 	for i, m := range r.plan.Machines {
 		r.servers = append(r.servers, newServer(r, i, m, i < r.plan.InitialCount))
-		r.byID[id(i)] = i
+		r.serverIndexByID[serverID(i)] = i
 		if i < r.plan.InitialCount {
 			standing[m.Tier] = append(standing[m.Tier], m.RegistryEntry(i))
 		}
@@ -196,9 +196,9 @@
 		r.catalogs = append(r.catalogs, registry.NewCatalog(entries, s.Registry.Mode == "whole"))
 	}
 	for i, b := range s.Nodes() {
-		n := &balancer{run: r, place: i, Node: b}
+		n := &simNode{run: r, globalIndex: i, Node: b}
 		if b.Server >= 0 {
-			r.servers[b.Server].node = n
+			r.servers[b.Server].nextTierNode = n
 		}
 		r.nodes = append(r.nodes, n)
 		n.start()
@@ -206,26 +206,26 @@
 }
 
 // list is the catalog's entries as the module takes them.
-func (r *run) list(entries ...registry.Entry) ([]policy.Entry, []string) {
+func (r *run) policyEntries(entries ...registry.Entry) ([]policy.Entry, []string) {
 	var out []policy.Entry
 	for _, e := range entries {
-		out = append(out, policy.Entry{Server: id(e.Server), Started: e.Started, Weight: e.Weight,
+		out = append(out, policy.Entry{Server: serverID(e.Server), Started: e.Started, Weight: e.Weight,
 			Cell: policy.CellID(e.Cell), Kind: policy.KindID(e.Kind), Zone: policy.ZoneID(e.Zone), State: e.State})
 	}
 	return out, make([]string, len(out))
 }
 
 // carryOut does one step of the plan.
-func (r *run) carryOut(step *scenario.Step) {
+func (r *run) applyStep(step *scenario.Step) {
 	if step.Event != "" {
-		r.account.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-start)/1e6, step.Event))
+		r.ledger.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-loadStart)/1e6, step.Event))
 	}
 	server := r.servers[step.Server]
 	switch step.Action {
 	case scenario.ServerSlow:
 		server.model.Slow(step.Factor)
 	case scenario.ServerStall:
-		server.model.Stall(r.now, start+step.Time)
+		server.model.Stall(r.now, loadStart+step.Time)
 	case scenario.ServerCrash:
 		server.crash()
 	case scenario.ServerSilence:
@@ -236,16 +236,16 @@
 	case scenario.ServerSetMode:
 		server.mode = step.Mode
 	case scenario.ServerSetListed:
-		r.listed(step.Server, step.State)
+		r.setListed(step.Server, step.State)
 	case scenario.RegistryDown:
-		r.down = true
+		r.registryDown = true
 		for _, n := range r.nodes {
-			n.unsubscribe()
+			n.breakWatch()
 		}
 	case scenario.RegistryUp:
-		r.down = false
+		r.registryDown = false
 	case scenario.RegistryDelay:
-		r.slow = step.Time
+		r.registryDelay = step.Time
 	case scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot, scenario.RegistryServeCurrent:
 		for _, c := range r.catalogs {
 			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: c.Freeze, scenario.RegistryServeSnapshot: c.Thaw,
@@ -259,63 +259,63 @@
 	case scenario.NodeTerminate:
 		r.nodes[step.Node].terminate()
 	case scenario.ClockStep:
-		r.step = step.Time
+		r.clockStep = step.Time
 	case scenario.ZoneDelay:
-		r.ways[step.Zone] = *step
+		r.zoneDelays[step.Zone] = *step
 	case scenario.PartialLoss:
-		r.hidden[step.Server] = step.Factor
+		r.lostPushShare[step.Server] = step.Factor
 	}
 }
 
-func (r *run) listed(place int, state policy.ServerState) {
-	m := r.plan.Machines[place]
-	e, known := r.catalogs[m.Tier].Entry(place)
+func (r *run) setListed(server int, state policy.ServerState) {
+	m := r.plan.Machines[server]
+	e, known := r.catalogs[m.Tier].Entry(server)
 	if !known {
-		e = m.RegistryEntry(place)
+		e = m.RegistryEntry(server)
 	}
-	e.State, e.Started = state, r.servers[place].started
+	e.State, e.Started = state, r.servers[server].started
 	r.catalogs[m.Tier].Set(e)
 	r.publish()
 }
 
 // publish tells those who watch, later.
 func (r *run) publish() {
-	r.at(r.now+r.Scenario.Registry.Delay.Micros()+r.slow, func() {
+	r.schedule(r.now+r.Scenario.Registry.Delay.Micros()+r.registryDelay, func() {
 		for _, n := range r.nodes {
-			n.hear()
+			n.notifyChanged()
 		}
 	})
 }
 
 // sample books the throttles of the first node.
-func (r *run) sample() {
+func (r *run) sampleThrottles() {
 	n := r.nodes[0]
 	if n.module == nil || !n.up {
 		return
 	}
-	n.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+	n.module.Throttles(func(server policy.ServerID, rate float64, cutoffLevel int) {
 		name := "all"
 		if server != 0 {
-			name = fmt.Sprintf("s-%d", r.byID[server])
+			name = fmt.Sprintf("s-%d", r.serverIndexByID[server])
 		}
-		r.account.RecordThrottle(r.now, ledger.Throttle{Server: name, Rate: rate, CutoffLevel: cut})
+		r.ledger.RecordThrottle(r.now, ledger.Throttle{Server: name, Rate: rate, CutoffLevel: cutoffLevel})
 	})
 }
 
 // options are a node's own, from the configuration that a real one would get.
-func (r *run) options(b scenario.Node) (*config.Config, int, error) {
-	c, err := config.Parse(r.Scenario.NodeConfig(b, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
+func (r *run) nodeOptions(n scenario.Node) (*config.Config, int, error) {
+	c, err := config.Parse(r.Scenario.NodeConfig(n, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
 	if err != nil {
 		return nil, 0, err
 	}
-	_, _, _, most := sockets.Split(c.Sockets)
-	return c, most, nil
+	_, _, _, maxPendingOps := sockets.Split(c.Sockets)
+	return c, maxPendingOps, nil
 }
 
-var quiet = zerolog.Nop()
+var discardLogger = zerolog.Nop()
 
 // decider is the module, or what stands in its place.
-func (r *run) decider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
+func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
 	d, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
 	if err != nil {
 		r.err = err
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -17,7 +17,7 @@
 	"canvasrouter/policy"
 )
 
-func read(t *testing.T, name string) *scenario.Scenario {
+func readScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Read(experiments.Files, name+".toml")
 	if err != nil {
@@ -26,7 +26,7 @@
 	return s
 }
 
-func play(t *testing.T, s *scenario.Scenario, o Options) *ledger.Result {
+func runScenario(t *testing.T, s *scenario.Scenario, o Options) *ledger.Result {
 	t.Helper()
 	o.Scenario = s
 	if o.LoadDuration == 0 {
@@ -44,7 +44,7 @@
 
 // Every experiment keeps the rules with the module and with each baseline, but for cold-fleet, which no baseline keeps; the same seed gives the same bytes, another
 // seed others. The full size of "large" is left to canvaslab run.
-func TestExperiments(t *testing.T) {
+func TestExperimentsKeepRules(t *testing.T) {
 	files, _ := fs.Glob(experiments.Files, "*.toml")
 	if len(files) < 10 {
 		t.Fatalf("%d experiments", len(files))
@@ -53,29 +53,29 @@
 		name := strings.TrimSuffix(file, ".toml")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := read(t, name)
+			s := readScenario(t, name)
 			if name == "large" {
 				s.Tiers[0].NodeCount, s.Tiers[0].MachineTypes[0].Count, s.Load.Rate = 10, 40, 180
 			}
-			for _, p := range trial.Policies {
-				one := play(t, s, Options{Policy: p, Seed: 2})
+			for _, policyName := range trial.Policies {
+				result := runScenario(t, s, Options{Policy: policyName, Seed: 2})
 				want := ""
-				if name == "cold-fleet" && p != trial.Module {
+				if name == "cold-fleet" && policyName != trial.Module {
 					want = "cold" // a baseline has no ramp, and here all nodes together are enough to push a server over
 				}
-				if got := strings.Join(one.BrokenRules, " "); got != want {
-					t.Errorf("%s breaks %q, not %q: %v", p, got, want, one.BreachMessages)
+				if got := strings.Join(result.BrokenRules, " "); got != want {
+					t.Errorf("%s breaks %q, not %q: %v", policyName, got, want, result.BreachMessages)
 				}
-				if p != trial.Module {
+				if policyName != trial.Module {
 					continue
 				}
-				a, _ := json.Marshal(one)
-				b, _ := json.Marshal(play(t, s, Options{Policy: p, Seed: 2}))
-				c, _ := json.Marshal(play(t, s, Options{Policy: p, Seed: 3}))
-				if diff := cmp.Diff(string(a), string(b)); diff != "" {
+				first, _ := json.Marshal(result)
+				sameSeed, _ := json.Marshal(runScenario(t, s, Options{Policy: policyName, Seed: 2}))
+				otherSeed, _ := json.Marshal(runScenario(t, s, Options{Policy: policyName, Seed: 3}))
+				if diff := cmp.Diff(string(first), string(sameSeed)); diff != "" {
 					t.Error("another run from the same seed")
 				}
-				if string(a) == string(c) {
+				if string(first) == string(otherSeed) {
 					t.Error("the seed changes nothing")
 				}
 			}
@@ -84,10 +84,10 @@
 }
 
 // Each rule broken on purpose is seen, and none besides the one meant.
-func TestFaults(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	for fault, rule := range trial.Faults {
-		s := read(t, map[string]string{"drain": "drain", "cold": "rolling-deploy", "answer": "steady", "effect": "steady"}[rule])
-		r := play(t, s, Options{Fault: fault, Seed: 1})
+		s := readScenario(t, map[string]string{"drain": "drain", "cold": "rolling-deploy", "answer": "steady", "effect": "steady"}[rule])
+		r := runScenario(t, s, Options{Fault: fault, Seed: 1})
 		if diff := cmp.Diff([]string{rule}, r.BrokenRules); diff != "" {
 			t.Errorf("%s: %s", fault, diff)
 		}
@@ -96,20 +96,20 @@
 
 // What runs for clients that have left is work for nobody, and no breach; clients whose clock steps get their answers
 // within what they said.
-func TestLeavingAndClocks(t *testing.T) {
-	s := read(t, "leaving-clients")
-	r := play(t, s, Options{Seed: 4, LoadDuration: s.Duration.Micros()})
+func TestLeavingClientsAndClockSteps(t *testing.T) {
+	s := readScenario(t, "leaving-clients")
+	r := runScenario(t, s, Options{Seed: 4, LoadDuration: s.Duration.Micros()})
 	if r.ClientLeft == 0 || r.WastedWork == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("left %d, wasted %v, broken %v", r.ClientLeft, r.WastedWork, r.BrokenRules)
 	}
 	for _, step := range []float64{-2, 2} {
-		s := read(t, "leaving-clients")
+		s := readScenario(t, "leaving-clients")
 		for i := range s.Disturbances {
 			if s.Disturbances[i].Kind == "clock-step" {
 				s.Disturbances[i].Factor, s.Disturbances[i].At = step, 0
 			}
 		}
-		if r := play(t, s, Options{Seed: 4}); len(r.BrokenRules) > 0 {
+		if r := runScenario(t, s, Options{Seed: 4}); len(r.BrokenRules) > 0 {
 			t.Errorf("clocks off by %v s: %v", step, r.BreachMessages)
 		}
 	}
@@ -117,9 +117,9 @@
 
 // A node that dies loses only what it held. Were its clients' ops not excused, the rule would be seen broken.
 func TestNodeCrash(t *testing.T) {
-	s := read(t, "node-crash")
+	s := readScenario(t, "node-crash")
 	s.Load.Retries, s.Load.Rate = 0, 300
-	r := play(t, s, Options{Seed: 1})
+	r := runScenario(t, s, Options{Seed: 1})
 	if r.LostToCrash == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("lost to the crash %d, broken %v %v", r.LostToCrash, r.BrokenRules, r.BreachMessages)
 	}
@@ -127,8 +127,8 @@
 
 // A push that is on its way as its server drains, or dies, counts from when its node was told; one server after the
 // other drains each 100 ms, with the grace at nothing but the hop.
-func TestDrainAtTheMomentOfASend(t *testing.T) {
-	s := read(t, "drain")
+func TestDrainDuringPush(t *testing.T) {
+	s := readScenario(t, "drain")
 	s.Limits.DrainGrace, s.Load.Rate = scenario.Duration(50*policy.Millisecond), 300
 	s.Disturbances, s.Registry = nil, scenario.Registry{Mode: "watch", Delay: scenario.Duration(5 * policy.Millisecond)}
 	for i := range 30 {
@@ -136,18 +136,18 @@
 			Duration: scenario.Duration(70_000), Tier: "front", Count: 2, Factor: 1})
 	}
 	for seed := range uint64(5) {
-		if r := play(t, s, Options{Seed: seed}); len(r.BrokenRules) > 0 {
+		if r := runScenario(t, s, Options{Seed: seed}); len(r.BrokenRules) > 0 {
 			t.Errorf("seed %d: %v", seed, r.BreachMessages)
 		}
-		if r := play(t, s, Options{Seed: seed, Fault: "drained-send"}); len(r.BrokenRules) == 0 {
+		if r := runScenario(t, s, Options{Seed: seed, Fault: "drained-send"}); len(r.BrokenRules) == 0 {
 			t.Errorf("seed %d: a node that hears of no drain is not seen", seed)
 		}
 	}
 }
 
 // An interrupted run gives what it has.
-func TestPartial(t *testing.T) {
-	s := read(t, "steady")
+func TestInterruptedRunIsPartial(t *testing.T) {
+	s := readScenario(t, "steady")
 	ctx, cancel := context.WithCancel(context.Background())
 	r, _, err := Run(ctx, Options{Scenario: s, Seed: 1, LoadDuration: s.Duration.Micros(), Arrivals: load.Generate(s, s.Duration.Micros(), 1),
 		OnSecond: func(now policy.Micros, _ *ledger.Ledger) {
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -19,59 +19,59 @@
 var Policies = []string{Module, "random", "round-robin", "least-request"}
 
 // New makes a decider by its name, and with a fault if one is named. The module inside is nil for the other policies.
-func New(name, fault string, rules *config.Rules, seed uint64) (d policy.Decider, module *policy.Node, err error) {
+func New(name, fault string, rules *config.Rules, seed uint64) (decider policy.Decider, module *policy.Node, err error) {
 	switch name {
 	case Module, "":
 		module = rules.NewNode(seed)
-		d = module
+		decider = module
 	case "random", "round-robin", "least-request":
-		d = newBaseline(name, rules, seed)
+		decider = newBaseline(name, rules, seed)
 	default:
 		return nil, nil, fmt.Errorf("policy %q is not one of %s", name, strings.Join(Policies, ", "))
 	}
-	d, err = InjectFault(fault, d, rules)
-	return d, module, err
+	decider, err = InjectFault(fault, decider, rules)
+	return decider, module, err
 }
 
 // baseline is a plain policy that keeps the rules: it picks a server by its one criterion, skips those that drain,
 // and pushes again at once where the op's kind of repeat allows it. It sheds nothing and trusts nobody less.
 type baseline struct {
-	by      string
-	rules   *config.Rules
-	rng     *rand.Rand
-	servers []plain
-	place   map[policy.ServerID]int
-	ops     map[policy.OpID]*plainOp
-	turn    int
-	effects []policy.Effect
-	token   policy.Token
+	criterion  string
+	rules      *config.Rules
+	rng        *rand.Rand
+	servers    []baselineServer
+	indexByID  map[policy.ServerID]int
+	ops        map[policy.OpID]*baselineOp
+	nextTurn   int
+	effects    []policy.Effect
+	timerToken policy.Token
 }
 
-type plain struct {
+type baselineServer struct {
 	policy.Entry
-	out int
+	inFlight int
 }
 
-type plainOp struct {
-	category policy.CategoryID
-	notAfter policy.Micros
-	pushes   int
-	out      int
-	risky    bool // a push may have run
-	over     bool
-	to       policy.Entry // of the last push, as it was listed then: it may have left the list since
-	first    policy.Entry // of the first push that may have run
-	risk     policy.Micros
+type baselineOp struct {
+	category    policy.CategoryID
+	deadline    policy.Micros
+	pushes      int
+	inFlight    int
+	mayHaveRun  bool // a push may have run
+	settled     bool
+	lastServer  policy.Entry // of the last push, as it was listed then: it may have left the list since
+	firstServer policy.Entry // of the first push that may have run
+	firstSentAt policy.Micros
 }
 
 // relist is how long a baseline waits to ask for the list again.
-const relist = policy.Second
+const listRetryDelay = policy.Second
 
-func newBaseline(by string, rules *config.Rules, seed uint64) *baseline {
+func newBaseline(criterion string, rules *config.Rules, seed uint64) *baseline {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	// Danger: nodes that all begin their round at one server would send it everything together.
-	return &baseline{by: by, rules: rules, rng: rng, turn: rng.IntN(1 << 20),
-		place: make(map[policy.ServerID]int), ops: make(map[policy.OpID]*plainOp)}
+	return &baseline{criterion: criterion, rules: rules, rng: rng, nextTurn: rng.IntN(1 << 20),
+		indexByID: make(map[policy.ServerID]int), ops: make(map[policy.OpID]*baselineOp)}
 }
 
 // Step implements policy.Decider.
@@ -79,51 +79,51 @@
 	b.effects = b.effects[:0]
 	switch in.Kind {
 	case policy.OpArrived:
-		o := &plainOp{category: in.Category, notAfter: in.NotAfter}
-		b.ops[in.Op] = o
-		b.push(now, in.Op, o)
+		op := &baselineOp{category: in.Category, deadline: in.NotAfter}
+		b.ops[in.Op] = op
+		b.push(now, in.Op, op)
 	case policy.PushEnded:
-		if at, known := b.place[in.Server]; known {
-			b.servers[at].out = max(0, b.servers[at].out-1)
+		if index, known := b.indexByID[in.Server]; known {
+			b.servers[index].inFlight = max(0, b.servers[index].inFlight-1)
 		}
-		if o := b.ops[in.Op]; o != nil {
-			o.out--
-			b.ended(now, in, o)
+		if op := b.ops[in.Op]; op != nil {
+			op.inFlight--
+			b.pushEnded(now, in, op)
 		}
 	case policy.OpAbandoned:
-		if o := b.ops[in.Op]; o != nil {
-			o.over = true
-			b.forget(in.Op, o)
+		if op := b.ops[in.Op]; op != nil {
+			op.settled = true
+			b.forget(in.Op, op)
 		}
 	case policy.Woken:
-		if in.Token == b.token {
+		if in.Token == b.timerToken {
 			b.emit(policy.Effect{Kind: policy.Watch})
 		}
 	case policy.ListCame:
-		b.list(now, in)
+		b.updateList(now, in)
 	}
 	return b.effects
 }
 
 func (b *baseline) emit(e policy.Effect) { b.effects = append(b.effects, e) }
 
-func (b *baseline) list(now policy.Micros, in *policy.Input) {
+func (b *baseline) updateList(now policy.Micros, in *policy.Input) {
 	switch in.Form {
 	case policy.ListFailed:
-		b.token++
-		b.emit(policy.Effect{Kind: policy.Wake, At: now + relist, Token: b.token})
+		b.timerToken++
+		b.emit(policy.Effect{Kind: policy.Wake, At: now + listRetryDelay, Token: b.timerToken})
 		return
 	case policy.ListCached:
 		b.emit(policy.Effect{Kind: policy.Watch})
 	}
 	listed := make(map[policy.ServerID]bool, len(in.List))
-	for _, e := range in.List {
-		listed[e.Server] = e.State != policy.Gone
-		if at, known := b.place[e.Server]; known {
-			b.servers[at].Entry = e
-		} else if e.State != policy.Gone {
-			b.servers = append(b.servers, plain{Entry: e})
-			b.place[e.Server] = len(b.servers) - 1
+	for _, entry := range in.List {
+		listed[entry.Server] = entry.State != policy.Gone
+		if index, known := b.indexByID[entry.Server]; known {
+			b.servers[index].Entry = entry
+		} else if entry.State != policy.Gone {
+			b.servers = append(b.servers, baselineServer{Entry: entry})
+			b.indexByID[entry.Server] = len(b.servers) - 1
 		}
 	}
 	kept := b.servers[:0]
@@ -134,85 +134,85 @@
 	}
 	b.servers = kept
 	sort.Slice(kept, func(i, j int) bool { return kept[i].Server < kept[j].Server })
-	clear(b.place)
+	clear(b.indexByID)
 	for i := range kept {
-		b.place[kept[i].Server] = i
+		b.indexByID[kept[i].Server] = i
 	}
 }
 
 // allowed says whether an op may go to a server by its kind of repeat.
-func (b *baseline) allowed(now policy.Micros, o *plainOp, e *policy.Entry) bool {
-	c := &b.rules.Categories[o.category]
-	if e.State != policy.Ready {
+func (b *baseline) mayPushTo(now policy.Micros, op *baselineOp, entry *policy.Entry) bool {
+	category := &b.rules.Categories[op.category]
+	if entry.State != policy.Ready {
 		return false
 	}
-	if !o.risky || c.Repeat == policy.Redeliverable {
+	if !op.mayHaveRun || category.Repeat == policy.Redeliverable {
 		return true
 	}
-	return c.Repeat == policy.Deduplicated && now < o.risk+c.Window && (c.Scope == policy.ScopeAll ||
-		c.Scope == policy.ScopeZone && e.Zone == o.first.Zone || c.Scope == policy.ScopeCell && e.Cell == o.first.Cell)
+	return category.Repeat == policy.Deduplicated && now < op.firstSentAt+category.Window && (category.Scope == policy.ScopeAll ||
+		category.Scope == policy.ScopeZone && entry.Zone == op.firstServer.Zone || category.Scope == policy.ScopeCell && entry.Cell == op.firstServer.Cell)
 }
 
-func (b *baseline) push(now policy.Micros, id policy.OpID, o *plainOp) {
-	var can []int
-	if o.pushes < b.rules.Push.Max && now < o.notAfter {
+func (b *baseline) push(now policy.Micros, id policy.OpID, op *baselineOp) {
+	var candidates []int
+	if op.pushes < b.rules.Push.Max && now < op.deadline {
 		for i := range b.servers {
-			if b.allowed(now, o, &b.servers[i].Entry) && (b.servers[i].Server != o.to.Server || o.pushes == 0) {
-				can = append(can, i)
+			if b.mayPushTo(now, op, &b.servers[i].Entry) && (b.servers[i].Server != op.lastServer.Server || op.pushes == 0) {
+				candidates = append(candidates, i)
 			}
 		}
 	}
-	if len(can) == 0 {
-		o.over = true
+	if len(candidates) == 0 {
+		op.settled = true
 		kind := policy.Nack
-		if o.risky && b.rules.Categories[o.category].Repeat != policy.Redeliverable {
+		if op.mayHaveRun && b.rules.Categories[op.category].Repeat != policy.Redeliverable {
 			kind = policy.DeadLetter
 		}
 		b.emit(policy.Effect{Kind: kind, Op: id})
-		b.forget(id, o)
+		b.forget(id, op)
 		return
 	}
-	pick := can[b.rng.IntN(len(can))]
-	switch b.by {
+	pick := candidates[b.rng.IntN(len(candidates))]
+	switch b.criterion {
 	case "round-robin":
-		b.turn++
-		pick = can[b.turn%len(can)]
+		b.nextTurn++
+		pick = candidates[b.nextTurn%len(candidates)]
 	case "least-request":
-		for _, i := range can {
-			if b.servers[i].out < b.servers[pick].out {
+		for _, i := range candidates {
+			if b.servers[i].inFlight < b.servers[pick].inFlight {
 				pick = i
 			}
 		}
 	}
-	s := &b.servers[pick]
-	s.out++
-	o.pushes++
-	o.out++
-	o.to = s.Entry
-	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: s.Server,
-		For: min(o.notAfter-now, b.rules.Categories[o.category].Target)})
+	server := &b.servers[pick]
+	server.inFlight++
+	op.pushes++
+	op.inFlight++
+	op.lastServer = server.Entry
+	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: server.Server,
+		For: min(op.deadline-now, b.rules.Categories[op.category].Target)})
 }
 
-func (b *baseline) ended(now policy.Micros, in *policy.Input, o *plainOp) {
+func (b *baseline) pushEnded(now policy.Micros, in *policy.Input, op *baselineOp) {
 	if in.Settled {
-		o.over = true
+		op.settled = true
 	}
 	switch in.Outcome {
 	case policy.Acked, policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
-		if !o.risky {
-			o.first, o.risk = o.to, now-in.Took
+		if !op.mayHaveRun {
+			op.firstServer, op.firstSentAt = op.lastServer, now-in.Took
 		}
-		o.risky = true
+		op.mayHaveRun = true
 	}
-	if !o.over {
-		b.push(now, in.Op, o)
+	if !op.settled {
+		b.push(now, in.Op, op)
 		return
 	}
-	b.forget(in.Op, o)
+	b.forget(in.Op, op)
 }
 
-func (b *baseline) forget(id policy.OpID, o *plainOp) {
-	if o.over && o.out == 0 {
+func (b *baseline) forget(id policy.OpID, op *baselineOp) {
+	if op.settled && op.inFlight == 0 {
 		delete(b.ops, id)
 	}
 }
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -19,39 +19,39 @@
 }
 
 // every op of this number is dropped by lost-answer and late-answer.
-const every = 20
+const dropInterval = 20
 
 // flood is how long cold-flood sends everything to a server that has just started.
-const flood = 3 * policy.Second
+const floodDuration = 3 * policy.Second
 
 // unseen is the longest that cold-flood lets a push there seem to take.
-const unseen = 50 * policy.Millisecond
+const maxReportedLatency = 50 * policy.Millisecond
 
 // Slack is by how much a node with this fault lets an op lie past its client's end, in place of the settings' slack.
-func AnswerSlack(fault string, settings policy.Micros) policy.Micros {
+func AnswerSlack(fault string, configured policy.Micros) policy.Micros {
 	switch fault {
 	case "lost-answer":
-		return settings + policy.Second*3600
+		return configured + policy.Second*3600
 	case "late-answer":
-		return settings + 150*policy.Millisecond
+		return configured + 150*policy.Millisecond
 	}
-	return settings
+	return configured
 }
 
 // Break puts a fault around a decider. No name is no fault.
-func InjectFault(fault string, d policy.Decider, rules *config.Rules) (policy.Decider, error) {
+func InjectFault(fault string, decider policy.Decider, rules *config.Rules) (policy.Decider, error) {
 	switch fault {
 	case "":
-		return d, nil
+		return decider, nil
 	case "double-push":
-		return &doublePush{inner: d, rules: rules, category: make(map[policy.OpID]policy.CategoryID),
-			extra: make(map[policy.OpID]bool)}, nil
+		return &doublePush{inner: decider, rules: rules, category: make(map[policy.OpID]policy.CategoryID),
+			duplicated: make(map[policy.OpID]bool)}, nil
 	case "lost-answer", "late-answer":
-		return &silent{inner: d, dropped: make(map[policy.OpID]bool)}, nil
+		return &dropOps{inner: decider, dropped: make(map[policy.OpID]bool)}, nil
 	case "drained-send":
-		return drainedSend{d}, nil
+		return ignoreDrains{decider}, nil
 	case "cold-flood":
-		return &coldFlood{inner: d, meant: make(map[pushOf]policy.ServerID), pushes: make(map[policy.OpID]policy.PushNo)}, nil
+		return &coldFlood{inner: decider, intended: make(map[pushKey]policy.ServerID), pushCounts: make(map[policy.OpID]policy.PushNo)}, nil
 	}
 	names := make([]string, 0, len(Faults))
 	for name := range Faults {
@@ -63,26 +63,26 @@
 
 // doublePush sends an op that must not run twice to a second server at once.
 type doublePush struct {
-	inner    policy.Decider
-	rules    *config.Rules
-	servers  []policy.ServerID
-	category map[policy.OpID]policy.CategoryID
-	extra    map[policy.OpID]bool // push 1 is ours; the module's own count on from there
-	out      []policy.Effect
+	inner      policy.Decider
+	rules      *config.Rules
+	servers    []policy.ServerID
+	category   map[policy.OpID]policy.CategoryID
+	duplicated map[policy.OpID]bool // push 1 is ours; the module's own count on from there
+	effects    []policy.Effect
 }
 
 func (d *doublePush) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	told := *in
+	modified := *in
 	switch in.Kind {
 	case policy.OpArrived:
-		delete(d.extra, in.Op)
+		delete(d.duplicated, in.Op)
 		d.category[in.Op] = in.Category
 	case policy.PushEnded:
-		if d.extra[in.Op] && in.Push == 1 {
+		if d.duplicated[in.Op] && in.Push == 1 {
 			return nil
 		}
-		if d.extra[in.Op] && in.Push > 1 {
-			told.Push--
+		if d.duplicated[in.Op] && in.Push > 1 {
+			modified.Push--
 		}
 	case policy.ListCame:
 		for _, e := range in.List {
@@ -91,40 +91,40 @@
 			}
 		}
 	}
-	d.out = d.out[:0]
-	for _, e := range d.inner.Step(now, &told) {
-		if e.Kind == policy.Cancel && d.extra[e.Op] && e.Push > 0 {
+	d.effects = d.effects[:0]
+	for _, e := range d.inner.Step(now, &modified) {
+		if e.Kind == policy.Cancel && d.duplicated[e.Op] && e.Push > 0 {
 			e.Push++
 		}
-		d.out = append(d.out, e)
-		if e.Kind != policy.Push || d.extra[e.Op] || d.rules.Categories[d.category[e.Op]].Repeat == policy.Redeliverable {
+		d.effects = append(d.effects, e)
+		if e.Kind != policy.Push || d.duplicated[e.Op] || d.rules.Categories[d.category[e.Op]].Repeat == policy.Redeliverable {
 			continue
 		}
 		for _, other := range d.servers {
 			if other != e.Server {
-				again := e
-				again.Server = other
-				d.out = append(d.out, again)
-				d.extra[e.Op] = true
+				duplicate := e
+				duplicate.Server = other
+				d.effects = append(d.effects, duplicate)
+				d.duplicated[e.Op] = true
 				break
 			}
 		}
 	}
-	return d.out
+	return d.effects
 }
 
 // silent forgets every so many ops.
-type silent struct {
+type dropOps struct {
 	inner   policy.Decider
-	seen    int
+	arrived int
 	dropped map[policy.OpID]bool
 }
 
-func (s *silent) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+func (s *dropOps) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	switch in.Kind {
 	case policy.OpArrived:
 		delete(s.dropped, in.Op)
-		if s.seen++; s.seen%every == 0 {
+		if s.arrived++; s.arrived%dropInterval == 0 {
 			s.dropped[in.Op] = true
 			return nil
 		}
@@ -137,65 +137,65 @@
 }
 
 // drainedSend does not hear of drains.
-type drainedSend struct{ inner policy.Decider }
+type ignoreDrains struct{ inner policy.Decider }
 
-func (d drainedSend) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+func (d ignoreDrains) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if in.Kind != policy.ListCame {
 		return d.inner.Step(now, in)
 	}
-	told := *in
-	told.List = append([]policy.Entry(nil), in.List...)
-	for i := range told.List {
-		told.List[i].State = policy.Ready
+	modified := *in
+	modified.List = append([]policy.Entry(nil), in.List...)
+	for i := range modified.List {
+		modified.List[i].State = policy.Ready
 	}
-	return d.inner.Step(now, &told)
+	return d.inner.Step(now, &modified)
 }
 
-type pushOf struct {
+type pushKey struct {
 	op   policy.OpID
 	push policy.PushNo
 }
 
 // coldFlood sends every push to the server that started last.
 type coldFlood struct {
-	inner  policy.Decider
-	cold   policy.ServerID
-	until  policy.Micros
-	meant  map[pushOf]policy.ServerID
-	pushes map[policy.OpID]policy.PushNo
-	out    []policy.Effect
+	inner      policy.Decider
+	coldServer policy.ServerID
+	floodUntil policy.Micros
+	intended   map[pushKey]policy.ServerID
+	pushCounts map[policy.OpID]policy.PushNo
+	effects    []policy.Effect
 }
 
 func (c *coldFlood) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	told := *in
+	modified := *in
 	switch in.Kind {
 	case policy.OpArrived:
-		c.pushes[in.Op] = 0
+		c.pushCounts[in.Op] = 0
 	case policy.PushEnded:
-		if meant, other := c.meant[pushOf{in.Op, in.Push}]; other {
-			told.Server = meant
+		if intended, redirected := c.intended[pushKey{in.Op, in.Push}]; redirected {
+			modified.Server = intended
 			// The module would hold back as soon as its pushes take long, wherever it thinks they went.
-			told.Took = min(told.Took, unseen)
-			delete(c.meant, pushOf{in.Op, in.Push})
+			modified.Took = min(modified.Took, maxReportedLatency)
+			delete(c.intended, pushKey{in.Op, in.Push})
 		}
 	case policy.ListCame:
 		for _, e := range in.List {
 			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.Started < policy.Second {
-				c.cold, c.until = e.Server, now+flood
+				c.coldServer, c.floodUntil = e.Server, now+floodDuration
 			}
 		}
 	}
-	c.out = c.out[:0]
-	for _, e := range c.inner.Step(now, &told) {
+	c.effects = c.effects[:0]
+	for _, e := range c.inner.Step(now, &modified) {
 		if e.Kind == policy.Push {
-			no := c.pushes[e.Op]
-			c.pushes[e.Op]++
-			if now < c.until && e.Server != c.cold {
-				c.meant[pushOf{e.Op, no}] = e.Server
-				e.Server = c.cold
+			number := c.pushCounts[e.Op]
+			c.pushCounts[e.Op]++
+			if now < c.floodUntil && e.Server != c.coldServer {
+				c.intended[pushKey{e.Op, number}] = e.Server
+				e.Server = c.coldServer
 			}
 		}
-		c.out = append(c.out, e)
+		c.effects = append(c.effects, e)
 	}
-	return c.out
+	return c.effects
 }
