--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,5 +1,9 @@
-// Package ledger is the one account of an experiment. Clients and servers write to it; from what they saw, and from
-// nothing that a node says of itself, it judges the four rules and counts what was served, lost and wasted.
+// Package ledger records what the clients and the stand-in servers of an experiment observe, checks the four rules
+// (see [RuleNames]) against these records and computes the figures of the result. Nothing that a node reports about
+// itself enters the ledger, so a faulty node cannot hide a breach.
+//
+// An op that a client sends may take several tries; a try is one request to a node; a push is one request of a node to
+// a server.
 package ledger
 
 import (
@@ -13,81 +17,90 @@
 )
 
 type (
-	OpID   int // an op of a client, or a call of a server to the next tier
-	TryID  int // one request to a node; each has an id of its own on the wire
-	PushID int // one push as a server got it
+	// OpID identifies an op of a client, or a call that a server makes to the next tier.
+	OpID int
+	// TryID identifies one request to a node. It is sent on the wire.
+	TryID int
+	// PushID identifies one push that reached a server.
+	PushID int
 )
 
-// Verdict is what a client saw of a try.
+// Verdict is the end of a try as its client saw it.
 type Verdict uint8
 
 const (
-	Pending        Verdict = iota
-	Served                 // a whole answer of a server's
-	Nacked                 // trying again does no harm
-	Failed                 // a whole answer that promises nothing
-	ConnectionLost         // the connection ended without a whole answer
-	Refused                // the node could not be reached, or left before it read the request
-	ClientLeft             // the client went first, by its own wish
-	Unanswered             // nothing came
+	Pending        Verdict = iota // the try has not ended yet
+	Served                        // complete answer of a server
+	Nacked                        // complete answer; a retry is safe
+	Failed                        // complete answer that does not say whether the op had its effect
+	ConnectionLost                // the connection ended before the answer was complete
+	Refused                       // the node could not be reached, or closed the connection before it read the request
+	ClientLeft                    // the client gave up by its own choice
+	Unanswered                    // no answer came in time
 )
 
-// tolerance is what each time limit may be exceeded by, on sockets; in simulated time it is smaller.
+// socketTolerance is by how much each time limit may be exceeded when the experiment runs on sockets. In simulated
+// time the tolerance is smaller, see New.
 const socketTolerance = 50 * policy.Millisecond
 
-// Rules are the four rules' names, as expect.broken has them.
+// RuleNames are the names of the four rules, as the key expect.broken of an experiment has them:
+// answer (each op is answered once and in time), effect (no op has its effect twice), drain (no push to a draining
+// server after the grace period) and cold (no cold server is overloaded until it collapses).
 var RuleNames = []string{"answer", "effect", "drain", "cold"}
 
+// op is the record of an op of a client, or of a call between tiers.
 type op struct {
 	category, tenant, tier int
-	intendedAt             policy.Micros // meant to be sent
-	offeredBenefit         float64       // benefit, less where the tenant is beyond its share
-	effects                int
-	verdict                Verdict // of the last try that ended; Served stays
-	latency                policy.Micros
+	intendedAt             policy.Micros // scheduled send time
+	offeredBenefit         float64       // reduced where the tenant exceeds its quota
+	effects                int           // how often the op had its effect
+	verdict                Verdict       // of the last try that ended; Served is final
+	latency                policy.Micros // from intendedAt to the answer; set once served
 	tries                  int
 }
 
+// try is the record of one request to a node.
 type try struct {
 	op              OpID
 	node            int
 	sent, deadline  policy.Micros
 	verdict         Verdict
-	ended           policy.Micros
+	ended           policy.Micros // 0 while pending
 	pushes, answers int
 	hadEffect       bool
 }
 
-// death is the end of a node without warning.
+// nodeCrash is the end of a node's process without warning.
 type nodeCrash struct {
 	node int
 	at   policy.Micros
 }
 
-// pause is a time in which a node's process was stopped.
+// nodePause is a period in which a node's process was stopped.
 type nodePause struct {
 	node     int
-	from, to policy.Micros // to 0: it still is
-	deferred []func(at policy.Micros)
+	from, to policy.Micros            // to is 0 while the pause lasts
+	deferred []func(at policy.Micros) // server states to record when the pause ends
 }
 
+// push is the record of one push that reached a server.
 type push struct {
 	try              TryID
 	server           int
 	at               policy.Micros
-	work             policy.Micros // core time it took
+	work             policy.Micros // core time used
 	served, answered bool
 }
 
-// listed is what a node was told last of a server.
+// listedState is the state of a server that a node was last notified of.
 type listedState struct {
 	state           policy.ServerState
-	stateRecordedAt policy.Micros // when it was told of state
+	stateRecordedAt policy.Micros // when the node was notified of state
 	started         policy.Micros
-	startRecordedAt policy.Micros // when it was told of started
+	startRecordedAt policy.Micros // when the node was notified of started
 }
 
-// Account is the account of one run. Its methods may be called from any goroutine.
+// Ledger records one run. Its methods are safe for concurrent use.
 type Ledger struct {
 	mu                sync.Mutex
 	scenario          *scenario.Scenario
@@ -96,28 +109,35 @@
 	ops               []op
 	tries             []try
 	pushes            []push
-	listed            map[[2]int]listedState // by node and server
+	listed            map[[2]int]listedState // by node and server index
 	crashes           []nodeCrash
 	pauses            []nodePause
-	opsThisSecond     []float64 // ops in the present second, by tenant
-	secondStart       []policy.Micros
+	opsThisSecond     []float64       // ops in the current second, by tenant
+	secondStart       []policy.Micros // of the current second, by tenant
 	series            []Bucket
-	bucketDuration    policy.Micros // of a bucket
+	bucketDuration    policy.Micros
 	latency           *hdrhistogram.Histogram
 	latencyByCategory []*hdrhistogram.Histogram
 	result            Result
 	breachMessages    []string
 }
 
-// mostNotes is how many breaches are told in words.
+// maxBreachMessages is how many breaches are described in the result.
 const maxBreachMessages = 20
 
-// New makes an account of a run whose load begins at a moment and is cut into buckets of span. In simulated time
-// clocks are exact, and the tolerance is a tenth.
+// New returns the ledger of a run whose load begins at loadStart. The time series of the result has buckets of
+// bucketDuration. In simulated time clocks are exact, so the tolerance is a tenth of that on sockets.
 func New(s *scenario.Scenario, loadStart, bucketDuration policy.Micros, simulated bool) *Ledger {
-	ledger := &Ledger{scenario: s, loadStart: loadStart, tolerance: socketTolerance, bucketDuration: bucketDuration, listed: make(map[[2]int]listedState),
-		opsThisSecond: make([]float64, len(s.Tenants)), secondStart: make([]policy.Micros, len(s.Tenants)),
-		latency: newHistogram()}
+	ledger := &Ledger{
+		scenario:       s,
+		loadStart:      loadStart,
+		tolerance:      socketTolerance,
+		bucketDuration: bucketDuration,
+		listed:         make(map[[2]int]listedState),
+		opsThisSecond:  make([]float64, len(s.Tenants)),
+		secondStart:    make([]policy.Micros, len(s.Tenants)),
+		latency:        newHistogram(),
+	}
 	if simulated {
 		ledger.tolerance /= 10
 	}
@@ -127,75 +147,79 @@
 	return ledger
 }
 
-// histogram counts microseconds up to five minutes to three digits.
+// newHistogram returns a histogram of microseconds, from 1 to five minutes, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 300_000_000, 3) }
 
-// Tolerance is by how much time limits may be exceeded.
-func (a *Ledger) Tolerance() policy.Micros { return a.tolerance }
+// Tolerance returns by how much time limits may be exceeded.
+func (l *Ledger) Tolerance() policy.Micros { return l.tolerance }
 
-func (a *Ledger) addBreach(text string) {
-	if len(a.breachMessages) < maxBreachMessages {
-		a.breachMessages = append(a.breachMessages, text)
+// addBreach keeps the description of a breach, up to maxBreachMessages.
+func (l *Ledger) addBreach(text string) {
+	if len(l.breachMessages) < maxBreachMessages {
+		l.breachMessages = append(l.breachMessages, text)
 	}
 }
 
-// Free stands for the tier of an op that a client sends on top of the load, and that counts for nothing but the rules.
+// TierUnscored stands in place of the tier of an op that a client sends on top of the load. The rules are checked for
+// such an op, but it counts in no figure of the result.
 const TierUnscored = -1
 
-// Offer books an op that a client means to send, or, in a later tier, a call.
-func (a *Ledger) RecordOp(at policy.Micros, category, tenant, tier int) OpID {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// RecordOp records an op that a client is about to send at its scheduled time, or, in a later tier, a call of a server.
+func (l *Ledger) RecordOp(at policy.Micros, category, tenant, tier int) OpID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	o := op{category: category, tenant: tenant, tier: tier, intendedAt: at}
 	if tier == 0 {
-		o.offeredBenefit = a.scenario.Categories[category].Benefit
-		if tenant >= 0 && a.scenario.Tenants[tenant].Quota > 0 {
-			if at-a.secondStart[tenant] >= policy.Second {
-				a.secondStart[tenant], a.opsThisSecond[tenant] = at, 0
+		o.offeredBenefit = l.scenario.Categories[category].Benefit
+		if tenant >= 0 && l.scenario.Tenants[tenant].Quota > 0 {
+			if at-l.secondStart[tenant] >= policy.Second {
+				l.secondStart[tenant] = at
+				l.opsThisSecond[tenant] = 0
 			}
-			if a.opsThisSecond[tenant]++; a.opsThisSecond[tenant] > a.scenario.Tenants[tenant].Quota {
-				o.offeredBenefit *= a.scenario.Limits.BeyondShareBenefit
+			if l.opsThisSecond[tenant]++; l.opsThisSecond[tenant] > l.scenario.Tenants[tenant].Quota {
+				o.offeredBenefit *= l.scenario.Limits.BeyondShareBenefit
 			}
 		}
-		a.bucketAt(at, category).Offered++
+		l.bucketAt(at, category).Offered++
 	}
-	a.ops = append(a.ops, o)
-	return OpID(len(a.ops) - 1)
+	l.ops = append(l.ops, o)
+	return OpID(len(l.ops) - 1)
 }
 
-// Try books a request to a node, and when its client gives up.
-func (a *Ledger) RecordTry(id OpID, node int, sent, deadline policy.Micros) TryID {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.ops[id].tries++
-	a.tries = append(a.tries, try{op: id, node: node, sent: sent, deadline: deadline})
-	return TryID(len(a.tries) - 1)
+// RecordTry records a request to a node. Its client gives up at deadline.
+func (l *Ledger) RecordTry(id OpID, node int, sent, deadline policy.Micros) TryID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.ops[id].tries++
+	l.tries = append(l.tries, try{op: id, node: node, sent: sent, deadline: deadline})
+	return TryID(len(l.tries) - 1)
 }
 
-// End books how a try ended for its client. A second answer is counted as such.
-func (a *Ledger) RecordTryEnd(id TryID, at policy.Micros, verdict Verdict) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	t := &a.tries[id]
+// RecordTryEnd records how a try ended for its client. A second answer to the same try breaks the rule "answer".
+func (l *Ledger) RecordTryEnd(id TryID, at policy.Micros, verdict Verdict) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := &l.tries[id]
 	if verdict == Served || verdict == Nacked || verdict == Failed {
 		if t.answers++; t.answers > 1 {
-			a.result.DoubleAnswers++
-			a.addBreach(sprintf("try %d got a second answer", id))
+			l.result.DoubleAnswers++
+			l.addBreach(sprintf("try %d got a second answer", id))
 			return
 		}
-		if slack := a.scenario.Limits.AnswerSlack.Micros(); at > t.deadline+slack+a.tolerance && !a.wasPaused(t, at) {
-			a.result.LateAnswers++
-			a.addBreach(sprintf("try %d was answered %v ms past its client's end", id, milliseconds(at-t.deadline)))
+		if slack := l.scenario.Limits.AnswerSlack.Micros(); at > t.deadline+slack+l.tolerance && !l.wasPaused(t, at) {
+			l.result.LateAnswers++
+			l.addBreach(sprintf("try %d was answered %v ms past its client's deadline", id, milliseconds(at-t.deadline)))
 		}
 	}
 	if t.verdict != Pending {
 		return
 	}
-	t.verdict, t.ended = verdict, at
+	t.verdict = verdict
+	t.ended = at
 	if verdict == Nacked && t.hadEffect {
-		a.checkFalseNack(id, t)
+		l.checkFalseNack(id, t)
 	}
-	o := &a.ops[t.op]
+	o := &l.ops[t.op]
 	if o.verdict == Served {
 		return
 	}
@@ -206,55 +230,56 @@
 	switch verdict {
 	case Served:
 		o.latency = at - o.intendedAt
-		a.latency.RecordValue(max(1, int64(o.latency)))
-		a.latencyByCategory[o.category].RecordValue(max(1, int64(o.latency)))
-		bucket := a.bucketAt(at, o.category)
+		l.latency.RecordValue(max(1, int64(o.latency)))
+		l.latencyByCategory[o.category].RecordValue(max(1, int64(o.latency)))
+		bucket := l.bucketAt(at, o.category)
 		bucket.Served++
-		bucket.Benefit += a.earnedBenefit(o)
+		bucket.Benefit += l.earnedBenefit(o)
 	case Nacked:
-		a.bucketAt(at, o.category).Nacked++
+		l.bucketAt(at, o.category).Nacked++
 	}
 }
 
-// gain is what an op that was served is worth.
-func (a *Ledger) earnedBenefit(o *op) float64 {
-	c := &a.scenario.Categories[o.category]
+// earnedBenefit returns the benefit of a served op, which is lower past the target latency.
+func (l *Ledger) earnedBenefit(o *op) float64 {
+	c := &l.scenario.Categories[o.category]
 	if o.latency <= c.TargetLatency.Micros() {
 		return o.offeredBenefit
 	}
 	return o.offeredBenefit * c.LateBenefit
 }
 
-// Extra books an answer that belongs to no request that is out.
-func (a *Ledger) RecordExtraAnswer(id TryID) { a.RecordTryEnd(id, 0, Served) }
+// RecordExtraAnswer records an answer that arrived when no request was in flight.
+func (l *Ledger) RecordExtraAnswer(id TryID) { l.RecordTryEnd(id, 0, Served) }
 
-// Crashed says that a node dies now: what it had taken and not answered is its clients' to try again, and not lost.
-func (a *Ledger) RecordNodeCrash(node int, at policy.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.crashes = append(a.crashes, nodeCrash{node, at})
+// RecordNodeCrash records that a node's process ends at once. Tries that the node accepted and did not answer count as
+// lost to the crash, not as unanswered: their clients may retry.
+func (l *Ledger) RecordNodeCrash(node int, at policy.Micros) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.crashes = append(l.crashes, nodeCrash{node, at})
 }
 
-// died says whether a try was in its node's hands, or on its way there, when the node died.
-func (a *Ledger) lostToCrash(t *try) bool {
-	for _, crash := range a.crashes {
-		if crash.node == t.node && t.sent <= crash.at+a.tolerance && (t.ended == 0 || t.ended >= crash.at) {
+// lostToCrash reports whether a try was pending at its node, or on the way to it, when the node crashed.
+func (l *Ledger) lostToCrash(t *try) bool {
+	for _, crash := range l.crashes {
+		if crash.node == t.node && t.sent <= crash.at+l.tolerance && (t.ended == 0 || t.ended >= crash.at) {
 			return true
 		}
 	}
 	return false
 }
 
-// Paused says that a node's process is stopped from now on, or goes on. What it was to answer meanwhile comes late by no
-// fault of its own, and it counts as told of what came meanwhile once it goes on.
-func (a *Ledger) RecordNodePause(node int, paused bool, at policy.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// RecordNodePause records that a node's process is stopped, or resumed. Late answers of a paused node are no breach,
+// and server states that were sent to it during the pause count as received when it resumes.
+func (l *Ledger) RecordNodePause(node int, paused bool, at policy.Micros) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if paused {
-		a.pauses = append(a.pauses, nodePause{node: node, from: at})
+		l.pauses = append(l.pauses, nodePause{node: node, from: at})
 		return
 	}
-	if pause := a.currentPause(node); pause != nil {
+	if pause := l.currentPause(node); pause != nil {
 		pause.to = at
 		for _, record := range pause.deferred {
 			record(at)
@@ -263,209 +288,218 @@
 	}
 }
 
-// pausedNow is the pause that a node is in, or nil.
-func (a *Ledger) currentPause(node int) *nodePause {
-	for i := range a.pauses {
-		if pause := &a.pauses[i]; pause.node == node && pause.to == 0 {
+// currentPause returns the pause that a node is in, or nil.
+func (l *Ledger) currentPause(node int) *nodePause {
+	for i := range l.pauses {
+		if pause := &l.pauses[i]; pause.node == node && pause.to == 0 {
 			return pause
 		}
 	}
 	return nil
 }
 
-// stopped says whether a try's node was stopped while it had the try, before its client's end.
-func (a *Ledger) wasPaused(t *try, until policy.Micros) bool {
-	for i := range a.pauses {
-		if pause := &a.pauses[i]; pause.node == t.node && pause.from <= until && (pause.to == 0 || pause.to+a.tolerance >= t.sent) {
+// wasPaused reports whether a try's node was paused at some time between the send of the try and until.
+func (l *Ledger) wasPaused(t *try, until policy.Micros) bool {
+	for i := range l.pauses {
+		if pause := &l.pauses[i]; pause.node == t.node && pause.from <= until && (pause.to == 0 || pause.to+l.tolerance >= t.sent) {
 			return true
 		}
 	}
 	return false
 }
 
-// Push books a push as a server got it, whatever became of it there, and judges whether the node might send it.
-func (a *Ledger) RecordPush(id TryID, server int, at policy.Micros) PushID {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	t := &a.tries[id]
+// RecordPush records that a push reached a server, whatever the server does with it, and checks whether the node was
+// allowed to send it.
+func (l *Ledger) RecordPush(id TryID, server int, at policy.Micros) PushID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := &l.tries[id]
 	t.pushes++
-	a.pushes = append(a.pushes, push{try: id, server: server, at: at})
-	if t.verdict != Pending && t.verdict != ClientLeft && at > t.ended+a.tolerance {
-		a.result.LatePushes++
-		a.addBreach(sprintf("try %d was sent to server %d after its end", id, server))
-	}
-	if entry, known := a.listed[[2]int{t.node, server}]; known && entry.state != policy.Ready {
-		if grace := a.scenario.Limits.DrainGrace.Micros(); at > entry.stateRecordedAt+grace+a.tolerance {
-			a.result.DrainBreaches++
-			a.addBreach(sprintf("server %d got try %d %v ms after node %d was told that it drains", server, id, milliseconds(at-entry.stateRecordedAt), t.node))
+	l.pushes = append(l.pushes, push{try: id, server: server, at: at})
+	if t.verdict != Pending && t.verdict != ClientLeft && at > t.ended+l.tolerance {
+		l.result.LatePushes++
+		l.addBreach(sprintf("try %d was sent to server %d after it had ended", id, server))
+	}
+	if entry, known := l.listed[[2]int{t.node, server}]; known && entry.state != policy.Ready {
+		if grace := l.scenario.Limits.DrainGrace.Micros(); at > entry.stateRecordedAt+grace+l.tolerance {
+			l.result.DrainBreaches++
+			l.addBreach(sprintf("server %d got try %d %v ms after node %d was notified that it drains", server, id, milliseconds(at-entry.stateRecordedAt), t.node))
 		}
 	}
-	return PushID(len(a.pushes) - 1)
+	return PushID(len(l.pushes) - 1)
 }
 
-// Effect books that a push ran and had its effect. What a group dropped as a repeat has none.
-func (a *Ledger) RecordEffect(id PushID) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	t := &a.tries[a.pushes[id].try]
+// RecordEffect records that a server ran a push. A push that a deduplicating group of servers dropped as a repeat has
+// no effect.
+func (l *Ledger) RecordEffect(id PushID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := &l.tries[l.pushes[id].try]
 	t.hadEffect = true
-	o := &a.ops[t.op]
+	o := &l.ops[t.op]
 	o.effects++
 	if t.verdict == Nacked {
-		a.checkFalseNack(a.pushes[id].try, t)
+		l.checkFalseNack(l.pushes[id].try, t)
 	}
-	if o.effects > 1 && a.scenario.Categories[o.category].Delivery != "redeliverable" {
-		a.result.DoubleEffects++
-		a.addBreach(sprintf("op %d (%s) had its effect %d times: %s", t.op, a.scenario.Categories[o.category].Name, o.effects, a.describePushes(t.op)))
+	if o.effects > 1 && l.scenario.Categories[o.category].Delivery != "redeliverable" {
+		l.result.DoubleEffects++
+		l.addBreach(sprintf("op %d (%s) had its effect %d times: %s", t.op, l.scenario.Categories[o.category].Name, o.effects, l.describePushes(t.op)))
 	}
 }
 
-// ran lists the pushes of an op.
-func (a *Ledger) describePushes(id OpID) (text string) {
-	for i := range a.pushes {
-		if p := &a.pushes[i]; a.tries[p.try].op == id {
-			text += sprintf("; try %d at server %d after %v ms", p.try, p.server, milliseconds(p.at-a.ops[id].intendedAt))
+// describePushes lists the pushes of an op for a breach message.
+func (l *Ledger) describePushes(id OpID) (text string) {
+	for i := range l.pushes {
+		if p := &l.pushes[i]; l.tries[p.try].op == id {
+			text += sprintf("; try %d at server %d after %v ms", p.try, p.server, milliseconds(p.at-l.ops[id].intendedAt))
 		}
 	}
 	return strings.TrimPrefix(text, "; ")
 }
 
-// falseNack judges a nack of a try that has run: only what may run again anywhere may be nacked then.
-func (a *Ledger) checkFalseNack(id TryID, t *try) {
-	c := &a.scenario.Categories[a.ops[t.op].category]
+// checkFalseNack checks a try that was nacked although it had run. That is a breach unless the op may run again on any
+// server: a nack tells the client that a retry is safe.
+func (l *Ledger) checkFalseNack(id TryID, t *try) {
+	c := &l.scenario.Categories[l.ops[t.op].category]
 	if c.Delivery == "at_most_once" || c.Delivery == "deduplicated" && c.DedupScope != "all" {
-		a.result.FalseNacks++
-		a.addBreach(sprintf("try %d (%s) was nacked and has run", id, c.Name))
+		l.result.FalseNacks++
+		l.addBreach(sprintf("try %d (%s) was nacked and has run", id, c.Name))
 	}
 }
 
-// Worked books the core time that a push took, and whether its answer was the one that its client got.
-func (a *Ledger) RecordWork(id PushID, work policy.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.pushes[id].work += work
+// RecordWork adds the core time that a push used.
+func (l *Ledger) RecordWork(id PushID, work policy.Micros) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pushes[id].work += work
 }
 
-// ServedBy says which push's answer a client got.
-func (a *Ledger) RecordServedBy(id PushID) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if id >= 0 && int(id) < len(a.pushes) {
-		a.pushes[id].served = true
+// RecordServedBy records that the answer of this push was the one that the client received.
+func (l *Ledger) RecordServedBy(id PushID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if id >= 0 && int(id) < len(l.pushes) {
+		l.pushes[id].served = true
 	}
 }
 
-// Anew says that a node's process starts: it has been told of nothing yet. Danger: what was written to the process before it, of
-// a drain, say, this one was never told, and it would be blamed for a push before its own list has come.
-func (a *Ledger) RecordNodeStart(node int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for key := range a.listed {
+// RecordNodeStart records that a new process of a node starts, which has not been notified of any server yet. What was
+// sent to the previous process, such as a drain, is discarded: otherwise a push of the new process before its own list
+// has arrived would be taken for a breach.
+func (l *Ledger) RecordNodeStart(node int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key := range l.listed {
 		if key[0] == node {
-			delete(a.listed, key)
+			delete(l.listed, key)
 		}
 	}
 }
 
-// Told books what a node was told of a server. Telling the same again changes nothing.
-func (a *Ledger) RecordServerState(node, server int, state policy.ServerState, started, at policy.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if pause := a.currentPause(node); pause != nil {
-		pause.deferred = append(pause.deferred, func(at policy.Micros) { a.setListedState(node, server, state, started, at) })
+// RecordServerState records that a node was notified of a server's state and start time. Recording the same values
+// again changes nothing.
+func (l *Ledger) RecordServerState(node, server int, state policy.ServerState, started, at policy.Micros) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if pause := l.currentPause(node); pause != nil {
+		pause.deferred = append(pause.deferred, func(at policy.Micros) { l.setListedState(node, server, state, started, at) })
 		return
 	}
-	a.setListedState(node, server, state, started, at)
+	l.setListedState(node, server, state, started, at)
 }
 
-func (a *Ledger) setListedState(node, server int, state policy.ServerState, started, at policy.Micros) {
+// setListedState stores a notification. Times change only when the server enters or leaves the state Ready, or when
+// it has started again. The mutex must be held.
+func (l *Ledger) setListedState(node, server int, state policy.ServerState, started, at policy.Micros) {
 	key := [2]int{node, server}
-	entry, known := a.listed[key]
+	entry, known := l.listed[key]
 	if !known || entry.state == policy.Ready != (state == policy.Ready) {
 		entry.stateRecordedAt = at
 	}
 	if !known || entry.started != started {
-		entry.started, entry.startRecordedAt = started, at
+		entry.started = started
+		entry.startRecordedAt = at
 	}
 	entry.state = state
-	a.listed[key] = entry
+	l.listed[key] = entry
 }
 
-// KnowsStart says whether a node had been told of a server's start.
-func (a *Ledger) KnowsServerStart(node, server int, started policy.Micros) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	entry, known := a.listed[[2]int{node, server}]
+// KnowsServerStart reports whether a node has been notified of this start of a server.
+func (l *Ledger) KnowsServerStart(node, server int, started policy.Micros) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	entry, known := l.listed[[2]int{node, server}]
 	return known && entry.started == started
 }
 
-// Tipped books that a cold server fell over, and whether nodes that knew sent most of it.
-func (a *Ledger) RecordCollapse(server int, startKnown bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.result.CollapsedServers++
+// RecordCollapse records that a cold server collapsed under load. It is a breach if most of the load came from nodes
+// that knew of the server's start (startKnown).
+func (l *Ledger) RecordCollapse(server int, startKnown bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.CollapsedServers++
 	if startKnown {
-		a.result.ColdBreaches++
-		a.addBreach(sprintf("server %d was pushed over while cold", server))
+		l.result.ColdBreaches++
+		l.addBreach(sprintf("server %d collapsed under load while cold", server))
 	}
 }
 
-// Pressed books the fullest window of a cold server, as a share of what it bears.
-func (a *Ledger) RecordPeakLoad(load float64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.result.ColdPeakLoad = max(a.result.ColdPeakLoad, load)
+// RecordPeakLoad records the highest load of a cold server in one window, as a share of what it can take.
+func (l *Ledger) RecordPeakLoad(load float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.ColdPeakLoad = max(l.result.ColdPeakLoad, load)
 }
 
-// NodeOf is the node of a try.
-func (a *Ledger) NodeOf(id TryID) (node int, known bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if id < 0 || int(id) >= len(a.tries) {
+// NodeOf returns the node of a try; known is false if there is no such try.
+func (l *Ledger) NodeOf(id TryID) (node int, known bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if id < 0 || int(id) >= len(l.tries) {
 		return 0, false
 	}
-	return a.tries[id].node, true
+	return l.tries[id].node, true
 }
 
-// KeyOf is the key by which repeats of a try's op are known.
-func (a *Ledger) OpOf(id TryID) (op OpID, category int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	o := a.tries[id].op
-	return o, a.ops[o].category
+// OpOf returns the op of a try, which is the deduplication key, and the op's category.
+func (l *Ledger) OpOf(id TryID) (op OpID, category int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	o := l.tries[id].op
+	return o, l.ops[o].category
 }
 
-// Missed books how many sends the generator made too late.
-func (a *Ledger) RecordScheduleMisses(n int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.result.ScheduleMissed += n
+// RecordScheduleMisses adds n to the number of sends that the load generator made too late.
+func (l *Ledger) RecordScheduleMisses(n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.ScheduleMissed += n
 }
 
-// Note books a line in words: a process that ended, a trouble that began.
-func (a *Ledger) RecordEvent(text string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.result.Events = append(a.result.Events, text)
+// RecordEvent adds a line to the events of the result, such as the end of a process or the start of a disturbance.
+func (l *Ledger) RecordEvent(text string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.result.Events = append(l.result.Events, text)
 }
 
-// Sample books one server's throttle at a node.
-func (a *Ledger) RecordThrottle(at policy.Micros, sample Throttle) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	sample.AtMs = milliseconds(at - a.loadStart)
-	a.result.Throttles = append(a.result.Throttles, sample)
+// RecordThrottle records a sample of one server's throttle at a node.
+func (l *Ledger) RecordThrottle(at policy.Micros, sample Throttle) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	sample.AtMs = milliseconds(at - l.loadStart)
+	l.result.Throttles = append(l.result.Throttles, sample)
 }
 
-// Progress is how the run stands.
+// Progress counts the ops of clients by their state so far.
 type Progress struct{ Offered, Served, Nacked, Pending int }
 
-// Progress counts the clients' ops so far.
-func (a *Ledger) Progress() (p Progress) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for i := range a.ops {
-		o := &a.ops[i]
+// Progress returns the counts of the clients' ops so far.
+func (l *Ledger) Progress() (p Progress) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i := range l.ops {
+		o := &l.ops[i]
 		if o.tier != 0 {
 			continue
 		}
@@ -482,24 +516,24 @@
 	return p
 }
 
-// Begin sets when the load begins. Nothing may be offered before.
-func (a *Ledger) SetLoadStart(at policy.Micros) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.loadStart = at
+// SetLoadStart sets when the load begins. No op may be recorded before this call.
+func (l *Ledger) SetLoadStart(at policy.Micros) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.loadStart = at
 }
 
-// Cut says that the run ends before its time: whoever still waits goes without an answer, by no fault of a node.
-func (a *Ledger) Abort(at policy.Micros) {
-	a.mu.Lock()
-	pending := make([]TryID, 0, len(a.tries))
-	for i := range a.tries {
-		if a.tries[i].verdict == Pending {
+// Abort records that the run ends early: pending tries count as left by their clients, not as unanswered.
+func (l *Ledger) Abort(at policy.Micros) {
+	l.mu.Lock()
+	pending := make([]TryID, 0, len(l.tries))
+	for i := range l.tries {
+		if l.tries[i].verdict == Pending {
 			pending = append(pending, TryID(i))
 		}
 	}
-	a.mu.Unlock()
+	l.mu.Unlock()
 	for _, id := range pending {
-		a.RecordTryEnd(id, at, ClientLeft)
+		l.RecordTryEnd(id, at, ClientLeft)
 	}
 }
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -50,7 +50,7 @@
 	return New(s, 0, policy.Second, false)
 }
 
-// Each breach is seen, and what only looks like one is none.
+// Each breach of a rule is detected, and similar sequences that are allowed are not reported as breaches.
 func TestRules(t *testing.T) {
 	const slots, booking, cancel = 0, 1, 2
 	try := func(ledger *Ledger, category int) (OpID, TryID) {
@@ -66,74 +66,70 @@
 			ledger.RecordPush(id, 0, 1)
 			ledger.RecordTryEnd(id, 50*millisecond, Served)
 		}, []string{}},
-		"twice answered": {func(ledger *Ledger) {
+		"answered twice": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordTryEnd(id, 50*millisecond, Served)
 			ledger.RecordExtraAnswer(id)
-		},
-			[]string{"answer"}},
+		}, []string{"answer"}},
 		"never answered": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordTryEnd(id, 500*millisecond, Unanswered)
 		}, []string{"answer"}},
-		"held by a node that died": {func(ledger *Ledger) {
+		"pending at a node that crashed": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordNodeCrash(0, 10*millisecond)
 			ledger.RecordTryEnd(id, 11*millisecond, ConnectionLost)
-		},
-			[]string{}},
-		"broken before the node died": {func(ledger *Ledger) {
+		}, []string{}},
+		"connection lost before the node crashed": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordTryEnd(id, 5*millisecond, ConnectionLost)
 			ledger.RecordNodeCrash(0, 10*millisecond)
-		},
-			[]string{"answer"}},
-		"sent after its node died and came back": {func(ledger *Ledger) {
+		}, []string{"answer"}},
+		"sent after its node crashed and restarted": {func(ledger *Ledger) {
 			ledger.RecordNodeCrash(0, 0)
 			op := ledger.RecordOp(900*millisecond, slots, -1, 0)
 			ledger.RecordTryEnd(ledger.RecordTry(op, 0, 900*millisecond, 1100*millisecond), 1500*millisecond, Unanswered)
 		}, []string{"answer"}},
-		"held by a node that was stopped": {func(ledger *Ledger) {
+		"pending at a paused node": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordNodePause(0, true, 10*millisecond)
 			ledger.RecordTryEnd(id, 500*millisecond, Unanswered)
 			ledger.RecordNodePause(0, false, 900*millisecond)
 		}, []string{}},
-		"sent after its node went on": {func(ledger *Ledger) {
+		"sent after its node resumed": {func(ledger *Ledger) {
 			ledger.RecordNodePause(0, true, 0)
 			ledger.RecordNodePause(0, false, 100*millisecond)
 			op := ledger.RecordOp(900*millisecond, slots, -1, 0)
 			ledger.RecordTryEnd(ledger.RecordTry(op, 0, 900*millisecond, 1100*millisecond), 1500*millisecond, Unanswered)
 		}, []string{"answer"}},
-		"drained while its node was stopped": {func(ledger *Ledger) {
+		"drain sent while its node was paused": {func(ledger *Ledger) {
 			ledger.RecordNodePause(0, true, 0)
 			ledger.RecordServerState(0, 3, policy.Draining, 0, 10*millisecond)
 			ledger.RecordNodePause(0, false, 4000*millisecond)
 			op := ledger.RecordOp(4000*millisecond, slots, -1, 0)
 			ledger.RecordPush(ledger.RecordTry(op, 0, 4000*millisecond, 4200*millisecond), 3, 4100*millisecond)
 		}, []string{}},
-		"just in time": {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 270*millisecond, Failed) }, []string{}},
-		"late":         {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 271*millisecond, Failed) }, []string{"answer"}},
-		"client left":  {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 50*millisecond, ClientLeft) }, []string{}},
-		"run for one who left": {func(ledger *Ledger) {
+		"answered within the tolerance": {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 270*millisecond, Failed) }, []string{}},
+		"answered late":                 {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 271*millisecond, Failed) }, []string{"answer"}},
+		"client left":                   {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 50*millisecond, ClientLeft) }, []string{}},
+		"ran after its client left": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			p := ledger.RecordPush(id, 0, 1)
 			ledger.RecordTryEnd(id, 9, ClientLeft)
 			ledger.RecordEffect(p)
 		}, []string{}},
-		"sent after its end": {func(ledger *Ledger) {
+		"pushed after its end": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordTryEnd(id, 10*millisecond, Served)
 			ledger.RecordPush(id, 1, 61*millisecond)
-		},
-			[]string{"answer"}},
-		"ran twice, may": {func(ledger *Ledger) {
+		}, []string{"answer"}},
+		"ran twice, redeliverable": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
 			ledger.RecordEffect(ledger.RecordPush(id, 1, 2))
 			ledger.RecordTryEnd(id, 9, Served)
 		}, []string{}},
-		"ran twice, may not": {func(ledger *Ledger) {
+		"ran twice, at most once": {func(ledger *Ledger) {
 			_, id := try(ledger, cancel)
 			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
 			ledger.RecordEffect(ledger.RecordPush(id, 1, 2))
@@ -147,23 +143,23 @@
 			ledger.RecordEffect(ledger.RecordPush(second, 0, 11))
 			ledger.RecordTryEnd(second, 20, Served)
 		}, []string{"effect"}},
-		"nacked and had run": {func(ledger *Ledger) {
+		"nacked after it ran": {func(ledger *Ledger) {
 			_, id := try(ledger, cancel)
 			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
 			ledger.RecordTryEnd(id, 9, Nacked)
 		}, []string{"effect"}},
-		"nacked and ran later": {func(ledger *Ledger) {
+		"nacked before it ran": {func(ledger *Ledger) {
 			_, id := try(ledger, cancel)
 			p := ledger.RecordPush(id, 0, 1)
 			ledger.RecordTryEnd(id, 9, Nacked)
 			ledger.RecordEffect(p)
 		}, []string{"effect"}},
-		"nacked, ran, may run again": {func(ledger *Ledger) {
+		"nacked after it ran, deduplicated by all servers": {func(ledger *Ledger) {
 			_, id := try(ledger, booking)
 			ledger.RecordEffect(ledger.RecordPush(id, 0, 1))
 			ledger.RecordTryEnd(id, 9, Nacked)
 		}, []string{}},
-		"drained, told to the process before": {func(ledger *Ledger) {
+		"drained, sent to the previous process": {func(ledger *Ledger) {
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
 			ledger.RecordNodeStart(0)
 			ledger.RecordServerState(0, 1, policy.Ready, 0, 500*millisecond)
@@ -171,7 +167,7 @@
 			ledger.RecordPush(id, 1, 2500*millisecond)
 			ledger.RecordTryEnd(id, 2501*millisecond-2300*millisecond, ClientLeft)
 		}, []string{}},
-		"drained, told to the process anew": {func(ledger *Ledger) {
+		"drained, sent again to the new process": {func(ledger *Ledger) {
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
 			ledger.RecordNodeStart(0)
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 500*millisecond)
@@ -179,28 +175,28 @@
 			ledger.RecordPush(id, 1, 2500*millisecond)
 			ledger.RecordTryEnd(id, 2501*millisecond-2300*millisecond, ClientLeft)
 		}, []string{"drain"}},
-		"drained, inside the grace": {func(ledger *Ledger) {
+		"drained, within the grace period": {func(ledger *Ledger) {
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
 			_, id := try(ledger, slots)
 			ledger.RecordPush(id, 1, 550*millisecond)
 			ledger.RecordTryEnd(id, 551*millisecond-300*millisecond, ClientLeft)
 		}, []string{}},
-		"drained, past the grace": {func(ledger *Ledger) {
+		"drained, past the grace period": {func(ledger *Ledger) {
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
-			ledger.RecordServerState(0, 1, policy.Gone, 0, 300*millisecond) // counts from the first word
+			ledger.RecordServerState(0, 1, policy.Gone, 0, 300*millisecond) // the grace period runs from the first notification
 			_, id := try(ledger, slots)
 			ledger.RecordPush(id, 1, 551*millisecond)
 			ledger.RecordTryEnd(id, 560*millisecond, ClientLeft)
 		}, []string{"drain"}},
-		"drained and back": {func(ledger *Ledger) {
+		"drained, then ready again": {func(ledger *Ledger) {
 			ledger.RecordServerState(0, 1, policy.Draining, 0, 0)
 			ledger.RecordServerState(0, 1, policy.Ready, 0, 100*millisecond)
 			_, id := try(ledger, slots)
 			ledger.RecordPush(id, 1, 900*millisecond)
 			ledger.RecordTryEnd(id, 900*millisecond, ClientLeft)
 		}, []string{}},
-		"tipped over by those who knew": {func(ledger *Ledger) { ledger.RecordCollapse(0, true) }, []string{"cold"}},
-		"tipped over unseen":            {func(ledger *Ledger) { ledger.RecordCollapse(0, false) }, []string{}},
+		"collapsed by nodes that knew of its start":         {func(ledger *Ledger) { ledger.RecordCollapse(0, true) }, []string{"cold"}},
+		"collapsed by nodes that did not know of its start": {func(ledger *Ledger) { ledger.RecordCollapse(0, false) }, []string{}},
 	} {
 		ledger := newTestLedger(t)
 		c.record(ledger)
@@ -211,10 +207,10 @@
 	}
 }
 
-// Benefit, latency and waste are counted as the fields say.
+// The fields of the result hold the benefit, latency and wasted work of the recorded ops, and keep their JSON names.
 func TestResultFields(t *testing.T) {
 	ledger := newTestLedger(t)
-	for i, took := range []policy.Micros{50 * millisecond, 150 * millisecond} { // in its target latency, and past it
+	for i, took := range []policy.Micros{50 * millisecond, 150 * millisecond} { // within the target latency, and past it
 		op := ledger.RecordOp(policy.Micros(i), 0, -1, 0)
 		firstTry := ledger.RecordTry(op, 0, policy.Micros(i), 200*millisecond)
 		pushID := ledger.RecordPush(firstTry, 0, 1)
@@ -242,7 +238,7 @@
 	json.Unmarshal(raw, &fields)
 	for _, name := range []string{"ops", "served", "nacked", "dead_lettered", "unanswered", "double_answers", "double_effects",
 		"drain_breaches", "cold_breaches", "late", "pushes_per_op", "p50_ms", "p99_ms", "p999_ms", "schedule_missed"} {
-		if _, there := fields[name]; !there {
+		if _, ok := fields[name]; !ok {
 			t.Errorf("the JSON has no %s", name)
 		}
 	}
@@ -250,6 +246,6 @@
 	ledger.scenario.Expect = scenario.Expect{MinServedBenefit: &bound, BrokenRules: []string{"cold"}}
 	r.CheckExpectations(ledger)
 	if len(r.FailedExpectations) != 2 {
-		t.Errorf("failures %v", r.FailedExpectations)
+		t.Errorf("failed expectations: %v", r.FailedExpectations)
 	}
 }
--- a/internal/lab/ledger/result.go
+++ b/internal/lab/ledger/result.go
@@ -9,29 +9,30 @@
 	"canvasrouter/policy"
 )
 
+// sprintf formats a breach message or a failed expectation.
 func sprintf(format string, args ...any) string { return fmt.Sprintf(format, args...) }
 
-// ms is a time in milliseconds, to a microsecond.
+// milliseconds converts a time to milliseconds, with microsecond precision.
 func milliseconds(t policy.Micros) float64 { return float64(t) / 1000 }
 
-// Result is what a run came to: the JSON of --json. Ratios are 0 where nothing was counted.
+// Result is the outcome of a run; option --json writes it as JSON. A ratio is 0 where nothing was counted.
 type Result struct {
 	Name               string           `json:"name"`
 	Policy             string           `json:"policy"`
-	Driver             string           `json:"driver"` // live: servers on loopback sockets; sim: simulated time
+	Driver             string           `json:"driver"` // "live": servers on loopback sockets; "sim": simulated time
 	Seed               uint64           `json:"seed"`
 	Command            string           `json:"command"`
-	Partial            bool             `json:"partial"` // ended before its time
+	Partial            bool             `json:"partial"` // the run was interrupted
 	VoidReason         string           `json:"void,omitempty"`
-	Ops                int              `json:"ops"` // of clients
+	Ops                int              `json:"ops"` // sent by clients
 	Served             int              `json:"served"`
 	Nacked             int              `json:"nacked"`
 	DeadLettered       int              `json:"dead_lettered"`
-	ClientLeft         int              `json:"left"` // the client went first
+	ClientLeft         int              `json:"left"` // the client gave up by its own choice
 	Unanswered         int              `json:"unanswered"`
-	LostToCrash        int              `json:"lost_to_crash"` // tries that a node held when it died
-	LostToPause        int              `json:"lost_to_pause"` // tries that a node held while its process was stopped
-	HarnessLateMs      float64          `json:"rig_late_ms"`   // the most that the rig itself was late
+	LostToCrash        int              `json:"lost_to_crash"` // tries pending at a node when it crashed
+	LostToPause        int              `json:"lost_to_pause"` // tries pending at a node while its process was stopped
+	HarnessLateMs      float64          `json:"rig_late_ms"`   // maximum lateness of the test harness itself
 	PeerTraffic        *PeerTraffic     `json:"between,omitempty"`
 	DoubleAnswers      int              `json:"double_answers"`
 	DoubleEffects      int              `json:"double_effects"`
@@ -39,40 +40,41 @@
 	DrainBreaches      int              `json:"drain_breaches"`
 	ColdBreaches       int              `json:"cold_breaches"`
 	CollapsedServers   int              `json:"tipped_over"`
-	ColdPeakLoad       float64          `json:"cold_fullest"` // fullest window at a cold server, as a share of its budget and chance
+	ColdPeakLoad       float64          `json:"cold_fullest"` // peak load of a cold server in one window, as a share of its budget and the allowance for chance
 	LateAnswers        int              `json:"late"`
 	LatePushes         int              `json:"late_sends"`
-	PushesPerOp        float64          `json:"pushes_per_op"`    // of tries that reached a node of the first tier
-	TriesPerOp         float64          `json:"tries_per_op"`     // of clients
-	PushesAllTiers     float64          `json:"pushes_all_tiers"` // pushes in any tier, by client's op
+	PushesPerOp        float64          `json:"pushes_per_op"`    // per try that reached a node of the first tier
+	TriesPerOp         float64          `json:"tries_per_op"`     // made by clients
+	PushesAllTiers     float64          `json:"pushes_all_tiers"` // pushes in all tiers, per op of a client
 	P50Ms              float64          `json:"p50_ms"`
 	P99Ms              float64          `json:"p99_ms"`
 	P999Ms             float64          `json:"p999_ms"`
-	ServedBenefit      float64          `json:"served_benefit"` // share of what was offered
+	ServedBenefit      float64          `json:"served_benefit"` // as a share of the offered benefit
 	LastQuarterBenefit float64          `json:"last_quarter_benefit"`
 	WorstTenantBenefit float64          `json:"worst_tenant"`
-	WastedWork         float64          `json:"wasted_work"` // share of core time whose answer reached nobody
+	WastedWork         float64          `json:"wasted_work"` // share of core time spent on answers that reached no client
 	ScheduleMissed     int              `json:"schedule_missed"`
 	BrokenRules        []string         `json:"broken_rules"`
 	Categories         []CategoryResult `json:"categories"`
-	BreachMessages     []string         `json:"breaches,omitempty"` // the first of them in words
+	BreachMessages     []string         `json:"breaches,omitempty"` // descriptions of the first breaches
 	Events             []string         `json:"events,omitempty"`
 	Series             []Bucket         `json:"series"`
 	Throttles          []Throttle       `json:"throttles,omitempty"`
 	FailedExpectations []string         `json:"failed_expectations"`
 }
 
-// Traffic is what nodes said to each other, as the relay counted it: a node and second, mean and the busiest node's.
+// PeerTraffic is the traffic between nodes as counted by the relay, per node and second: the mean over all nodes and,
+// for MaxBytesPerSecond, the busiest node.
 type PeerTraffic struct {
 	BytesPerSecond       float64 `json:"bytes_a_node_and_second"`
 	MaxBytesPerSecond    float64 `json:"most_bytes_a_second"`
 	DatagramsPerSecond   float64 `json:"datagrams_a_node_and_second"`
 	StreamsPerSecond     float64 `json:"streams_a_node_and_second"`
 	StreamBytesPerSecond float64 `json:"streamed_bytes_a_node_and_second"`
-	MaxClosedByPeers     float64 `json:"most_closed_by_hearsay"` // part of a node's servers, as nodes say when asked
+	MaxClosedByPeers     float64 `json:"most_closed_by_hearsay"` // share of a node's servers closed by peer reports, as the nodes answer when asked; the highest
 }
 
-// Kind is one category's part.
+// CategoryResult holds the figures of one category.
 type CategoryResult struct {
 	Name          string  `json:"name"`
 	Ops           int     `json:"ops"`
@@ -82,7 +84,7 @@
 	P99Ms         float64 `json:"p99_ms"`
 }
 
-// Bucket is one category over one span of the run.
+// Bucket holds the figures of one category in one time bucket of the run.
 type Bucket struct {
 	AtMs     float64 `json:"at_ms"`
 	Category int     `json:"category"`
@@ -95,36 +97,40 @@
 	P99Ms    float64 `json:"p99_ms"`
 }
 
-// Throttle is one server's overload control at a node, while it acts.
+// Throttle is a sample of a server's overload control at a node while the control is active.
 type Throttle struct {
 	AtMs        float64 `json:"at_ms"`
 	Node        int     `json:"node"`
 	Server      string  `json:"server"`
-	Rate        float64 `json:"rate"` // ops a second that it lets pass at the cut
-	CutoffLevel int     `json:"cut"`  // benefit level
+	Rate        float64 `json:"rate"` // ops a second admitted at CutoffLevel
+	CutoffLevel int     `json:"cut"`  // benefit level at which Rate applies
 }
 
-// bucket finds a category's bucket of a moment.
-func (a *Ledger) bucketAt(at policy.Micros, category int) *Bucket {
-	n := int(max(0, at-a.loadStart)/a.bucketDuration)*len(a.scenario.Categories) + category
-	for len(a.series) <= n {
-		next := len(a.series)
-		a.series = append(a.series, Bucket{AtMs: milliseconds(policy.Micros(next/len(a.scenario.Categories)) * a.bucketDuration),
-			Category: next % len(a.scenario.Categories)})
+// bucketAt returns a category's bucket at a time, and appends buckets up to it where needed.
+func (l *Ledger) bucketAt(at policy.Micros, category int) *Bucket {
+	n := int(max(0, at-l.loadStart)/l.bucketDuration)*len(l.scenario.Categories) + category
+	for len(l.series) <= n {
+		next := len(l.series)
+		l.series = append(l.series, Bucket{AtMs: milliseconds(policy.Micros(next/len(l.scenario.Categories)) * l.bucketDuration),
+			Category: next % len(l.scenario.Categories)})
 	}
-	return &a.series[n]
+	return &l.series[n]
 }
 
-// Finish closes the account at the run's end and judges it. Tries that are still open by then got no answer.
-func (a *Ledger) Finish(end policy.Micros) *Result {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	r := a.result // a copy: the account can be closed again
-	a.tallyTries(&r)
-	a.tallyOps(&r, end)
-	a.tallyWork(&r)
-	r.P50Ms, r.P99Ms, r.P999Ms = quantileMs(a.latency, 50), quantileMs(a.latency, 99), quantileMs(a.latency, 99.9)
-	r.Series, r.BreachMessages = a.series, a.breachMessages
+// Finish returns the result of a run that ended at end, with the rules checked. Tries that are still pending count as
+// unanswered. Finish can be called again.
+func (l *Ledger) Finish(end policy.Micros) *Result {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := l.result // a copy, so that Finish can be called again
+	l.tallyTries(&r)
+	l.tallyOps(&r, end)
+	l.tallyWork(&r)
+	r.P50Ms = quantileMs(l.latency, 50)
+	r.P99Ms = quantileMs(l.latency, 99)
+	r.P999Ms = quantileMs(l.latency, 99.9)
+	r.Series = l.series
+	r.BreachMessages = l.breachMessages
 	r.BrokenRules = []string{}
 	for i, broken := range []bool{
 		r.Unanswered+r.DoubleAnswers+r.LateAnswers+r.LatePushes > 0,
@@ -139,20 +145,21 @@
 	return &r
 }
 
-func (a *Ledger) tallyTries(r *Result) {
+// tallyTries counts the tries without an answer, and the pushes per try.
+func (l *Ledger) tallyTries(r *Result) {
 	clientTries, pushes := 0, 0
-	for i := range a.tries {
-		t := &a.tries[i]
-		betweenTiers := a.ops[t.op].tier != 0
+	for i := range l.tries {
+		t := &l.tries[i]
+		betweenTiers := l.ops[t.op].tier != 0
 		switch {
 		case t.verdict == Pending, t.verdict == Unanswered, t.verdict == ConnectionLost:
-			if a.lostToCrash(t) {
+			if l.lostToCrash(t) {
 				r.LostToCrash++
-			} else if a.wasPaused(t, t.deadline) {
+			} else if l.wasPaused(t, t.deadline) {
 				r.LostToPause++
 			} else if t.verdict != Pending || !betweenTiers {
 				r.Unanswered++
-				a.addBreach(sprintf("try %d to node %d got no answer", i, t.node))
+				l.addBreach(sprintf("try %d to node %d got no answer", i, t.node))
 			}
 		}
 		if !betweenTiers && t.verdict != Refused {
@@ -163,18 +170,19 @@
 	r.PushesPerOp = ratio(float64(pushes), float64(clientTries))
 }
 
-func (a *Ledger) tallyOps(r *Result, end policy.Micros) {
+// tallyOps counts the clients' ops by their end and computes the benefit and the latency of each category.
+func (l *Ledger) tallyOps(r *Result, end policy.Micros) {
 	type sum struct{ earned, offered float64 }
-	tenants := make([]sum, len(a.scenario.Tenants))
-	categories := make([]sum, len(a.scenario.Categories))
+	tenants := make([]sum, len(l.scenario.Tenants))
+	categories := make([]sum, len(l.scenario.Categories))
 	var total, lastQuarter sum
 	tries := 0
-	for range a.scenario.Categories {
+	for range l.scenario.Categories {
 		r.Categories = append(r.Categories, CategoryResult{})
 	}
-	lastQuarterStart := a.loadStart + (end-a.loadStart)*3/4
-	for i := range a.ops {
-		o := &a.ops[i]
+	lastQuarterStart := l.loadStart + (end-l.loadStart)*3/4
+	for i := range l.ops {
+		o := &l.ops[i]
 		if o.tier != 0 {
 			continue
 		}
@@ -187,16 +195,19 @@
 		case Served:
 			r.Served++
 			category.Served++
-			earned = a.earnedBenefit(o)
+			earned = l.earnedBenefit(o)
 		case Nacked:
 			r.Nacked++
 		case ClientLeft:
 			r.ClientLeft++
-			continue // worth nothing to anybody
+			continue // neither offered nor earned: nobody waits for the answer
 		case Failed:
 			r.DeadLettered++
 		}
-		add := func(s *sum) { s.earned += earned; s.offered += o.offeredBenefit }
+		add := func(s *sum) {
+			s.earned += earned
+			s.offered += o.offeredBenefit
+		}
 		add(&total)
 		add(&categories[o.category])
 		if o.tenant >= 0 {
@@ -206,9 +217,10 @@
 			add(&lastQuarter)
 		}
 	}
-	r.ServedBenefit, r.LastQuarterBenefit = ratio(total.earned, total.offered), ratio(lastQuarter.earned, lastQuarter.offered)
+	r.ServedBenefit = ratio(total.earned, total.offered)
+	r.LastQuarterBenefit = ratio(lastQuarter.earned, lastQuarter.offered)
 	r.TriesPerOp = ratio(float64(tries), float64(r.Ops))
-	r.PushesAllTiers = ratio(float64(len(a.pushes)), float64(r.Ops))
+	r.PushesAllTiers = ratio(float64(len(l.pushes)), float64(r.Ops))
 	r.WorstTenantBenefit = 1
 	for _, t := range tenants {
 		if t.offered > 0 {
@@ -217,30 +229,32 @@
 	}
 	for i := range r.Categories {
 		category := &r.Categories[i]
-		category.Name, category.ServedBenefit = a.scenario.Categories[i].Name, ratio(categories[i].earned, categories[i].offered)
-		category.P50Ms, category.P99Ms = quantileMs(a.latencyByCategory[i], 50), quantileMs(a.latencyByCategory[i], 99)
+		category.Name = l.scenario.Categories[i].Name
+		category.ServedBenefit = ratio(categories[i].earned, categories[i].offered)
+		category.P50Ms = quantileMs(l.latencyByCategory[i], 50)
+		category.P99Ms = quantileMs(l.latencyByCategory[i], 99)
 	}
 }
 
-// finishWork adds up core time whose answer reached no client, and the latency of each bucket.
-func (a *Ledger) tallyWork(r *Result) {
+// tallyWork sums the core time spent on answers that reached no client, and computes the latency of each bucket.
+func (l *Ledger) tallyWork(r *Result) {
 	var total, wasted policy.Micros
-	for i := range a.series {
-		a.series[i].WastedMs = 0
+	for i := range l.series {
+		l.series[i].WastedMs = 0
 	}
-	for i := range a.pushes {
-		p := &a.pushes[i]
+	for i := range l.pushes {
+		p := &l.pushes[i]
 		total += p.work
 		if !p.served {
 			wasted += p.work
-			a.bucketAt(p.at, a.ops[a.tries[p.try].op].category).WastedMs += milliseconds(p.work)
+			l.bucketAt(p.at, l.ops[l.tries[p.try].op].category).WastedMs += milliseconds(p.work)
 		}
 	}
 	r.WastedWork = ratio(float64(wasted), float64(total))
-	histograms := make([]*hdrhistogram.Histogram, len(a.series))
-	for i := range a.ops {
-		if o := &a.ops[i]; o.tier == 0 && o.verdict == Served {
-			n := int(max(0, o.intendedAt+o.latency-a.loadStart)/a.bucketDuration)*len(a.scenario.Categories) + o.category
+	histograms := make([]*hdrhistogram.Histogram, len(l.series))
+	for i := range l.ops {
+		if o := &l.ops[i]; o.tier == 0 && o.verdict == Served {
+			n := int(max(0, o.intendedAt+o.latency-l.loadStart)/l.bucketDuration)*len(l.scenario.Categories) + o.category
 			if histograms[n] == nil {
 				histograms[n] = hdrhistogram.New(1, 300_000_000, 2)
 			}
@@ -249,16 +263,18 @@
 	}
 	for i, h := range histograms {
 		if h != nil {
-			a.series[i].P50Ms, a.series[i].P99Ms = quantileMs(h, 50), quantileMs(h, 99)
+			l.series[i].P50Ms = quantileMs(h, 50)
+			l.series[i].P99Ms = quantileMs(h, 99)
 		}
 	}
 }
 
+// quantileMs returns a percentile of a histogram of microseconds, in milliseconds.
 func quantileMs(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// ratio is a share to six digits; 0 of nothing.
+// ratio returns a quotient rounded to six decimals, or 0 if the denominator is 0.
 func ratio(numerator, denominator float64) float64 {
 	if denominator == 0 {
 		return 0
@@ -266,13 +282,13 @@
 	return math.Round(numerator/denominator*1e6) / 1e6
 }
 
-// Judge compares a result with what its experiment expects, and writes down what was not met.
-func (r *Result) CheckExpectations(a *Ledger) {
+// CheckExpectations compares the result with the expectations of its experiment and records those that were not met.
+func (r *Result) CheckExpectations(l *Ledger) {
 	r.FailedExpectations = []string{}
 	fail := func(format string, args ...any) {
 		r.FailedExpectations = append(r.FailedExpectations, sprintf(format, args...))
 	}
-	expect := &a.scenario.Expect
+	expect := &l.scenario.Expect
 	expectedBroken := map[string]bool{}
 	for _, rule := range expect.BrokenRules {
 		expectedBroken[rule] = true
