--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -9,15 +9,15 @@
 	"canvasrouter/policy"
 )
 
-// Machine is one server of the fleet as it stands at the start.
+// Machine is one server of the fleet.
 type Machine struct {
 	Tier, Zone, Cell int
 	Type             *MachineType
-	TypeIndex        int // among all kinds of its tier
+	TypeIndex        int // of Type in the MachineTypes of its tier
 }
 
-// Machines are the servers of all tiers, zones dealt in turn. The order is the same in every run.
-func (s *Scenario) Machines() (all []Machine) {
+// Machines returns the servers of all tiers. Zones are assigned round-robin; the order is the same in every run.
+func (s *Scenario) Machines() (machines []Machine) {
 	for tier := range s.Tiers {
 		indexInTier := 0
 		for typeIndex := range s.Tiers[tier].MachineTypes {
@@ -27,50 +27,51 @@
 				if machineType.CellSize > 0 {
 					m.Cell = indexInTier / machineType.CellSize
 				}
-				all = append(all, m)
+				machines = append(machines, m)
 				indexInTier++
 			}
 		}
 	}
-	return all
+	return machines
 }
 
-// Balancer is one node.
+// Node is one node of the experiment.
 type Node struct {
 	Tier, Zone int
-	Index      int // among those of its tier
-	NodeCount  int // how many they are
-	Server     int // whose node it is, in a later tier: a place in Machines; -1 in the first
+	Index      int // among the nodes of its tier
+	NodeCount  int // nodes in its tier
+	Server     int // index in Machines of the server that the node belongs to, in a later tier; -1 in the first tier
 }
 
-// Balancers are the nodes of all tiers.
-func (s *Scenario) Nodes() (all []Node) {
+// Nodes returns the nodes of all tiers.
+func (s *Scenario) Nodes() (nodes []Node) {
 	nodeCounts := make([]int, len(s.Tiers))
 	for n := range s.Tiers[0].NodeCount {
-		all = append(all, Node{Zone: n % len(s.Zones), Index: n, Server: -1})
+		nodes = append(nodes, Node{Zone: n % len(s.Zones), Index: n, Server: -1})
 	}
 	nodeCounts[0] = s.Tiers[0].NodeCount
 	for server, m := range s.Machines() {
 		if next := m.Tier + 1; next < len(s.Tiers) {
-			all = append(all, Node{Tier: next, Zone: m.Zone, Server: server, Index: nodeCounts[next]})
+			nodes = append(nodes, Node{Tier: next, Zone: m.Zone, Server: server, Index: nodeCounts[next]})
 			nodeCounts[next]++
 		}
 	}
-	for i := range all {
-		all[i].NodeCount = nodeCounts[all[i].Tier]
+	for i := range nodes {
+		nodes[i].NodeCount = nodeCounts[nodes[i].Tier]
 	}
-	return all
+	return nodes
 }
 
+// effectByDelivery maps the delivery semantics of a category to the value of the key effect in a node's configuration.
 var effectByDelivery = map[string]string{"redeliverable": "idempotent", "deduplicated": "deduplicated",
 	"at_most_once": "at_most_once"}
 
-// Repeats are the categories' kinds of repeat, as the module has them.
+// DeliveryByName maps the names of the delivery semantics to the values of the policy module.
 var DeliveryByName = map[string]policy.Repeat{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.AtMostOnce}
 
-// Config is a node's configuration in the platform's form. Known is the list that it starts with, in the registry's; fleet
-// is its key of that name, left out if nil.
+// NodeConfig returns a node's configuration in the JSON format of the platform. cachedList is the list of servers that
+// the node starts with, in the registry's format; fleet is the value of the key fleet, left out if nil.
 func (s *Scenario) NodeConfig(node Node, name, listen, registryAddr string, seed uint64, cachedList json.RawMessage, fleet any) []byte {
 	type object = map[string]any
 	var tiers, machineTypes []string
@@ -78,10 +79,10 @@
 		tiers = append(tiers, t.Name)
 	}
 	minIdleTimeoutMs := 0.0
-	for _, k := range s.Tiers[node.Tier].MachineTypes {
-		machineTypes = append(machineTypes, k.Name)
-		if minIdleTimeoutMs == 0 || k.IdleTimeout.Milliseconds() < minIdleTimeoutMs {
-			minIdleTimeoutMs = k.IdleTimeout.Milliseconds()
+	for _, machineType := range s.Tiers[node.Tier].MachineTypes {
+		machineTypes = append(machineTypes, machineType.Name)
+		if minIdleTimeoutMs == 0 || machineType.IdleTimeout.Milliseconds() < minIdleTimeoutMs {
+			minIdleTimeoutMs = machineType.IdleTimeout.Milliseconds()
 		}
 	}
 	categories, tenants := []object{}, []object{}
@@ -89,7 +90,8 @@
 		category := object{"name": c.Name, "benefit": c.Benefit, "tardy_benefit": c.LateBenefit, "effect": effectByDelivery[c.Delivery],
 			"target_latency": c.TargetLatency.Milliseconds(), "ttl": c.TTL.Milliseconds()}
 		if c.Delivery == "deduplicated" {
-			category["key_scope"], category["repeat_window"] = c.DedupScope, c.DedupWindow.Milliseconds()
+			category["key_scope"] = c.DedupScope
+			category["repeat_window"] = c.DedupWindow.Milliseconds()
 		}
 		categories = append(categories, category)
 	}
@@ -118,20 +120,35 @@
 	}
 	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // nothing of the above can fail to be written
+		panic(err) // all values above can be encoded
 	}
 	return raw
 }
 
-// Traits are a machine's, as the model takes them.
+// ModelSpec returns the parameters of the machine for the server model.
 func (m Machine) ModelSpec(s *Scenario) fleet.Traits {
-	machineType := m.Type
-	return fleet.Traits{Cores: machineType.Cores, Speed: machineType.Speed, Queue: machineType.QueueLimit, JamOver: machineType.JamQueuePerCore, JamAfter: machineType.JamDelay.Micros(),
-		JamFactor: machineType.JamSlowdown, JamIdle: machineType.JamRecoveryTime.Micros(), CrowdOver: machineType.CrowdingPerCore, CrowdLoss: machineType.CrowdingSlowdown, Cold: fleet.Cold{From: s.Limits.ColdInitialShare,
-			Warm: s.Limits.ColdWarmUpTime.Micros(), Factor: s.Limits.ColdOverloadFactor, Window: s.Limits.ColdOverloadWindow.Micros(), Mean: s.MeanWork()}}
+	t := m.Type
+	return fleet.Traits{
+		Cores:     t.Cores,
+		Speed:     t.Speed,
+		Queue:     t.QueueLimit,
+		JamOver:   t.JamQueuePerCore,
+		JamAfter:  t.JamDelay.Micros(),
+		JamFactor: t.JamSlowdown,
+		JamIdle:   t.JamRecoveryTime.Micros(),
+		CrowdOver: t.CrowdingPerCore,
+		CrowdLoss: t.CrowdingSlowdown,
+		Cold: fleet.Cold{
+			From:   s.Limits.ColdInitialShare,
+			Warm:   s.Limits.ColdWarmUpTime.Micros(),
+			Factor: s.Limits.ColdOverloadFactor,
+			Window: s.Limits.ColdOverloadWindow.Micros(),
+			Mean:   s.MeanWork(),
+		},
+	}
 }
 
-// MeanWork is that of an op of the load.
+// MeanWork returns the mean work of an op over all categories, weighted by their share of the load.
 func (s *Scenario) MeanWork() policy.Micros {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Categories {
@@ -141,7 +158,8 @@
 	return policy.Micros(work / shares)
 }
 
-// Group is the group that drops a category's repeats at this machine, and for how long, if repeats are dropped.
+// DedupGroup returns the group of servers that drops duplicates of a category's ops at this machine, and for how long
+// the group remembers an op. deduplicated is false if duplicates are not dropped.
 func (m Machine) DedupGroup(s *Scenario, category int) (group int, window policy.Micros, deduplicated bool) {
 	c := &s.Categories[category]
 	switch c.DedupScope {
@@ -153,11 +171,11 @@
 	return group, c.DedupWindow.Micros(), c.Delivery == "deduplicated"
 }
 
-// Memories are the groups' memories of a run, by category, tier and group.
+// DedupMemories holds the deduplication memories of a run, by category, tier and group.
 type DedupMemories map[[3]int]*fleet.Memory
 
-// Of gives the memory of a category's group at a machine, or nil where repeats are not dropped. It remembers for slack
-// longer than the category's window.
+// Get returns the deduplication memory of a category's group at a machine, or nil where duplicates are not dropped. The
+// memory retains an op for extraRetention longer than the category's window.
 func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.Memory {
 	group, window, deduplicated := m.DedupGroup(s, category)
 	if !deduplicated {
@@ -170,7 +188,7 @@
 	return memories[key]
 }
 
-// Entry is how the registry lists a machine that has been up for long, by its place in the plan.
+// RegistryEntry returns the registry's entry of a machine that started long ago. server is its index in the plan.
 func (m Machine) RegistryEntry(server int) registry.Entry {
 	return registry.Entry{Server: server, Zone: m.Zone, Kind: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario is an experiment's file: the fleet, the load, the troubles and what is expected of them. It reads
-// and checks TOML, and turns it into the configuration of each node, in the platform's form.
+// Package scenario defines the file format of an experiment: the fleet, the load, the disturbances and the expected
+// results. It reads and validates the TOML file, plans the disturbances, and derives from the file the configuration of
+// each node in the format of the platform.
 package scenario
 
 import (
@@ -19,14 +20,14 @@
 	"canvasrouter/policy"
 )
 
-// Span is a length of time, written as Go does ("250ms").
+// Duration is a length of time in microseconds, written in the file in Go's notation ("250ms").
 type Duration policy.Micros
 
-// UnmarshalText reads a span. It must not be negative.
+// UnmarshalText parses a duration, which must not be negative.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"250ms\"", text)
 	}
 	if d < 0 {
 		return fmt.Errorf("%q is negative", text)
@@ -35,18 +36,18 @@
 	return nil
 }
 
-// Micros is the span in the module's unit.
+// Micros returns the duration in the unit of the policy module.
 func (s Duration) Micros() policy.Micros { return policy.Micros(s) }
 
-// Ms is the span in milliseconds, as the platform's settings have it.
+// Milliseconds returns the duration in milliseconds, the unit of the platform's settings.
 func (s Duration) Milliseconds() float64 { return float64(s) / 1000 }
 
-// Scenario is an experiment.
+// Scenario is an experiment, as read from its file.
 type Scenario struct {
 	Name          string        `toml:"name"`
 	Description   string        `toml:"about"`
 	Duration      Duration      `toml:"duration"` // of the load
-	ShortDuration Duration      `toml:"short"`    // of the load with --short; troubles keep their times
+	ShortDuration Duration      `toml:"short"`    // of the load with --short; disturbances keep their times
 	Driver        string        `toml:"driver"`   // "live" (sockets) or "sim" (simulated time)
 	Zones         []string      `toml:"zones"`
 	Load          Load          `toml:"load"`
@@ -56,40 +57,40 @@
 	Limits        Limits        `toml:"limits"`
 	Registry      Registry      `toml:"registry"`
 	Network       Network       `toml:"network"`
-	Fleet         *Fleet        `toml:"fleet"` // left out: nodes don't hear each other
+	Fleet         *Fleet        `toml:"fleet"` // nil if left out: nodes exchange no messages
 	PeerFaults    []PeerFault   `toml:"between"`
 	Disturbances  []Disturbance `toml:"trouble"`
 	Expect        Expect        `toml:"expect"`
 }
 
-// Load is what clients offer. It is open: an answer that is late holds no later op back.
+// Load is what clients send. It is an open loop: a late answer does not delay later ops.
 type Load struct {
-	Rate             float64  `toml:"rate"`     // first tries a second
+	Rate             float64  `toml:"rate"`     // ops a second, retries not counted
 	Arrivals         string   `toml:"arrivals"` // "poisson", "bursty" or "even"
-	MeanBurst        float64  `toml:"burst"`    // of bursty ones: mean ops in a burst
-	Retries          int      `toml:"retries"`  // that a client makes by itself
+	MeanBurst        float64  `toml:"burst"`    // with bursty arrivals: mean number of ops in a burst
+	Retries          int      `toml:"retries"`  // maximum that a client makes on its own
 	RetryDelay       Duration `toml:"retry_wait"`
 	MarksRetries     bool     `toml:"marks_retry"`
 	HonorsRetryAfter bool     `toml:"heeds_retry_after"`
-	ImpatientShare   float64  `toml:"impatient"` // share of clients that leave in the middle of their wait
-	LeadTime         Duration `toml:"lead"`      // in which the nodes stand idle before the load
-	UnevenFactor     float64  `toml:"uneven"`    // each fifth node of the first tier gets so many times what the others get; 0: all the same
-	TraceFile        string   `toml:"trace"`     // a file of arrivals, in place of rate and arrivals; beside the experiment
+	ImpatientShare   float64  `toml:"impatient"` // share of clients that leave before the answer
+	LeadTime         Duration `toml:"lead"`      // from the start of the nodes to the start of the load
+	UnevenFactor     float64  `toml:"uneven"`    // times the load of the others that each fifth node of the first tier gets; 0: even load
+	TraceFile        string   `toml:"trace"`     // file of arrivals to play in place of rate and arrivals; relative to the experiment's file
 }
 
-// Category is one kind of op.
+// Category is a category of ops.
 type Category struct {
 	Name          string   `toml:"name"`
 	Share         float64  `toml:"share"`  // of the load, as a weight
-	MeanWork      Duration `toml:"work"`   // mean, at a core of speed 1, in each tier
+	MeanWork      Duration `toml:"work"`   // core time of an op in each tier, on a core of speed 1
 	WorkVariation float64  `toml:"spread"` // coefficient of variation of the work (log-normal); 0: always the mean
 	Benefit       float64  `toml:"benefit"`
 	LateBenefit   float64  `toml:"late_benefit"`
 	TargetLatency Duration `toml:"target_latency"`
 	TTL           Duration `toml:"ttl"`
 	Delivery      string   `toml:"repeat"` // "redeliverable", "deduplicated", "at_most_once"
-	DedupScope    string   `toml:"scope"`  // of deduplicated: "all", "zone" or "cell"
-	DedupWindow   Duration `toml:"window"` // of deduplicated: how long its group remembers an op
+	DedupScope    string   `toml:"scope"`  // with deduplicated: "all", "zone" or "cell"
+	DedupWindow   Duration `toml:"window"` // with deduplicated: how long the group of servers remembers an op
 }
 
 // Tenant is one customer of the service.
@@ -99,42 +100,42 @@
 	Quota float64 `toml:"quota"` // ops a second, over all nodes
 }
 
-// Tier is one row of servers and the nodes before it. The first has Nodes nodes; of a later one each server of the
-// tier before has its own node.
+// Tier is a group of servers and the nodes in front of it. The first tier has NodeCount nodes; in a later tier, each
+// server of the previous tier has its own node.
 type Tier struct {
 	Name         string        `toml:"name"`
 	NodeCount    int           `toml:"nodes"`
-	CallsPerOp   float64       `toml:"calls"` // to the next tier that each op makes, one after another; the mean
+	CallsPerOp   float64       `toml:"calls"` // mean number of sequential calls that an op makes to the next tier
 	MachineTypes []MachineType `toml:"kind"`
 }
 
-// Kind is a kind of server and how many there are.
+// MachineType is a type of server, with the number of servers of this type.
 type MachineType struct {
 	Name             string   `toml:"name"`
 	Count            int      `toml:"count"`
 	Cores            int      `toml:"cores"`
 	Speed            float64  `toml:"speed"`
-	QueueLimit       int      `toml:"queue"`       // ops that may wait; further ones are turned away
-	MaxConnections   int      `toml:"connections"` // open at most; 0: no bound
-	ConnectionCost   Duration `toml:"connection_price"`
-	CellSize         int      `toml:"cell"`       // servers in a cell; 0: one cell
-	JamQueuePerCore  float64  `toml:"jam_over"`   // ops waiting per core that jam it; 0: never
-	JamDelay         Duration `toml:"jam_after"`  // when they have waited so long
-	JamSlowdown      float64  `toml:"jam_factor"` // times slower
-	JamRecoveryTime  Duration `toml:"jam_idle"`   // mostly idle for so long ends it
-	CrowdingPerCore  float64  `toml:"crowd_over"` // ops held per core over which it does less; 0: never
-	CrowdingSlowdown float64  `toml:"crowd_loss"` // times longer that an op takes, for each such number more
-	IdleTimeout      Duration `toml:"idle_close"` // a connection idle for so long is closed
+	QueueLimit       int      `toml:"queue"`            // maximum number of waiting ops; further ops are rejected
+	MaxConnections   int      `toml:"connections"`      // 0: unlimited
+	ConnectionCost   Duration `toml:"connection_price"` // core time per new connection
+	CellSize         int      `toml:"cell"`             // number of servers in a cell; 0: all in one cell
+	JamQueuePerCore  float64  `toml:"jam_over"`         // waiting ops per core above which the server jams; 0: never
+	JamDelay         Duration `toml:"jam_after"`        // how long the queue must exceed the limit
+	JamSlowdown      float64  `toml:"jam_factor"`       // how many times slower a jammed server is
+	JamRecoveryTime  Duration `toml:"jam_idle"`         // how long the server must be mostly idle to recover
+	CrowdingPerCore  float64  `toml:"crowd_over"`       // ops in progress per core above which throughput falls; 0: never
+	CrowdingSlowdown float64  `toml:"crowd_loss"`       // additional op time, as a factor, for each further CrowdingPerCore ops per core
+	IdleTimeout      Duration `toml:"idle_close"`       // the server closes connections that are idle for so long
 	ReportsLoad      bool     `toml:"load_report"`
 }
 
-// Limits are what nodes are allowed, and the figures of the rules.
+// Limits are the limits of the nodes and the parameters of the rules.
 type Limits struct {
 	MaxPushes          int      `toml:"max_pushes"`
 	MayDuplicate       bool     `toml:"may_duplicate"`
 	MayCancel          bool     `toml:"may_cancel"`
 	DialTimeout        Duration `toml:"dial_timeout"`
-	MaxRetryAfter      Duration `toml:"max_retry_after"` // 0: clients take no advice
+	MaxRetryAfter      Duration `toml:"max_retry_after"` // 0: no Retry-After is sent
 	Sockets            int      `toml:"sockets"`
 	MemoryMB           int      `toml:"memory_mb"`
 	AnswerSlack        Duration `toml:"answer_slack"`
@@ -144,127 +145,127 @@
 	ColdOverloadFactor float64  `toml:"cold_factor"`
 	ColdOverloadWindow Duration `toml:"cold_window"`
 	BeyondShareBenefit float64  `toml:"beyond_share_benefit"`
-	PassesDeadline     bool     `toml:"passes_deadline"` // a server's calls carry what is left of its op
+	PassesDeadline     bool     `toml:"passes_deadline"` // calls of a server carry the remaining time of their op
 	CrossZoneCost      float64  `toml:"cross_zone_price"`
 }
 
-// Registry is how the list comes.
+// Registry is how the registry sends the list of servers.
 type Registry struct {
-	Mode  string   `toml:"mode"`  // "watch" or "whole": the first line of a watch and each later one hold all
-	Delay Duration `toml:"delay"` // of each change
+	Mode  string   `toml:"mode"`  // "watch", or "whole": each line of a watch holds the full list
+	Delay Duration `toml:"delay"` // until a change is sent
 }
 
-// Network is between machines. On sockets it is what loopback takes.
+// Network is the simulated network between machines. On sockets, delays are those of the loopback interface.
 type Network struct {
 	Delay  Duration `toml:"delay"`  // one way
-	Jitter Duration `toml:"jitter"` // more, evenly spread
+	Jitter Duration `toml:"jitter"` // additional delay, uniformly distributed from 0
 }
 
-// Fleet says that nodes of the first tier hear each other.
+// Fleet enables messages between the nodes of the first tier.
 type Fleet struct {
-	Share         float64 `toml:"share"` // of the nodes that do; left out: all
-	PeerMessaging bool    `toml:"peers"` // the module may use words of others (limits.peers)
+	Share         float64 `toml:"share"` // of the nodes that take part; all if left out
+	PeerMessaging bool    `toml:"peers"` // the policy module may use peer messages (limits.peers)
 }
 
-// Between is a fault on the ways between the first tier's nodes, on sockets.
+// PeerFault is a network fault between nodes of the first tier. It needs the driver "live".
 type PeerFault struct {
 	Kind         string   `toml:"kind"`
 	At           Duration `toml:"at"`
-	Duration     Duration `toml:"for"`   // left out: to the end
-	Count        int      `toml:"count"` // nodes hit; 0 with no share: all
+	Duration     Duration `toml:"for"`   // to the end of the run if left out
+	Count        int      `toml:"count"` // of affected nodes; all if count and share are 0
 	Share        float64  `toml:"share"`
-	PartSizes    []int    `toml:"parts"`  // of groups and of a chain: their sizes, as weights
-	Factor       float64  `toml:"factor"` // a share of what passes, or seconds
-	FlapInterval Duration `toml:"every"`  // of flap
+	PartSizes    []int    `toml:"parts"`  // of kinds groups and chain: sizes of the groups, as weights
+	Factor       float64  `toml:"factor"` // share of the traffic, or a delay in seconds
+	FlapInterval Duration `toml:"every"`  // of kind flap
 }
 
-// BetweenKinds are the kinds of fault between nodes and what each does.
+// PeerFaultKinds describes the kinds of faults between nodes.
 var PeerFaultKinds = map[string]string{
-	"groups":  "the nodes fall into groups, parts of all, that each hear only themselves",
-	"chain":   "the nodes fall into groups, parts of all, that each hear themselves and the next one on either side",
-	"cut":     "the nodes hear nobody and nobody hears them",
-	"deaf":    "the nodes hear nobody; the others hear them",
-	"dumb":    "nobody hears the nodes; they hear the others",
+	"groups":  "the nodes are partitioned into groups of the sizes in parts; only nodes of one group reach each other",
+	"chain":   "the nodes are partitioned into groups of the sizes in parts; a group reaches only itself and its two neighbors",
+	"cut":     "the nodes neither receive from nor send to other nodes",
+	"deaf":    "the nodes receive nothing from other nodes; the other nodes receive from them",
+	"dumb":    "the other nodes receive nothing from the nodes; the nodes receive from them",
 	"loss":    "the share in factor of all datagrams to and from the nodes is lost",
-	"slow":    "all to and from the nodes comes factor seconds later, and up to as much again",
-	"double":  "the share in factor of all datagrams to and from the nodes comes twice",
-	"reorder": "the share in factor of all datagrams to and from the nodes comes after the next ones",
-	"spoil":   "the share in factor of all datagrams and pieces of streams to and from the nodes has a byte changed",
-	"short":   "the share in factor of all datagrams to and from the nodes is cut short; so are streams",
+	"slow":    "all traffic to and from the nodes is delayed by factor to 2 * factor seconds",
+	"double":  "the share in factor of all datagrams to and from the nodes is duplicated",
+	"reorder": "the share in factor of all datagrams to and from the nodes arrives after later ones",
+	"spoil":   "the share in factor of all datagrams and stream chunks to and from the nodes has one byte changed",
+	"short":   "the share in factor of all datagrams and streams to and from the nodes is truncated",
 	"silent":  "streams to the nodes are accepted and never answered; datagrams pass",
-	"flap":    "the ways to and from the nodes are up and down by turns, each for the time in every",
+	"flap":    "the paths to and from the nodes are down and up in turn, each for the time in every",
 }
 
-// Trouble is one thing that goes wrong, or is done on purpose.
+// Disturbance is a failure, a planned operation such as a deployment, or a change of the load during a run.
 type Disturbance struct {
 	Kind     string   `toml:"kind"`
 	At       Duration `toml:"at"`
 	Duration Duration `toml:"for"`
-	Tier     string   `toml:"tier"` // left out: the first
+	Tier     string   `toml:"tier"` // the first tier if left out
 	Zone     string   `toml:"zone"`
-	Count    int      `toml:"count"` // servers, or nodes; 0 with no share: all that fit
+	Count    int      `toml:"count"` // of affected servers or nodes; all in Tier and Zone if count and share are 0
 	Share    float64  `toml:"share"`
 	Factor   float64  `toml:"factor"`
-	Tenant   string   `toml:"tenant"` // of a burst
+	Tenant   string   `toml:"tenant"` // that a burst or failing ops come from; all tenants if left out
 }
 
-// TroubleKinds are the kinds of trouble and what each does.
+// DisturbanceKinds describes the kinds of disturbances.
 var DisturbanceKinds = map[string]string{
 	"slow":           "the servers run factor times slower",
-	"stall":          "the servers stand still",
-	"crash":          "the servers die: connections are reset, new ones refused; they come back cold after the time",
-	"lost":           "the servers say nothing any more, connections stay open; they come back cold after the time",
-	"errors":         "the servers answer 500 at once, running nothing",
-	"turned-away":    "the servers turn away everything",
-	"reset":          "the servers break the connection at a byte of the answer, each time one byte further, having run the op",
-	"spoilt":         "the servers answer bytes that are no HTTP, having run the op",
-	"drain":          "the servers are listed as leaving, and left after the time; ones cold take their place",
-	"deploy":         "the servers are drained and replaced by cold ones, in turn, over the time",
-	"burst":          "clients offer factor times as much, or the one tenant does",
+	"stall":          "the servers process nothing",
+	"crash":          "the servers crash: connections are reset, new ones refused; they restart cold after the duration",
+	"lost":           "the servers stop answering, connections stay open; they restart cold after the duration",
+	"errors":         "the servers answer 500 at once without running the op",
+	"turned-away":    "the servers reject all ops",
+	"reset":          "the servers run the op and break the connection within the answer, each time one byte later",
+	"spoilt":         "the servers run the op and answer with bytes that are not HTTP",
+	"drain":          "the servers are listed as draining, and as gone after the duration; cold servers replace them",
+	"deploy":         "the servers are drained and replaced by cold ones, one after another, over the duration",
+	"burst":          "clients, or those of the tenant if named, send factor times the load",
 	"registry-down":  "the registry resets watches and refuses calls",
-	"registry-slow":  "the registry answers each call and change later, by the time in factor, in seconds",
-	"registry-stale": "the registry comes back with the list as it was when this trouble began",
-	"list-lie":       "the servers are listed as gone although they serve; then they are listed again",
-	"node-crash":     "the nodes die, and start anew after the time with the list that they began with",
-	"node-restart":   "the nodes get SIGTERM, and start anew when they have ended",
-	"failing":        "further ops come, factor times the load (0.3 is three tenths), which every server answers 500 at once; of one tenant, if named",
-	"poison":         "further ops come, share of the load, which kill the server that begins them; it is back cold after factor seconds",
-	"slow-way":       "the way between the zone and the others takes factor seconds longer each way and loses the share of what it carries",
-	"one-sided":      "half of the first tier's nodes get no answer to a share of their pushes to the servers, which serve the others",
-	"node-pause":     "the nodes are stopped (SIGSTOP), and go on after the time",
-	"node-empty":     "the nodes die, and start anew after the time with no list at all",
-	"node-move":      "the nodes die, and start anew after the time under their names at other addresses for nodes",
-	"node-twin":      "a second process starts under each node's name and number, at other addresses; it ends after the time",
-	"liar-down":      "one more member says to everybody that every server is down",
-	"liar-well":      "one more member says to everybody that every server is well",
-	"clock-step":     "clients' clocks step: the time left that they send is factor seconds too long, or too short",
+	"registry-slow":  "the registry delays each answer and each change by factor seconds",
+	"registry-stale": "the registry is down for the duration and then serves the list from before the outage",
+	"list-lie":       "the servers are listed as gone although they serve; after the duration they are listed again",
+	"node-crash":     "the nodes crash and restart after the duration with the list that they began with",
+	"node-restart":   "the nodes receive SIGTERM and restart when they have ended",
+	"failing":        "additional ops, factor times the load (0.3 is three tenths), that every server answers with 500 at once; from one tenant, if named",
+	"poison":         "additional ops, share of the load, that crash the server that starts them; it restarts cold after factor seconds",
+	"slow-way":       "traffic between the zone and the others takes factor seconds longer each way and the share of it is lost",
+	"one-sided":      "half of the nodes of the first tier get no answer to the share of their pushes to the servers; the servers work for the other nodes",
+	"node-pause":     "the nodes are paused (SIGSTOP) and resumed after the duration",
+	"node-empty":     "the nodes crash and restart after the duration without a list of servers",
+	"node-move":      "the nodes crash and restart after the duration under their names, with other addresses for their peers",
+	"node-twin":      "a second process with the node's name and number starts at other addresses and ends after the duration",
+	"liar-down":      "an additional member reports every server as down to all nodes",
+	"liar-well":      "an additional member reports every server as healthy to all nodes",
+	"clock-step":     "the clocks of the clients step: the remaining time that they send is factor seconds too long, or too short if negative",
 }
 
-// SimulatedOnly are the kinds that are made in simulated time alone.
+// SimulatedOnly are the kinds of disturbances that only the driver "sim" supports.
 var SimulatedOnly = []string{"failing", "poison", "slow-way"}
 
-// LiveOnly are the kinds that need processes.
+// LiveOnly are the kinds of disturbances that only the driver "live" supports, because they need processes.
 var LiveOnly = []string{"node-pause", "node-empty", "node-move", "node-twin", "liar-down", "liar-well"}
 
-// Expect is what must hold. A bound that is left out is not judged; the four rules always are.
+// Expect holds the expected results. A bound that is left out is not checked; the four rules always are.
 type Expect struct {
-	MinServedBenefit      *float64             `toml:"served_benefit"`       // at least, as a share of what was offered
-	MinWorstTenantBenefit *float64             `toml:"worst_tenant"`         // at least, of what it offered
-	Category              *CategoryExpectation `toml:"category"`             // one category's own served benefit
-	MaxP99                *Duration            `toml:"p99"`                  // at most, of answers served, from the intended send
-	MaxPushesPerOp        *float64             `toml:"pushes_per_op"`        // at most
-	MaxWastedWork         *float64             `toml:"wasted_work"`          // at most, as a share of the work done
-	MinLastQuarterBenefit *float64             `toml:"last_quarter_benefit"` // at least, of what was offered in the last quarter
-	BrokenRules           []string             `toml:"broken"`               // rules that are broken on purpose, by name
+	MinServedBenefit      *float64             `toml:"served_benefit"` // as a share of the offered benefit
+	MinWorstTenantBenefit *float64             `toml:"worst_tenant"`   // as a share of the benefit that the tenant offered
+	Category              *CategoryExpectation `toml:"category"`       // bound on one category
+	MaxP99                *Duration            `toml:"p99"`            // of the latency of served ops, from the scheduled send time
+	MaxPushesPerOp        *float64             `toml:"pushes_per_op"`
+	MaxWastedWork         *float64             `toml:"wasted_work"`          // as a share of the work done
+	MinLastQuarterBenefit *float64             `toml:"last_quarter_benefit"` // as a share of the benefit offered in the last quarter of the run
+	BrokenRules           []string             `toml:"broken"`               // names of the rules that the experiment breaks on purpose
 }
 
-// Single is a bound on one category.
+// CategoryExpectation is a bound on the served benefit of one category.
 type CategoryExpectation struct {
 	Name             string  `toml:"name"`
 	MinServedBenefit float64 `toml:"served_benefit"`
 }
 
-// Read reads an experiment. An error names the file, and the key, line and column at fault.
+// Read reads an experiment from a file. An error names the file and, where known, the key, line and column.
 func Read(fsys fs.FS, path string) (*Scenario, error) {
 	raw, err := fs.ReadFile(fsys, path)
 	if err != nil {
@@ -280,7 +281,7 @@
 	return s, nil
 }
 
-// Parse reads an experiment from TOML. Unknown keys are errors.
+// Parse reads an experiment from TOML, sets the defaults and validates it. Unknown keys are errors.
 func Parse(raw []byte) (*Scenario, error) {
 	s := &Scenario{}
 	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
@@ -295,7 +296,7 @@
 	return s, nil
 }
 
-// located turns the library's errors into one line with key, line and column.
+// withPosition turns an error of the TOML library into an error of one line with line, column and key.
 func withPosition(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -310,9 +311,10 @@
 	return err
 }
 
-// most is how many servers, and how many nodes, an experiment may have.
+// maxFleetSize is the maximum number of servers, and of nodes, in an experiment.
 const maxFleetSize = 20_000
 
+// setDefault sets a value that is zero, that is, left out in the file.
 func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
@@ -322,6 +324,7 @@
 
 const millisecond = Duration(policy.Millisecond)
 
+// setDefaults fills in the keys that are left out.
 func (s *Scenario) setDefaults() {
 	setDefault(&s.Duration, 10000*millisecond)
 	setDefault(&s.ShortDuration, min(s.Duration, 4000*millisecond))
@@ -352,29 +355,29 @@
 			setDefault(&t.NodeCount, 1)
 		}
 		for j := range t.MachineTypes {
-			k := &t.MachineTypes[j]
-			setDefault(&k.Name, "std")
-			setDefault(&k.Cores, 1)
-			setDefault(&k.Speed, 1)
-			setDefault(&k.QueueLimit, 64)
-			setDefault(&k.IdleTimeout, 5000*millisecond)
-			setDefault(&k.JamDelay, 1000*millisecond)
-			setDefault(&k.JamSlowdown, 2)
-			setDefault(&k.JamRecoveryTime, 2000*millisecond)
-		}
-	}
-	l := &s.Limits
-	setDefault(&l.MaxPushes, 3)
-	setDefault(&l.DialTimeout, 100*millisecond)
-	setDefault(&l.Sockets, 1024)
-	setDefault(&l.MemoryMB, 192)
-	setDefault(&l.AnswerSlack, 20*millisecond)
-	setDefault(&l.DrainGrace, 1500*millisecond)
-	setDefault(&l.ColdInitialShare, 0.3)
-	setDefault(&l.ColdWarmUpTime, 4000*millisecond)
-	setDefault(&l.ColdOverloadFactor, 3)
-	setDefault(&l.ColdOverloadWindow, 1000*millisecond)
-	setDefault(&l.BeyondShareBenefit, 0.2)
+			machineType := &t.MachineTypes[j]
+			setDefault(&machineType.Name, "std")
+			setDefault(&machineType.Cores, 1)
+			setDefault(&machineType.Speed, 1)
+			setDefault(&machineType.QueueLimit, 64)
+			setDefault(&machineType.IdleTimeout, 5000*millisecond)
+			setDefault(&machineType.JamDelay, 1000*millisecond)
+			setDefault(&machineType.JamSlowdown, 2)
+			setDefault(&machineType.JamRecoveryTime, 2000*millisecond)
+		}
+	}
+	limits := &s.Limits
+	setDefault(&limits.MaxPushes, 3)
+	setDefault(&limits.DialTimeout, 100*millisecond)
+	setDefault(&limits.Sockets, 1024)
+	setDefault(&limits.MemoryMB, 192)
+	setDefault(&limits.AnswerSlack, 20*millisecond)
+	setDefault(&limits.DrainGrace, 1500*millisecond)
+	setDefault(&limits.ColdInitialShare, 0.3)
+	setDefault(&limits.ColdWarmUpTime, 4000*millisecond)
+	setDefault(&limits.ColdOverloadFactor, 3)
+	setDefault(&limits.ColdOverloadWindow, 1000*millisecond)
+	setDefault(&limits.BeyondShareBenefit, 0.2)
 	setDefault(&s.Registry.Mode, "watch")
 	setDefault(&s.Registry.Delay, 100*millisecond)
 	setDefault(&s.Network.Delay, millisecond/5)
@@ -383,9 +386,9 @@
 		setDefault(&s.Fleet.Share, 1)
 	}
 	for i := range s.PeerFaults {
-		b := &s.PeerFaults[i]
-		setDefault(&b.FlapInterval, 300*millisecond)
-		setDefault(&b.Factor, 0.2)
+		fault := &s.PeerFaults[i]
+		setDefault(&fault.FlapInterval, 300*millisecond)
+		setDefault(&fault.Factor, 0.2)
 	}
 	for i := range s.Disturbances {
 		t := &s.Disturbances[i]
@@ -396,11 +399,12 @@
 	}
 }
 
-// check gives the first key that no run can be made with, and what is wrong with it.
+// validate returns the first invalid key and what is wrong with it, or empty strings.
 func (s *Scenario) validate() (key, problem string) {
 	addProblem := func(k, format string, args ...any) {
 		if key == "" {
-			key, problem = k, fmt.Sprintf(format, args...)
+			key = k
+			problem = fmt.Sprintf(format, args...)
 		}
 	}
 	requireOneOf := func(k, value string, allowed ...string) {
@@ -426,13 +430,13 @@
 	for i, c := range s.Categories {
 		prefix := fmt.Sprintf("category.%d.", i)
 		if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#%") {
-			addProblem(prefix+"name", "%q is no part of a path", c.Name)
+			addProblem(prefix+"name", "%q cannot be part of a URL path", c.Name)
 		}
 		if c.MeanWork <= 0 {
 			addProblem(prefix+"work", "is not above 0")
 		}
 		if c.TargetLatency <= 0 || c.TTL < c.TargetLatency {
-			addProblem(prefix+"target_latency", "%v ms is not above 0, or past the ttl of %v ms", c.TargetLatency.Milliseconds(), c.TTL.Milliseconds())
+			addProblem(prefix+"target_latency", "%v ms is not above 0, or exceeds the ttl of %v ms", c.TargetLatency.Milliseconds(), c.TTL.Milliseconds())
 		}
 		if c.Share < 0 || c.WorkVariation < 0 || c.Benefit < 0 {
 			addProblem(prefix+"share", "share, spread and benefit must not be negative")
@@ -448,10 +452,10 @@
 	for i, t := range s.Tiers {
 		prefix := fmt.Sprintf("tier.%d.", i)
 		if t.Name == "" || strings.ContainsAny(t.Name, ", ") {
-			addProblem(prefix+"name", "%q is no name", t.Name)
+			addProblem(prefix+"name", "%q is not a valid name: it is empty or has a comma or a space", t.Name)
 		}
 		if i > 0 && t.NodeCount != 0 {
-			addProblem(prefix+"nodes", "a later tier has a node for each server of the tier before")
+			addProblem(prefix+"nodes", "not allowed here: a later tier has one node for each server of the previous tier")
 		}
 		if i == len(s.Tiers)-1 && t.CallsPerOp != 0 {
 			addProblem(prefix+"calls", "there is no next tier")
@@ -464,7 +468,7 @@
 		}
 		for j, k := range t.MachineTypes {
 			if k.Count < 1 || k.Cores < 1 || !(k.Speed > 0) || k.QueueLimit < 0 || k.CellSize < 0 {
-				addProblem(fmt.Sprintf("%skind.%d.count", prefix, j), "count, cores and speed must be above 0, queue and cell not under 0")
+				addProblem(fmt.Sprintf("%skind.%d.count", prefix, j), "count, cores and speed must be above 0, queue and cell must not be negative")
 			}
 		}
 	}
@@ -492,7 +496,7 @@
 	for i, t := range s.Disturbances {
 		prefix := fmt.Sprintf("trouble.%d.", i)
 		if slices.Contains([]string{"node-move", "node-twin", "liar-down", "liar-well"}, t.Kind) && s.Fleet == nil {
-			addProblem(prefix+"kind", "there is no [fleet]: a node has no address for nodes")
+			addProblem(prefix+"kind", "needs a table [fleet]: without one, nodes have no address for their peers")
 		}
 		if DisturbanceKinds[t.Kind] == "" {
 			kinds := make([]string, 0, len(DisturbanceKinds))
@@ -503,13 +507,13 @@
 			requireOneOf(prefix+"kind", t.Kind, kinds...)
 		}
 		if slices.Contains(SimulatedOnly, t.Kind) && s.Driver != "sim" {
-			addProblem(prefix+"kind", "%q is made in simulated time alone: driver = \"sim\"", t.Kind)
+			addProblem(prefix+"kind", "%q is only supported in simulated time: driver = \"sim\"", t.Kind)
 		}
 		if slices.Contains(LiveOnly, t.Kind) && s.Driver != "live" {
 			addProblem(prefix+"kind", "%q needs processes: driver = \"live\"", t.Kind)
 		}
 		if t.Kind == "slow-way" && t.Zone == "" {
-			addProblem(prefix+"zone", "is missing: the way between it and the others")
+			addProblem(prefix+"zone", "is missing: name the zone whose traffic is delayed")
 		}
 		if t.Zone != "" {
 			requireOneOf(prefix+"zone", t.Zone, s.Zones...)
@@ -534,61 +538,63 @@
 	return key, problem
 }
 
+// validatePeerFaults checks the table fleet and the faults between nodes.
 func (s *Scenario) validatePeerFaults(addProblem func(key, format string, args ...any)) {
 	if s.Fleet != nil && (s.Fleet.Share < 0 || s.Fleet.Share > 1) {
 		addProblem("fleet.share", "%v is not from 0 to 1", s.Fleet.Share)
 	}
-	for i, b := range s.PeerFaults {
+	for i, fault := range s.PeerFaults {
 		prefix := fmt.Sprintf("between.%d.", i)
 		total := 0
-		for _, size := range b.PartSizes {
+		for _, size := range fault.PartSizes {
 			if total += size; size < 1 {
 				addProblem(prefix+"parts", "%d is not above 0", size)
 			}
 		}
 		switch {
-		case PeerFaultKinds[b.Kind] == "":
-			addProblem(prefix+"kind", "%q is no fault between nodes", b.Kind)
+		case PeerFaultKinds[fault.Kind] == "":
+			addProblem(prefix+"kind", "%q is not a fault between nodes", fault.Kind)
 		case s.Fleet == nil:
-			addProblem(prefix+"kind", "there is no [fleet]: nodes say nothing to each other")
+			addProblem(prefix+"kind", "needs a table [fleet]: without one, nodes exchange no messages")
 		case s.Driver != "live":
 			addProblem(prefix+"kind", "faults between nodes need processes: driver = \"live\"")
-		case (b.Kind == "groups" || b.Kind == "chain") && len(b.PartSizes) < 2:
-			addProblem(prefix+"parts", "there must be two or more")
-		case b.Share < 0 || b.Share > 1 || b.Count < 0:
-			addProblem(prefix+"share", "%v is not from 0 to 1, or count is negative", b.Share)
-		case b.Kind != "slow" && b.Factor > 1 || b.Factor < 0:
-			addProblem(prefix+"factor", "%v is not from 0 to 1", b.Factor)
-		case b.Kind == "flap" && b.FlapInterval < 10*millisecond:
-			addProblem(prefix+"every", "%v ms is under 10 ms", b.FlapInterval.Milliseconds())
+		case (fault.Kind == "groups" || fault.Kind == "chain") && len(fault.PartSizes) < 2:
+			addProblem(prefix+"parts", "needs at least two sizes")
+		case fault.Share < 0 || fault.Share > 1 || fault.Count < 0:
+			addProblem(prefix+"share", "%v is not from 0 to 1, or count is negative", fault.Share)
+		case fault.Kind != "slow" && fault.Factor > 1 || fault.Factor < 0:
+			addProblem(prefix+"factor", "%v is not from 0 to 1", fault.Factor)
+		case fault.Kind == "flap" && fault.FlapInterval < 10*millisecond:
+			addProblem(prefix+"every", "%v ms is under 10 ms", fault.FlapInterval.Milliseconds())
 		}
 	}
 }
 
-// Tier gives the place of a tier, or -1.
+// TierIndex returns the index of a tier, or -1 if there is no such tier.
 func (s *Scenario) TierIndex(name string) int {
 	return slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.Name == name })
 }
 
-// position finds where a key stands, as "category.1.work" or, if it was left out, the table that it belongs to.
+// keyPosition returns the line and column of a key such as "category.1.work" or, if the key was left out, of the table
+// that it belongs to.
 func keyPosition(raw []byte, key string) (line, column int) {
 	line, column = 1, 1
 	parser := unstable.Parser{}
 	parser.Reset(raw)
-	arrayLengths := map[string]int{} // of arrays of tables
+	arrayLengths := map[string]int{} // number of tables seen so far in each array of tables
 	table, bestLength := "", 0
 	for parser.NextExpression() {
-		e := parser.Expression()
+		expression := parser.Expression()
 		var names []string
 		var offset uint32
-		for it, first := e.Key(), true; it.Next(); first = false {
+		for it, first := expression.Key(), true; it.Next(); first = false {
 			if first {
 				offset = it.Node().Raw.Offset
 			}
 			names = append(names, string(it.Node().Data))
 		}
 		path := ""
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
 			table, path = indexedPath(names, arrayLengths), indexedPath(names, arrayLengths)
 		case unstable.ArrayTable:
@@ -610,7 +616,7 @@
 	return line, column
 }
 
-// resolve puts the number of the last table into each name that is an array of tables.
+// indexedPath joins the names of a key. Each name of an array of tables is followed by the index of its last table.
 func indexedPath(names []string, arrayLengths map[string]int) string {
 	path := ""
 	for _, name := range names {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 for = "1s"
 `
 
-// An error names the line, the column and the key.
+// A parse error names the line, the column and the key.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`rate = 10.0`, `rate = 10.0` + "\nrates = 1", "line 4, column 1: key load.rates: "},
@@ -56,45 +56,45 @@
 	}
 }
 
-// What an experiment makes of a node's configuration is one that the node takes.
+// A node accepts the configuration that an experiment generates for it.
 func TestNodeConfigIsValid(t *testing.T) {
 	s, err := Parse([]byte(smallScenario + "[[tenant]]\nname = \"a\"\nquota = 5.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range s.Nodes() {
-		raw := s.NodeConfig(b, "n", "127.0.0.1:1", "127.0.0.1:2", 7, nil, nil)
+	for _, node := range s.Nodes() {
+		raw := s.NodeConfig(node, "n", "127.0.0.1:1", "127.0.0.1:2", 7, nil, nil)
 		c, err := config.Parse(raw, func(string) string { return "" })
 		if err != nil {
 			t.Fatalf("%v\n%s", err, raw)
 		}
 		if len(c.Rules.Categories) != 2 || len(c.Names.Tenants) != 1 || c.Seed != 7 {
-			t.Errorf("read back as %+v", c.Rules)
+			t.Errorf("the configuration was parsed as %+v", c.Rules)
 		}
 	}
 }
 
-// A plan is the same for the same seed, and takes back what it does.
+// The same seed gives the same plan, and the steps are in order of time.
 func TestPlan(t *testing.T) {
 	s, err := Parse([]byte(strings.ReplaceAll(smallScenario, `kind = "slow"`, "kind = \"deploy\"")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, two := s.Plan(stream.New(3, "troubles")), s.Plan(stream.New(3, "troubles"))
-	if len(one.Machines) != 4 || one.InitialCount != 2 || len(one.Steps) != len(two.Steps) {
-		t.Errorf("%d machines, %d steps", len(one.Machines), len(one.Steps))
+	first, second := s.Plan(stream.New(3, "troubles")), s.Plan(stream.New(3, "troubles"))
+	if len(first.Machines) != 4 || first.InitialCount != 2 || len(first.Steps) != len(second.Steps) {
+		t.Errorf("%d machines, %d steps", len(first.Machines), len(first.Steps))
 	}
-	for i := range one.Steps {
-		if one.Steps[i] != two.Steps[i] {
-			t.Errorf("step %d differs", i)
+	for i := range first.Steps {
+		if first.Steps[i] != second.Steps[i] {
+			t.Errorf("step %d differs between two plans of one seed", i)
 		}
-		if i > 0 && one.Steps[i].At < one.Steps[i-1].At {
-			t.Errorf("step %d goes back in time", i)
+		if i > 0 && first.Steps[i].At < first.Steps[i-1].At {
+			t.Errorf("step %d is earlier than the step before", i)
 		}
 	}
 }
 
-// FuzzParse: whatever the file holds, reading it ends with an experiment that can be planned or with one line.
+// FuzzParse checks that any input gives either an experiment that can be planned or an error of one line.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(smallScenario))
 	f.Add([]byte("name = \"x\"\n[[tier]]\n[[tier.kind]]\ncount = -1\n[[trouble]]\nkind = \"drain\"\nshare = 2.0"))
@@ -104,7 +104,7 @@
 		s, err := Parse(raw)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error has more than one line: %q", err)
 			}
 			return
 		}
