--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -1,5 +1,5 @@
-// Package trial is what an experiment puts in the module's place: policies to compare it with, and the module with one
-// rule broken on purpose. None of it is for service.
+// Package trial provides the deciders of an experiment other than the plain policy module: simple baseline policies to
+// compare the module with, and wrappers that break one rule on purpose. None of them is for production use.
 package trial
 
 import (
@@ -12,13 +12,14 @@
 	"canvasrouter/policy"
 )
 
-// Module is the name of the module itself among the policies.
+// Module is the name of the policy module itself in Policies.
 const Module = "module"
 
-// Policies are the names that New knows.
+// Policies are the names that New accepts.
 var Policies = []string{Module, "random", "round-robin", "least-request"}
 
-// New makes a decider by its name, and with a fault if one is named. The module inside is nil for the other policies.
+// New returns the decider with the given name, wrapped in a fault if one is named. module is the policy module inside
+// the decider, or nil for a baseline.
 func New(name, fault string, rules *config.Rules, seed uint64) (decider policy.Decider, module *policy.Node, err error) {
 	switch name {
 	case Module, "":
@@ -33,8 +34,8 @@
 	return decider, module, err
 }
 
-// baseline is a plain policy that keeps the rules: it picks a server by its one criterion, skips those that drain,
-// and pushes again at once where the op's kind of repeat allows it. It sheds nothing and trusts nobody less.
+// baseline is a simple policy that keeps the rules: it picks a server by a single criterion, skips draining servers, and
+// retries at once where the delivery semantics of the op allow it. It has no overload control and no outlier detection.
 type baseline struct {
 	criterion  string
 	rules      *config.Rules
@@ -47,11 +48,13 @@
 	timerToken policy.Token
 }
 
+// baselineServer is a listed server and the number of pushes in flight to it.
 type baselineServer struct {
 	policy.Entry
 	inFlight int
 }
 
+// baselineOp is an op that is not settled, or that has pushes in flight.
 type baselineOp struct {
 	category    policy.CategoryID
 	deadline    policy.Micros
@@ -59,19 +62,25 @@
 	inFlight    int
 	mayHaveRun  bool // a push may have run
 	settled     bool
-	lastServer  policy.Entry // of the last push, as it was listed then: it may have left the list since
-	firstServer policy.Entry // of the first push that may have run
-	firstSentAt policy.Micros
+	lastServer  policy.Entry  // of the last push, as listed at that time; it may have left the list since
+	firstServer policy.Entry  // of the first push that may have run
+	firstSentAt policy.Micros // when the push to firstServer was sent
 }
 
-// relist is how long a baseline waits to ask for the list again.
+// listRetryDelay is the delay after a failed watch of the list before the next one.
 const listRetryDelay = policy.Second
 
 func newBaseline(criterion string, rules *config.Rules, seed uint64) *baseline {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	// Danger: nodes that all begin their round at one server would send it everything together.
-	return &baseline{criterion: criterion, rules: rules, rng: rng, nextTurn: rng.IntN(1 << 20),
-		indexByID: make(map[policy.ServerID]int), ops: make(map[policy.OpID]*baselineOp)}
+	return &baseline{
+		criterion: criterion,
+		rules:     rules,
+		rng:       rng,
+		// Nodes that all started their rotation at the same server would send all load to one server at a time.
+		nextTurn:  rng.IntN(1 << 20),
+		indexByID: make(map[policy.ServerID]int),
+		ops:       make(map[policy.OpID]*baselineOp),
+	}
 }
 
 // Step implements policy.Decider.
@@ -107,6 +116,7 @@
 
 func (b *baseline) emit(e policy.Effect) { b.effects = append(b.effects, e) }
 
+// updateList takes over a list, or the changes to it, and keeps the servers in order of their IDs.
 func (b *baseline) updateList(now policy.Micros, in *policy.Input) {
 	switch in.Form {
 	case policy.ListFailed:
@@ -140,7 +150,7 @@
 	}
 }
 
-// allowed says whether an op may go to a server by its kind of repeat.
+// mayPushTo reports whether an op may be pushed to a server, given its delivery semantics and its earlier pushes.
 func (b *baseline) mayPushTo(now policy.Micros, op *baselineOp, entry *policy.Entry) bool {
 	category := &b.rules.Categories[op.category]
 	if entry.State != policy.Ready {
@@ -149,10 +159,13 @@
 	if !op.mayHaveRun || category.Repeat == policy.Redeliverable {
 		return true
 	}
-	return category.Repeat == policy.Deduplicated && now < op.firstSentAt+category.Window && (category.Scope == policy.ScopeAll ||
-		category.Scope == policy.ScopeZone && entry.Zone == op.firstServer.Zone || category.Scope == policy.ScopeCell && entry.Cell == op.firstServer.Cell)
+	return category.Repeat == policy.Deduplicated && now < op.firstSentAt+category.Window &&
+		(category.Scope == policy.ScopeAll ||
+			category.Scope == policy.ScopeZone && entry.Zone == op.firstServer.Zone ||
+			category.Scope == policy.ScopeCell && entry.Cell == op.firstServer.Cell)
 }
 
+// push sends an op to a server picked by the criterion, or nacks or dead-letters the op if no server is allowed.
 func (b *baseline) push(now policy.Micros, id policy.OpID, op *baselineOp) {
 	var candidates []int
 	if op.pushes < b.rules.Push.Max && now < op.deadline {
@@ -193,6 +206,7 @@
 		For: min(op.deadline-now, b.rules.Categories[op.category].Target)})
 }
 
+// pushEnded retries an op after a push unless the op is settled.
 func (b *baseline) pushEnded(now policy.Micros, in *policy.Input, op *baselineOp) {
 	if in.Settled {
 		op.settled = true
@@ -200,7 +214,8 @@
 	switch in.Outcome {
 	case policy.Acked, policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
 		if !op.mayHaveRun {
-			op.firstServer, op.firstSentAt = op.lastServer, now-in.Took
+			op.firstServer = op.lastServer
+			op.firstSentAt = now - in.Took
 		}
 		op.mayHaveRun = true
 	}
@@ -211,6 +226,7 @@
 	b.forget(in.Op, op)
 }
 
+// forget drops an op that is settled and has no push in flight.
 func (b *baseline) forget(id policy.OpID, op *baselineOp) {
 	if op.settled && op.inFlight == 0 {
 		delete(b.ops, id)
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -9,7 +9,7 @@
 	"canvasrouter/policy"
 )
 
-// Faults are the ways to break a rule on purpose, and the rule that each breaks.
+// Faults maps the names of the faults that InjectFault accepts to the rule that each breaks.
 var Faults = map[string]string{
 	"double-push":  "effect",
 	"lost-answer":  "answer",
@@ -18,16 +18,17 @@
 	"cold-flood":   "cold",
 }
 
-// every op of this number is dropped by lost-answer and late-answer.
+// dropInterval is the interval, in ops, at which the faults lost-answer and late-answer drop an op.
 const dropInterval = 20
 
-// flood is how long cold-flood sends everything to a server that has just started.
+// floodDuration is how long the fault cold-flood sends every push to a server that has just started.
 const floodDuration = 3 * policy.Second
 
-// unseen is the longest that cold-flood lets a push there seem to take.
+// maxReportedLatency is the maximum latency that the fault cold-flood reports to the decider for a redirected push.
 const maxReportedLatency = 50 * policy.Millisecond
 
-// Slack is by how much a node with this fault lets an op lie past its client's end, in place of the settings' slack.
+// AnswerSlack returns how long after an op's deadline a node with this fault still answers the op, given the configured
+// slack.
 func AnswerSlack(fault string, configured policy.Micros) policy.Micros {
 	switch fault {
 	case "lost-answer":
@@ -38,7 +39,7 @@
 	return configured
 }
 
-// Break puts a fault around a decider. No name is no fault.
+// InjectFault wraps a decider in the named fault. An empty name means no fault.
 func InjectFault(fault string, decider policy.Decider, rules *config.Rules) (policy.Decider, error) {
 	switch fault {
 	case "":
@@ -61,16 +62,17 @@
 	return nil, fmt.Errorf("fault %q is not one of %s", fault, strings.Join(names, ", "))
 }
 
-// doublePush sends an op that must not run twice to a second server at once.
+// doublePush implements the fault double-push: an op that must not run twice is pushed to a second server at once.
 type doublePush struct {
 	inner      policy.Decider
 	rules      *config.Rules
 	servers    []policy.ServerID
 	category   map[policy.OpID]policy.CategoryID
-	duplicated map[policy.OpID]bool // push 1 is ours; the module's own count on from there
+	duplicated map[policy.OpID]bool // ops whose push 1 was added here; later pushes of inner are numbered one higher
 	effects    []policy.Effect
 }
 
+// Step implements policy.Decider.
 func (d *doublePush) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	modified := *in
 	switch in.Kind {
@@ -113,13 +115,14 @@
 	return d.effects
 }
 
-// silent forgets every so many ops.
+// dropOps implements the faults lost-answer and late-answer: it hides one op in dropInterval from the decider.
 type dropOps struct {
 	inner   policy.Decider
 	arrived int
 	dropped map[policy.OpID]bool
 }
 
+// Step implements policy.Decider.
 func (s *dropOps) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	switch in.Kind {
 	case policy.OpArrived:
@@ -136,9 +139,10 @@
 	return s.inner.Step(now, in)
 }
 
-// drainedSend does not hear of drains.
+// ignoreDrains implements the fault drained-send: it reports every listed server as ready to the decider.
 type ignoreDrains struct{ inner policy.Decider }
 
+// Step implements policy.Decider.
 func (d ignoreDrains) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if in.Kind != policy.ListCame {
 		return d.inner.Step(now, in)
@@ -151,21 +155,23 @@
 	return d.inner.Step(now, &modified)
 }
 
+// pushKey identifies a push of a decider.
 type pushKey struct {
 	op   policy.OpID
 	push policy.PushNo
 }
 
-// coldFlood sends every push to the server that started last.
+// coldFlood implements the fault cold-flood: for floodDuration after a server's start, every push goes to that server.
 type coldFlood struct {
 	inner      policy.Decider
 	coldServer policy.ServerID
 	floodUntil policy.Micros
-	intended   map[pushKey]policy.ServerID
+	intended   map[pushKey]policy.ServerID // server that the decider chose for a redirected push
 	pushCounts map[policy.OpID]policy.PushNo
 	effects    []policy.Effect
 }
 
+// Step implements policy.Decider.
 func (c *coldFlood) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	modified := *in
 	switch in.Kind {
@@ -174,14 +180,15 @@
 	case policy.PushEnded:
 		if intended, redirected := c.intended[pushKey{in.Op, in.Push}]; redirected {
 			modified.Server = intended
-			// The module would hold back as soon as its pushes take long, wherever it thinks they went.
+			// Otherwise the module would send less as soon as its pushes took long, whichever server it chose for them.
 			modified.Took = min(modified.Took, maxReportedLatency)
 			delete(c.intended, pushKey{in.Op, in.Push})
 		}
 	case policy.ListCame:
 		for _, e := range in.List {
 			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.Started < policy.Second {
-				c.coldServer, c.floodUntil = e.Server, now+floodDuration
+				c.coldServer = e.Server
+				c.floodUntil = now + floodDuration
 			}
 		}
 	}
