--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -6,16 +6,17 @@
 	"canvasrouter/policy"
 )
 
-// client is one op of a client's, over all its tries.
+// clientOp is one op of a client, over all its tries.
 type clientOp struct {
 	run                 *run
 	arrival             *load.Arrival
 	op                  ledger.OpID
 	startedAt           policy.Micros
-	tryIndex            int // of tries
-	consecutiveRefusals int // in a row
+	tryIndex            int // from 0
+	consecutiveRefusals int
 }
 
+// startClientOp records an op and sends its first try.
 func (r *run) startClientOp(arrival *load.Arrival) {
 	tier := 0
 	if arrival.Unscored() {
@@ -25,7 +26,8 @@
 	c.send()
 }
 
-// front deals requests out among the nodes of the first tier, and notices after a while that one has died.
+// pickNode is the front end, which distributes requests over the nodes of the first tier. It skips a node that is down
+// only after nodeDownDetection.
 func (r *run) pickNode() *simNode {
 	nodeCount := r.Scenario.Tiers[0].NodeCount
 	for range nodeCount {
@@ -38,43 +40,45 @@
 	return r.nodes[r.Scenario.AssignNode(r.frontTurn)]
 }
 
+// send sends one try to a node, and schedules the departure of a client that leaves early.
 func (c *clientOp) send() {
 	r := c.run
-	n := r.pickNode()
-	if n.up {
-		n.lastSeenUp = r.now
+	target := r.pickNode()
+	if target.up {
+		target.lastSeenUp = r.now
 	}
 	ttl := r.Scenario.Categories[c.arrival.Category].TTL.Micros()
-	request := &request{op: c.op, arrival: c.arrival, category: c.arrival.Category, isRetry: c.tryIndex > 0 && r.Scenario.Load.MarksRetries,
+	req := &request{op: c.op, arrival: c.arrival, category: c.arrival.Category, isRetry: c.tryIndex > 0 && r.Scenario.Load.MarksRetries,
 		deadline: max(r.now, c.startedAt+ttl+r.clockStep)}
-	request.onEnd = func(verdict ledger.Verdict) { c.tryEnded(request, verdict) }
-	n.submit(request)
+	req.onEnd = func(verdict ledger.Verdict) { c.tryEnded(req, verdict) }
+	target.submit(req)
 	if leavesAfter := c.arrival.LeavesAfter; leavesAfter > 0 && c.tryIndex == 0 {
 		r.schedule(r.now+leavesAfter, func() {
-			if !request.ended {
-				request.finish(r, ledger.ClientLeft)
-				n.abandon(request)
+			if !req.ended {
+				req.finish(r, ledger.ClientLeft)
+				target.abandon(req)
 			}
 		})
 	}
 }
 
-// ended decides whether the client tries again by itself.
-func (c *clientOp) tryEnded(request *request, verdict ledger.Verdict) {
+// tryEnded decides whether the client retries.
+func (c *clientOp) tryEnded(req *request, verdict ledger.Verdict) {
 	r := c.run
 	switch verdict {
 	case ledger.Served, ledger.ClientLeft:
 		return
 	case ledger.Refused:
-		// The front takes the next node at once; that is no try of the client's.
-		if c.consecutiveRefusals++; c.consecutiveRefusals <= r.Scenario.Tiers[0].NodeCount && r.now-c.startedAt < r.Scenario.Categories[request.category].TTL.Micros() {
+		// The front end sends the request to the next node at once. This does not count as a retry of the client.
+		if c.consecutiveRefusals++; c.consecutiveRefusals <= r.Scenario.Tiers[0].NodeCount &&
+			r.now-c.startedAt < r.Scenario.Categories[req.category].TTL.Micros() {
 			c.send()
 		}
 		return
 	}
 	c.consecutiveRefusals = 0
-	delay, retry := load.ShouldRetry(r.Scenario, request.category, load.Try{Index: c.tryIndex, Nacked: verdict == ledger.Nacked,
-		RetryAfter: request.retryAfter, Elapsed: r.now - c.startedAt})
+	delay, retry := load.ShouldRetry(r.Scenario, req.category, load.Try{Index: c.tryIndex, Nacked: verdict == ledger.Nacked,
+		RetryAfter: req.retryAfter, Elapsed: r.now - c.startedAt})
 	if retry {
 		c.tryIndex++
 		r.schedule(r.now+delay, c.send)
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -8,19 +8,19 @@
 	"canvasrouter/policy"
 )
 
-// server is one server of the fleet: the model, and the connections that nodes keep to it.
+// server is one server of the fleet: the server model, and the connections of the nodes to it.
 type server struct {
 	run             *run
 	index           int
 	machine         scenario.Machine
 	model           *fleet.Server
-	nextTierNode    *simNode // its own, before the next tier
+	nextTierNode    *simNode // the server's own node for calls to the next tier, or nil
 	up              bool
-	silent          bool // down without a word
+	silent          bool // went down without closing its connections
 	mode            scenario.ServerMode
 	started         policy.Micros
-	wakeAt          policy.Micros
-	idleConnections map[*simNode][]policy.Micros // connections kept, by when each fell idle
+	wakeAt          policy.Micros                // time of the scheduled completion event
+	idleConnections map[*simNode][]policy.Micros // since when each connection of a node is idle
 	openConnections int
 }
 
@@ -29,8 +29,12 @@
 		idleConnections: make(map[*simNode][]policy.Micros)}
 }
 
+// start starts the server cold.
 func (s *server) start() {
-	s.up, s.silent, s.started, s.openConnections = true, false, s.run.now, 0
+	s.up = true
+	s.silent = false
+	s.started = s.run.now
+	s.openConnections = 0
 	clear(s.idleConnections)
 	s.model.Start(s.run.now)
 	if s.nextTierNode != nil && !s.nextTierNode.up {
@@ -38,18 +42,19 @@
 	}
 }
 
-// crash ends the server. Its node goes with it.
+// crash ends the server, and its own node with it.
 func (s *server) crash() {
 	if !s.up {
 		return
 	}
-	s.up, s.openConnections = false, 0
+	s.up = false
+	s.openConnections = 0
 	clear(s.idleConnections)
-	for _, j := range s.model.Crash() {
-		f := j.Note.(*simPush)
-		s.recordJob(j, f)
+	for _, job := range s.model.Crash() {
+		push := job.Note.(*simPush)
+		s.recordJob(job, push)
 		if !s.silent {
-			f.answer(policy.Reset)
+			push.answer(policy.Reset)
 		}
 	}
 	if s.nextTierNode != nil {
@@ -57,7 +62,8 @@
 	}
 }
 
-// die is what an op does to the server of a life that begins it. The registry notices late, as with other deaths.
+// killedByOp ends the server through an op that crashes it, unless the server has restarted since the op arrived. As
+// with other crashes, the registry detects it a second later.
 func (s *server) killedByOp(serverStart, downFor policy.Micros) {
 	r := s.run
 	if !s.up || s.started != serverStart {
@@ -77,18 +83,19 @@
 	})
 }
 
-// connect takes a connection for a push, and says what it costs the server.
-func (s *server) connect(n *simNode) (cost policy.Micros, ok bool) {
-	idle := s.idleConnections[n]
+// connect takes an idle connection for a push or opens a new one, and returns the core time that it costs the server.
+// ok is false if the server has no connection left.
+func (s *server) connect(from *simNode) (cost policy.Micros, ok bool) {
+	idle := s.idleConnections[from]
 	for len(idle) > 0 && s.run.now-idle[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
 		idle = idle[1:]
 		s.openConnections--
 	}
 	if len(idle) > 0 {
-		s.idleConnections[n] = idle[:len(idle)-1]
+		s.idleConnections[from] = idle[:len(idle)-1]
 		return 0, true
 	}
-	s.idleConnections[n] = idle
+	s.idleConnections[from] = idle
 	if maxConnections := s.machine.Type.MaxConnections; maxConnections > 0 && s.openConnections >= maxConnections {
 		return 0, false
 	}
@@ -96,80 +103,81 @@
 	return s.machine.Type.ConnectionCost.Micros(), true
 }
 
-// disconnect gives a connection back; one of a push that was given up is closed.
-func (s *server) disconnect(f *simPush) {
-	if !f.connected || f.serverStart != s.started {
+// disconnect makes the connection of a push idle again, or closes it if the push was cancelled.
+func (s *server) disconnect(push *simPush) {
+	if !push.connected || push.serverStart != s.started {
 		return
 	}
-	f.connected = false
-	if f.cancelled {
+	push.connected = false
+	if push.cancelled {
 		s.openConnections--
 		return
 	}
-	s.idleConnections[f.from] = append(s.idleConnections[f.from], s.run.now)
+	s.idleConnections[push.from] = append(s.idleConnections[push.from], s.run.now)
 }
 
-// arrive is a push's last byte at the server.
-func (s *server) arrive(f *simPush) {
+// arrive handles a push that has arrived completely at the server.
+func (s *server) arrive(push *simPush) {
 	r := s.run
 	switch {
-	case f.cancelled:
-		return // closed before it got here
+	case push.cancelled:
+		return // the connection was closed before the push arrived
 	case !s.up && s.silent:
 		return
 	case !s.up:
-		f.answer(policy.ConnectFailed)
+		push.answer(policy.ConnectFailed)
 		return
 	}
-	f.id = r.ledger.RecordPush(f.try, s.index, r.now)
-	f.arrived, f.serverStart = true, s.started
-	cost, connected := s.connect(f.from)
+	push.id = r.ledger.RecordPush(push.try, s.index, r.now)
+	push.arrived = true
+	push.serverStart = s.started
+	cost, connected := s.connect(push.from)
 	if !connected {
-		f.answer(policy.Full)
+		push.answer(policy.Full)
 		return
 	}
-	f.connected = true
+	push.connected = true
 	switch s.mode {
 	case scenario.ModeErrors:
-		f.answer(policy.Errored)
+		push.answer(policy.Errored)
 		return
 	case scenario.ModeReject:
-		f.answer(policy.Full)
+		push.answer(policy.Full)
 		return
 	}
-	if f.arrival.AlwaysFails {
-		f.answer(policy.Errored)
+	if push.arrival.AlwaysFails {
+		push.answer(policy.Errored)
 		return
 	}
-	key, category := r.ledger.OpOf(f.try)
+	key, category := r.ledger.OpOf(push.try)
 	memory := r.dedupMemory(category, s.machine)
 	if memory != nil && memory.Repeat(r.now, dedupKey(key)) {
-		f.answer(policy.Acked)
+		push.answer(policy.Acked)
 		return
 	}
-	f.key = dedupKey(key)
-	f.job = &fleet.Job{Work: f.work + cost, Told: r.ledger.KnowsServerStart(f.from.globalIndex, s.index, s.started), Note: f}
-	result := s.model.Arrive(r.now, f.job)
+	push.key = dedupKey(key)
+	push.job = &fleet.Job{Work: push.work + cost, Told: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Note: push}
+	result := s.model.Arrive(r.now, push.job)
 	r.ledger.RecordPeakLoad(s.model.Pressed())
 	switch result {
 	case fleet.Taken:
-		if downFor := f.arrival.KillsFor; downFor > 0 && f.arrival.KillTier == s.machine.Tier {
-			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(f.serverStart, downFor) })
+		if downFor := push.arrival.KillsFor; downFor > 0 && push.arrival.KillTier == s.machine.Tier {
+			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(push.serverStart, downFor) })
 		}
 	case fleet.Tips, fleet.TipsUnseen:
 		r.ledger.RecordCollapse(s.index, result == fleet.Tips)
 		fallthrough
 	default:
 		if memory != nil {
-			memory.Forget(f.key)
+			memory.Forget(push.key)
 		}
-		f.job = nil
-		f.answer(policy.Full)
+		push.job = nil
+		push.answer(policy.Full)
 	}
 	s.scheduleWake()
 }
 
-// wake sets the event at which the next job's own work is over.
+// scheduleWake schedules the event at which the next job completes its own work.
 func (s *server) scheduleWake() {
 	next := s.model.Next()
 	if next == fleet.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
@@ -181,92 +189,95 @@
 			return
 		}
 		s.wakeAt = fleet.Never
-		for _, j := range s.model.Advance(s.run.now) {
-			s.jobDone(j)
+		for _, job := range s.model.Advance(s.run.now) {
+			s.jobDone(job)
 		}
 		s.scheduleWake()
 	})
 }
 
-// book writes down what a job was. One that never ran is no repeat's first.
-func (s *server) recordJob(j *fleet.Job, f *simPush) {
-	if j.Begun() {
-		s.run.ledger.RecordEffect(f.id)
-		s.run.ledger.RecordWork(f.id, j.Work)
+// recordJob records the effect and the work of a job. A job that never ran is removed from the deduplication memory,
+// because a later duplicate of it must run.
+func (s *server) recordJob(job *fleet.Job, push *simPush) {
+	if job.Begun() {
+		s.run.ledger.RecordEffect(push.id)
+		s.run.ledger.RecordWork(push.id, job.Work)
 		return
 	}
-	_, category := s.run.ledger.OpOf(f.try)
+	_, category := s.run.ledger.OpOf(push.try)
 	if memory := s.run.dedupMemory(category, s.machine); memory != nil {
-		memory.Forget(f.key)
+		memory.Forget(push.key)
 	}
 }
 
-// done is the end of a job's own work. What it needs of the next tier comes now, one call after another.
-func (s *server) jobDone(j *fleet.Job) {
-	f := j.Note.(*simPush)
-	s.recordJob(j, f)
+// jobDone handles the end of a job's own work. Its calls to the next tier follow, one after another.
+func (s *server) jobDone(job *fleet.Job) {
+	push := job.Note.(*simPush)
+	s.recordJob(job, push)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
-		calls = f.arrival.CallsByTier[s.machine.Tier]
+		calls = push.arrival.CallsByTier[s.machine.Tier]
 	}
-	s.callNextTier(j, f, calls)
+	s.callNextTier(job, push, calls)
 }
 
-func (s *server) callNextTier(j *fleet.Job, f *simPush, callsLeft int) {
+// callNextTier makes the next of a job's calls to the next tier, and finishes the job after the last call.
+func (s *server) callNextTier(job *fleet.Job, push *simPush, callsLeft int) {
 	serverStart := s.started
 	if callsLeft == 0 {
-		s.finish(j, f, policy.Acked)
+		s.finish(job, push, policy.Acked)
 		return
 	}
 	now := s.run.now
-	_, category := s.run.ledger.OpOf(f.try)
+	_, category := s.run.ledger.OpOf(push.try)
 	deadline := now + s.run.Scenario.Categories[category].TTL.Micros()
 	if s.run.Scenario.Limits.PassesDeadline {
-		deadline = min(deadline, f.deadline)
+		deadline = min(deadline, push.deadline)
 	}
-	op := s.run.ledger.RecordOp(now, category, f.arrival.Tenant, s.machine.Tier+1)
-	s.nextTierNode.submit(&request{op: op, arrival: f.arrival, category: category, deadline: deadline, onEnd: func(v ledger.Verdict) {
+	op := s.run.ledger.RecordOp(now, category, push.arrival.Tenant, s.machine.Tier+1)
+	s.nextTierNode.submit(&request{op: op, arrival: push.arrival, category: category, deadline: deadline, onEnd: func(verdict ledger.Verdict) {
 		if s.started != serverStart || !s.up {
-			return // it has died since
+			return // the server has crashed since
 		}
-		if v != ledger.Served {
-			s.finish(j, f, policy.Errored)
+		if verdict != ledger.Served {
+			s.finish(job, push, policy.Errored)
 			return
 		}
-		s.callNextTier(j, f, callsLeft-1)
+		s.callNextTier(job, push, callsLeft-1)
 	}})
 }
 
-func (s *server) finish(j *fleet.Job, f *simPush, outcome policy.Outcome) {
+// finish answers a push and frees the core of its job.
+func (s *server) finish(job *fleet.Job, push *simPush, outcome policy.Outcome) {
 	switch s.mode {
 	case scenario.ModeReset:
 		outcome = policy.Reset
 	case scenario.ModeCorrupt:
 		outcome = policy.Errored
 	}
-	f.answer(outcome)
-	s.model.Release(s.run.now, j)
+	push.answer(outcome)
+	s.model.Release(s.run.now, job)
 	s.scheduleWake()
 }
 
-// leave is a push's connection closing before its answer.
-func (s *server) connectionClosed(f *simPush) {
-	if f.job == nil || f.serverStart != s.started || !s.up {
+// connectionClosed handles the close of a push's connection before the answer.
+func (s *server) connectionClosed(push *simPush) {
+	if push.job == nil || push.serverStart != s.started || !s.up {
 		return
 	}
-	if s.model.Leave(s.run.now, f.job) {
-		s.recordJob(f.job, f)
+	if s.model.Leave(s.run.now, push.job) {
+		s.recordJob(push.job, push)
 	}
-	s.disconnect(f)
+	s.disconnect(push)
 	s.scheduleWake()
 }
 
-// memory is that of a category's group, or nil.
+// dedupMemory returns the deduplication memory of a category's group at a machine, or nil.
 func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.Memory {
 	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
-// flight is one push on its way, at a server, or on its way back.
+// simPush is one push on the way to a server, at the server, or on the way back.
 type simPush struct {
 	from        *simNode
 	to          *server
@@ -277,27 +288,27 @@
 	job         *fleet.Job
 	key         string
 	work        policy.Micros
-	deadline    policy.Micros // the end that the node told the server
-	serverStart policy.Micros // of the server, when it arrived
+	deadline    policy.Micros // as sent by the node to the server
+	serverStart policy.Micros // start time of the server when the push arrived
 	arrived     bool
 	connected   bool
-	cancelled   bool // up by the node
+	cancelled   bool // by the node, or its connection has ended
 	answered    bool
 	nodePush    nodePush
 }
 
-// answer sends a push's outcome back.
-func (f *simPush) answer(outcome policy.Outcome) {
-	if f.answered {
+// answer sends a push's outcome back to its node.
+func (p *simPush) answer(outcome policy.Outcome) {
+	if p.answered {
 		return
 	}
-	f.answered = true
+	p.answered = true
 	if outcome == policy.Reset {
-		f.cancelled = true // the connection is no more
+		p.cancelled = true // the connection no longer exists
 	}
-	f.to.disconnect(f)
-	r := f.from.run
-	if extraDelay, lost := r.pathImpairment(f.from, f.to); !lost {
-		r.schedule(r.now+r.networkDelay()+extraDelay, func() { f.from.receiveOutcome(f, outcome) })
+	p.to.disconnect(p)
+	r := p.from.run
+	if extraDelay, lost := r.pathImpairment(p.from, p.to); !lost {
+		r.schedule(r.now+r.networkDelay()+extraDelay, func() { p.from.receiveOutcome(p, outcome) })
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,6 +1,6 @@
-// Package sim plays an experiment in simulated time: the model of the fleet, the load, the ledger, and for each
-// balancer the node's own actor with the module, on a clock that the driver moves. One goroutine does it all, so a
-// seed gives the same run to the last byte.
+// Package sim runs an experiment in simulated time, as a discrete-event simulation. Servers are simulated by a model;
+// each node is the actor of the real program with the policy module, on a simulated clock. All events run on one
+// goroutine, so the same seed gives a result that is identical to the last byte.
 package sim
 
 import (
@@ -23,34 +23,38 @@
 	"canvasrouter/policy"
 )
 
-// Options say what is played.
+// Options selects the run of an experiment.
 type Options struct {
 	Scenario     *scenario.Scenario
-	Policy       string
-	Fault        string
+	Policy       string // one of trial.Policies
+	Fault        string // one of trial.Faults, or empty
 	Seed         uint64
-	LoadDuration policy.Micros // of the load
+	LoadDuration policy.Micros
 	Arrivals     []load.Arrival
-	OnSecond     func(now policy.Micros, a *ledger.Ledger) // each simulated second, if set
+	OnSecond     func(now policy.Micros, a *ledger.Ledger) // called each simulated second, if set
 }
 
 const (
-	loadStart              = 1000 * policy.Second     // of the load, on the simulated clock
-	lateAnswerWindow       = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	throttleSampleInterval = 250 * policy.Millisecond // between looks at the throttles
-	nodeDownDetection      = policy.Second            // until the front leaves out a node that has died
-	BucketDuration         = 500 * policy.Millisecond // of the report's buckets
+	loadStart              = 1000 * policy.Second     // start of the load on the simulated clock
+	lateAnswerWindow       = 250 * policy.Millisecond // how long a client still waits past the latest allowed answer
+	throttleSampleInterval = 250 * policy.Millisecond
+	nodeDownDetection      = policy.Second // until the front end skips a crashed node
+
+	// BucketDuration is the length of the buckets in the time series of the result.
+	BucketDuration = 500 * policy.Millisecond
 )
 
+// event is a function to call at a simulated time. Events of the same time run in the order of their scheduling.
 type event struct {
 	at    policy.Micros
 	order uint64
 	do    func()
 }
 
+// eventQueue is a priority queue of events; it implements heap.Interface.
 type eventQueue struct {
 	heap []event
-	next uint64
+	next uint64 // order of the last scheduled event
 }
 
 func (e *eventQueue) Len() int { return len(e.heap) }
@@ -66,35 +70,40 @@
 	return last
 }
 
-// run is one experiment being played.
+// run is the state of one run of an experiment.
 type run struct {
 	Options
 	ledger          *ledger.Ledger
 	events          eventQueue
 	now             policy.Micros
-	rng             *rand.Rand // of the network
+	rng             *rand.Rand // for network delays and losses
 	plan            *scenario.Plan
 	servers         []*server
 	nodes           []*simNode
 	catalogs        []*registry.Catalog // by tier
-	registryDelay   policy.Micros       // registry's further delay
+	registryDelay   policy.Micros       // additional delay of the registry
 	registryDown    bool
 	memories        scenario.DedupMemories
 	serverIndexByID map[policy.ServerID]int
-	frontTurn       int // of the front
-	clockStep       policy.Micros
-	zoneDelays      []scenario.Step // by zone: what its way to the others does
-	lostPushShare   []float64       // by server: share of the pushes of half of the nodes that is lost
+	frontTurn       int             // number of requests that the front end has assigned
+	clockStep       policy.Micros   // offset of the clients' clocks
+	zoneDelays      []scenario.Step // by zone: the active ZoneDelay step of its traffic with other zones
+	lostPushShare   []float64       // by server: share of the pushes from half of the nodes that is lost
 	err             error
 }
 
-// Run plays an experiment to its end, or until ctx is done; then the result is partial.
+// Run runs an experiment to its end, or until ctx is done; then the result is partial.
 func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
 	s := o.Scenario
-	r := &run{Options: o, now: loadStart - s.Load.LeadTime.Micros(), rng: stream.New(o.Seed, "network"),
-		ledger:   ledger.New(s, loadStart, BucketDuration, true),
-		plan:     s.Plan(stream.New(o.Seed, "troubles")),
-		memories: make(scenario.DedupMemories), serverIndexByID: make(map[policy.ServerID]int)}
+	r := &run{
+		Options:         o,
+		now:             loadStart - s.Load.LeadTime.Micros(),
+		rng:             stream.New(o.Seed, "network"),
+		ledger:          ledger.New(s, loadStart, BucketDuration, true),
+		plan:            s.Plan(stream.New(o.Seed, "troubles")),
+		memories:        make(scenario.DedupMemories),
+		serverIndexByID: make(map[policy.ServerID]int),
+	}
 	r.build()
 	if r.err != nil {
 		return nil, nil, r.err
@@ -127,7 +136,7 @@
 	return result, r.ledger, r.err
 }
 
-// play works off events up to a moment.
+// processEvents runs the events up to a time. It reports whether ctx ended it early.
 func (r *run) processEvents(ctx context.Context, end policy.Micros) (partial bool) {
 	for n := 0; len(r.events.heap) > 0 && r.events.heap[0].at <= end && r.err == nil; n++ {
 		if n%1024 == 0 && ctx.Err() != nil {
@@ -140,11 +149,13 @@
 	return false
 }
 
+// schedule adds an event. A time in the past is taken as now.
 func (r *run) schedule(when policy.Micros, do func()) {
 	r.events.next++
 	heap.Push(&r.events, event{max(when, r.now), r.events.next, do})
 }
 
+// schedulePeriodic calls a function at first and at each interval after it until the load ends.
 func (r *run) schedulePeriodic(first, interval policy.Micros, do func()) {
 	r.schedule(first, func() {
 		do()
@@ -154,12 +165,13 @@
 	})
 }
 
-// hop is one way through the network.
+// networkDelay returns the delay of one message through the network, in one direction.
 func (r *run) networkDelay() policy.Micros {
 	return r.Scenario.Network.Delay.Micros() + policy.Micros(r.rng.Float64()*float64(r.Scenario.Network.Jitter))
 }
 
-// way is what lies between a node and a server beyond the network's own time, and whether it loses what it carries now.
+// pathImpairment returns the delay between a node and a server beyond the network's own, and whether a message between
+// them is lost now.
 func (r *run) pathImpairment(from *simNode, to *server) (extraDelay policy.Micros, lost bool) {
 	loss := 0.0
 	if from.Zone != to.machine.Zone {
@@ -174,25 +186,28 @@
 	return extraDelay, loss > 0 && r.rng.Float64() < loss
 }
 
-// id is a server's, a hash as at real nodes, so that the module's order of servers is no order of ours.
+// serverID returns the ID of a server: a hash as on real nodes, so that the module's order of servers differs from the
+// order of the simulation.
 func serverID(index int) policy.ServerID {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "s-%d", index)
 	return policy.ServerID(h.Sum64() >> 16)
 }
 
+// build creates the servers, the registry's catalogs and the nodes, and starts the nodes.
 func (r *run) build() {
 	s := r.Scenario
-	r.zoneDelays, r.lostPushShare = make([]scenario.Step, len(s.Zones)), make([]float64, len(r.plan.Machines))
-	standing := make([][]registry.Entry, len(s.Tiers))
+	r.zoneDelays = make([]scenario.Step, len(s.Zones))
+	r.lostPushShare = make([]float64, len(r.plan.Machines))
+	initialEntries := make([][]registry.Entry, len(s.Tiers))
 	for i, m := range r.plan.Machines {
 		r.servers = append(r.servers, newServer(r, i, m, i < r.plan.InitialCount))
 		r.serverIndexByID[serverID(i)] = i
 		if i < r.plan.InitialCount {
-			standing[m.Tier] = append(standing[m.Tier], m.RegistryEntry(i))
+			initialEntries[m.Tier] = append(initialEntries[m.Tier], m.RegistryEntry(i))
 		}
 	}
-	for _, entries := range standing {
+	for _, entries := range initialEntries {
 		r.catalogs = append(r.catalogs, registry.NewCatalog(entries, s.Registry.Mode == "whole"))
 	}
 	for i, b := range s.Nodes() {
@@ -205,7 +220,7 @@
 	}
 }
 
-// list is the catalog's entries as the module takes them.
+// policyEntries converts entries of a catalog to those of the policy module. Addresses are empty in the simulation.
 func (r *run) policyEntries(entries ...registry.Entry) ([]policy.Entry, []string) {
 	var out []policy.Entry
 	for _, e := range entries {
@@ -215,7 +230,7 @@
 	return out, make([]string, len(out))
 }
 
-// carryOut does one step of the plan.
+// applyStep applies one step of the plan.
 func (r *run) applyStep(step *scenario.Step) {
 	if step.Event != "" {
 		r.ledger.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-loadStart)/1e6, step.Event))
@@ -267,18 +282,20 @@
 	}
 }
 
+// setListed changes a server's state in the catalog of its tier and publishes the change.
 func (r *run) setListed(server int, state policy.ServerState) {
 	m := r.plan.Machines[server]
 	e, known := r.catalogs[m.Tier].Entry(server)
 	if !known {
 		e = m.RegistryEntry(server)
 	}
-	e.State, e.Started = state, r.servers[server].started
+	e.State = state
+	e.Started = r.servers[server].started
 	r.catalogs[m.Tier].Set(e)
 	r.publish()
 }
 
-// publish tells those who watch, later.
+// publish sends changes of the catalogs to the nodes that watch them, after the registry's delay.
 func (r *run) publish() {
 	r.schedule(r.now+r.Scenario.Registry.Delay.Micros()+r.registryDelay, func() {
 		for _, n := range r.nodes {
@@ -287,7 +304,7 @@
 	})
 }
 
-// sample books the throttles of the first node.
+// sampleThrottles records the active throttles of the first node.
 func (r *run) sampleThrottles() {
 	n := r.nodes[0]
 	if n.module == nil || !n.up {
@@ -302,7 +319,8 @@
 	})
 }
 
-// options are a node's own, from the configuration that a real one would get.
+// nodeOptions returns a node's configuration, parsed from the document that a real node would read, and the maximum
+// number of pending ops that its sockets allow.
 func (r *run) nodeOptions(n scenario.Node) (*config.Config, int, error) {
 	c, err := config.Parse(r.Scenario.NodeConfig(n, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
 	if err != nil {
@@ -314,7 +332,7 @@
 
 var discardLogger = zerolog.Nop()
 
-// decider is the module, or what stands in its place.
+// newDecider returns the decider that the options select, and the policy module inside it, which is nil for a baseline.
 func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
 	d, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
 	if err != nil {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -42,8 +42,9 @@
 	return r
 }
 
-// Every experiment keeps the rules with the module and with each baseline, but for cold-fleet, which no baseline keeps; the same seed gives the same bytes, another
-// seed others. The full size of "large" is left to canvaslab run.
+// No experiment breaks a rule with the module or with a baseline, except that the baselines break the rule "cold" in
+// cold-fleet. The same seed gives the same result to the byte, another seed a different one. Experiment "large" runs at
+// reduced size; canvaslab run plays it in full.
 func TestExperimentsKeepRules(t *testing.T) {
 	files, _ := fs.Glob(experiments.Files, "*.toml")
 	if len(files) < 10 {
@@ -61,10 +62,10 @@
 				result := runScenario(t, s, Options{Policy: policyName, Seed: 2})
 				want := ""
 				if name == "cold-fleet" && policyName != trial.Module {
-					want = "cold" // a baseline has no ramp, and here all nodes together are enough to push a server over
+					want = "cold" // a baseline has no slow start, and here the load of all nodes together makes a cold server collapse
 				}
 				if got := strings.Join(result.BrokenRules, " "); got != want {
-					t.Errorf("%s breaks %q, not %q: %v", policyName, got, want, result.BreachMessages)
+					t.Errorf("%s breaks rules %q, want %q: %v", policyName, got, want, result.BreachMessages)
 				}
 				if policyName != trial.Module {
 					continue
@@ -73,17 +74,17 @@
 				sameSeed, _ := json.Marshal(runScenario(t, s, Options{Policy: policyName, Seed: 2}))
 				otherSeed, _ := json.Marshal(runScenario(t, s, Options{Policy: policyName, Seed: 3}))
 				if diff := cmp.Diff(string(first), string(sameSeed)); diff != "" {
-					t.Error("another run from the same seed")
+					t.Error("the same seed gives another result")
 				}
 				if string(first) == string(otherSeed) {
-					t.Error("the seed changes nothing")
+					t.Error("another seed gives the same result")
 				}
 			}
 		})
 	}
 }
 
-// Each rule broken on purpose is seen, and none besides the one meant.
+// Each injected fault is reported as a breach of its rule and of no other rule.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	for fault, rule := range trial.Faults {
 		s := readScenario(t, map[string]string{"drain": "drain", "cold": "rolling-deploy", "answer": "steady", "effect": "steady"}[rule])
@@ -94,13 +95,13 @@
 	}
 }
 
-// What runs for clients that have left is work for nobody, and no breach; clients whose clock steps get their answers
-// within what they said.
+// Work for clients that have left counts as wasted and breaks no rule. Clients whose clocks step get their answers
+// within the remaining time that they sent.
 func TestLeavingClientsAndClockSteps(t *testing.T) {
 	s := readScenario(t, "leaving-clients")
 	r := runScenario(t, s, Options{Seed: 4, LoadDuration: s.Duration.Micros()})
 	if r.ClientLeft == 0 || r.WastedWork == 0 || len(r.BrokenRules) > 0 {
-		t.Errorf("left %d, wasted %v, broken %v", r.ClientLeft, r.WastedWork, r.BrokenRules)
+		t.Errorf("clients left %d, wasted work %v, broken rules %v", r.ClientLeft, r.WastedWork, r.BrokenRules)
 	}
 	for _, step := range []float64{-2, 2} {
 		s := readScenario(t, "leaving-clients")
@@ -115,18 +116,19 @@
 	}
 }
 
-// A node that dies loses only what it held. Were its clients' ops not excused, the rule would be seen broken.
+// A crashing node loses only the tries pending at it. They count as lost to the crash; otherwise the rule "answer" would
+// be reported as broken.
 func TestNodeCrash(t *testing.T) {
 	s := readScenario(t, "node-crash")
 	s.Load.Retries, s.Load.Rate = 0, 300
 	r := runScenario(t, s, Options{Seed: 1})
 	if r.LostToCrash == 0 || len(r.BrokenRules) > 0 {
-		t.Errorf("lost to the crash %d, broken %v %v", r.LostToCrash, r.BrokenRules, r.BreachMessages)
+		t.Errorf("lost to the crash %d, broken rules %v: %v", r.LostToCrash, r.BrokenRules, r.BreachMessages)
 	}
 }
 
-// A push that is on its way as its server drains, or dies, counts from when its node was told; one server after the
-// other drains each 100 ms, with the grace at nothing but the hop.
+// A push in flight while its server starts to drain is judged by when its node was notified of the drain. Two servers
+// drain every 100 ms, with a grace period hardly longer than the network delay.
 func TestDrainDuringPush(t *testing.T) {
 	s := readScenario(t, "drain")
 	s.Limits.DrainGrace, s.Load.Rate = scenario.Duration(50*policy.Millisecond), 300
@@ -140,12 +142,12 @@
 			t.Errorf("seed %d: %v", seed, r.BreachMessages)
 		}
 		if r := runScenario(t, s, Options{Seed: seed, Fault: "drained-send"}); len(r.BrokenRules) == 0 {
-			t.Errorf("seed %d: a node that hears of no drain is not seen", seed)
+			t.Errorf("seed %d: a node that ignores drains is not detected", seed)
 		}
 	}
 }
 
-// An interrupted run gives what it has.
+// An interrupted run gives a partial result.
 func TestInterruptedRunIsPartial(t *testing.T) {
 	s := readScenario(t, "steady")
 	ctx, cancel := context.WithCancel(context.Background())
