--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -47,19 +47,19 @@
 	return s
 }
 
-// Each kind of arrivals keeps the rate, the mix and the mean work, and is the same for the same seed.
+// Each kind of arrivals has the configured rate, mix, mean work and calls, and is the same for the same seed.
 func TestGenerate(t *testing.T) {
-	const length = 60 * policy.Second
+	const duration = 60 * policy.Second
 	for _, kind := range []string{"poisson", "bursty", "even"} {
 		s := parseScenario(t, "[load]\nrate = 500.0\nretries = 1\narrivals = \""+kind+"\"\n")
-		got := Generate(s, length, 5)
-		if diff := cmp.Diff(got, Generate(s, length, 5)); diff != "" {
-			t.Errorf("%s: another load from the same seed", kind)
+		got := Generate(s, duration, 5)
+		if diff := cmp.Diff(got, Generate(s, duration, 5)); diff != "" {
+			t.Errorf("%s: the same seed gives another load", kind)
 		}
 		slots, work, calls := 0.0, 0.0, 0.0
 		for i, a := range got {
 			if i > 0 && a.At < got[i-1].At {
-				t.Fatalf("%s: arrival %d goes back", kind, i)
+				t.Fatalf("%s: arrival %d is earlier than the one before", kind, i)
 			}
 			if a.Category == 0 {
 				slots++
@@ -68,39 +68,40 @@
 			calls += float64(a.CallsByTier[0])
 		}
 		n := float64(len(got))
-		for what, off := range map[string]float64{"rate": n / 30000, "mix": slots / n / 0.75, "work": work / n / 10000,
+		for what, ratio := range map[string]float64{"rate": n / 30000, "mix": slots / n / 0.75, "work": work / n / 10000,
 			"calls": calls / n / 1.5} {
-			if math.Abs(off-1) > 0.1 {
-				t.Errorf("%s: %s is off by a factor of %.3f", kind, what, off)
+			if math.Abs(ratio-1) > 0.1 {
+				t.Errorf("%s: %s is %.3f times the configured value", kind, what, ratio)
 			}
 		}
 	}
 }
 
-// A burst adds arrivals and leaves those of the ordinary load as they are.
+// A burst adds arrivals and does not change those of the regular load.
 func TestBurst(t *testing.T) {
 	withoutBurst := parseScenario(t, "[load]\nrate = 100.0\n")
 	withBurst := parseScenario(t, "[load]\nrate = 100.0\n[[trouble]]\nkind = \"burst\"\nat = \"2s\"\nfor = \"1s\"\nfactor = 4.0\ntenant = \"a\"\n")
-	a, b := Generate(withoutBurst, 5*policy.Second, 1), Generate(withBurst, 5*policy.Second, 1)
-	if more := len(b) - len(a); more < 200 || more > 400 {
-		t.Errorf("%d more", more)
+	plain, burst := Generate(withoutBurst, 5*policy.Second, 1), Generate(withBurst, 5*policy.Second, 1)
+	if more := len(burst) - len(plain); more < 200 || more > 400 {
+		t.Errorf("%d additional arrivals", more)
 	}
-	for i, x := range a[:50] { // the first half second
-		if diff := cmp.Diff(x, b[i]); diff != "" {
+	for i, arrival := range plain[:50] { // the first half second, before the burst
+		if diff := cmp.Diff(arrival, burst[i]); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
+// A trace is read back as it was written, and an invalid line is reported with its number.
 func TestTrace(t *testing.T) {
 	s := parseScenario(t, "[load]\nrate = 50.0\nimpatient = 0.2\n")
-	made := Generate(s, 3*policy.Second, 9)
+	written := Generate(s, 3*policy.Second, 9)
 	var file bytes.Buffer
-	if err := WriteTrace(&file, made); err != nil {
+	if err := WriteTrace(&file, written); err != nil {
 		t.Fatal(err)
 	}
 	read, err := ReadTrace(&file, s, 3*policy.Second)
-	if diff := cmp.Diff(made, read); err != nil || diff != "" {
+	if diff := cmp.Diff(written, read); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	for bad, want := range map[string]string{
@@ -117,7 +118,7 @@
 	}
 }
 
-// A client repeats a deduplicated op by itself only while the group surely still drops the repeat.
+// A client retries a deduplicated op only while the servers are certain to still drop the duplicate.
 func TestShouldRetry(t *testing.T) {
 	s := parseScenario(t, "[load]\nrate = 1.0\nretries = 1\nretry_wait = \"50ms\"\n")
 	for _, c := range []struct {
@@ -132,11 +133,11 @@
 		{1, Try{Nacked: true, Elapsed: 100 * policy.Millisecond}, true},
 	} {
 		if _, retry := ShouldRetry(s, c.category, c.try); retry != c.retry {
-			t.Errorf("%+v: again %v", c, retry)
+			t.Errorf("%+v: retry %v", c, retry)
 		}
 	}
 	s.Categories[1].DedupWindow = scenario.Duration(500 * policy.Millisecond)
 	if _, retry := ShouldRetry(s, 1, Try{Elapsed: 100 * policy.Millisecond}); retry {
-		t.Error("repeated where the window may be over")
+		t.Error("retried although the window may have ended")
 	}
 }
--- a/internal/lab/load/stream/stream.go
+++ b/internal/lab/load/stream/stream.go
@@ -1,10 +1,10 @@
-// Package stream gives each use of chance a source of its own from one seed.
+// Package stream derives independent random number streams from one seed.
 package stream
 
 import "math/rand/v2"
 
-// New makes the source of a seed and a name, 24 bytes of which count. Sources of one seed and other names are
-// independent: what one use draws changes nothing for another.
+// New returns the random stream of a seed and a name, of which the first 24 bytes count. Streams of the same seed with
+// different names are independent: draws from one do not change another.
 func New(seed uint64, name string) *rand.Rand {
 	var key [32]byte
 	for i := range 8 {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -93,14 +93,14 @@
 }
 
 // Run runs an experiment to its end, or until ctx is done; then the result is partial.
-func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
-	s := o.Scenario
+func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Ledger, error) {
+	s := options.Scenario
 	r := &run{
-		Options:         o,
+		Options:         options,
 		now:             loadStart - s.Load.LeadTime.Micros(),
-		rng:             stream.New(o.Seed, "network"),
+		rng:             stream.New(options.Seed, "network"),
 		ledger:          ledger.New(s, loadStart, BucketDuration, true),
-		plan:            s.Plan(stream.New(o.Seed, "troubles")),
+		plan:            s.Plan(stream.New(options.Seed, "troubles")),
 		memories:        make(scenario.DedupMemories),
 		serverIndexByID: make(map[policy.ServerID]int),
 	}
@@ -110,28 +110,28 @@
 	}
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
-		if step.At < o.LoadDuration {
+		if step.At < options.LoadDuration {
 			r.schedule(loadStart+step.At, func() { r.applyStep(step) })
 		}
 	}
-	for i := range o.Arrivals {
-		a := &o.Arrivals[i]
-		r.schedule(loadStart+a.At, func() { r.startClientOp(a) })
+	for i := range options.Arrivals {
+		arrival := &options.Arrivals[i]
+		r.schedule(loadStart+arrival.At, func() { r.startClientOp(arrival) })
 	}
 	maxTTL := policy.Micros(0)
 	for _, c := range s.Categories {
 		maxTTL = max(maxTTL, c.TTL.Micros())
 	}
-	end := loadStart + o.LoadDuration + maxTTL + s.Limits.AnswerSlack.Micros() + 2*lateAnswerWindow + policy.Second
+	end := loadStart + options.LoadDuration + maxTTL + s.Limits.AnswerSlack.Micros() + 2*lateAnswerWindow + policy.Second
 	r.schedulePeriodic(loadStart, throttleSampleInterval, r.sampleThrottles)
-	if o.OnSecond != nil {
-		r.schedulePeriodic(loadStart, policy.Second, func() { o.OnSecond(r.now-loadStart, r.ledger) })
+	if options.OnSecond != nil {
+		r.schedulePeriodic(loadStart, policy.Second, func() { options.OnSecond(r.now-loadStart, r.ledger) })
 	}
 	partial := r.processEvents(ctx, end)
 	if partial {
 		r.ledger.Abort(r.now)
 	}
-	result := r.ledger.Finish(loadStart + min(o.LoadDuration, r.now-loadStart))
+	result := r.ledger.Finish(loadStart + min(options.LoadDuration, r.now-loadStart))
 	result.Partial = partial
 	return result, r.ledger, r.err
 }
@@ -210,13 +210,13 @@
 	for _, entries := range initialEntries {
 		r.catalogs = append(r.catalogs, registry.NewCatalog(entries, s.Registry.Mode == "whole"))
 	}
-	for i, b := range s.Nodes() {
-		n := &simNode{run: r, globalIndex: i, Node: b}
-		if b.Server >= 0 {
-			r.servers[b.Server].nextTierNode = n
+	for i, n := range s.Nodes() {
+		simulated := &simNode{run: r, globalIndex: i, Node: n}
+		if n.Server >= 0 {
+			r.servers[n.Server].nextTierNode = simulated
 		}
-		r.nodes = append(r.nodes, n)
-		n.start()
+		r.nodes = append(r.nodes, simulated)
+		simulated.start()
 	}
 }
 
@@ -235,21 +235,21 @@
 	if step.Event != "" {
 		r.ledger.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-loadStart)/1e6, step.Event))
 	}
-	server := r.servers[step.Server]
+	target := r.servers[step.Server]
 	switch step.Action {
 	case scenario.ServerSlow:
-		server.model.Slow(step.Factor)
+		target.model.Slow(step.Factor)
 	case scenario.ServerStall:
-		server.model.Stall(r.now, loadStart+step.Time)
+		target.model.Stall(r.now, loadStart+step.Time)
 	case scenario.ServerCrash:
-		server.crash()
+		target.crash()
 	case scenario.ServerSilence:
-		server.silent = true
-		server.crash()
+		target.silent = true
+		target.crash()
 	case scenario.ServerStart:
-		server.start()
+		target.start()
 	case scenario.ServerSetMode:
-		server.mode = step.Mode
+		target.mode = step.Mode
 	case scenario.ServerSetListed:
 		r.setListed(step.Server, step.State)
 	case scenario.RegistryDown:
@@ -262,9 +262,9 @@
 	case scenario.RegistryDelay:
 		r.registryDelay = step.Time
 	case scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot, scenario.RegistryServeCurrent:
-		for _, c := range r.catalogs {
-			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: c.Freeze, scenario.RegistryServeSnapshot: c.Thaw,
-				scenario.RegistryServeCurrent: c.Correct}[step.Action]()
+		for _, catalog := range r.catalogs {
+			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: catalog.Freeze, scenario.RegistryServeSnapshot: catalog.Thaw,
+				scenario.RegistryServeCurrent: catalog.Correct}[step.Action]()
 		}
 		r.publish()
 	case scenario.NodeCrash:
@@ -285,13 +285,13 @@
 // setListed changes a server's state in the catalog of its tier and publishes the change.
 func (r *run) setListed(server int, state policy.ServerState) {
 	m := r.plan.Machines[server]
-	e, known := r.catalogs[m.Tier].Entry(server)
+	entry, known := r.catalogs[m.Tier].Entry(server)
 	if !known {
-		e = m.RegistryEntry(server)
+		entry = m.RegistryEntry(server)
 	}
-	e.State = state
-	e.Started = r.servers[server].started
-	r.catalogs[m.Tier].Set(e)
+	entry.State = state
+	entry.Started = r.servers[server].started
+	r.catalogs[m.Tier].Set(entry)
 	r.publish()
 }
 
@@ -334,9 +334,9 @@
 
 // newDecider returns the decider that the options select, and the policy module inside it, which is nil for a baseline.
 func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
-	d, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
+	decider, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
 	if err != nil {
 		r.err = err
 	}
-	return d, module
+	return decider, module
 }
