--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -20,7 +20,7 @@
 type Arrival struct {
 	At          policy.Micros   `json:"at_us"` // from the start of the load
 	Category    int             `json:"category"`
-	Tenant      int             `json:"tenant"` // -1: none
+	Tenant      int             `json:"tenant"`              // -1: none
 	WorkByTier  []policy.Micros `json:"work_us"`             // core time in each tier
 	CallsByTier []int           `json:"calls,omitempty"`     // calls to the next tier by each run in a tier
 	AlwaysFails bool            `json:"fails,omitempty"`     // every server answers with an error at once; unscored
