--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -181,8 +181,8 @@
 
 // PeerFaultKinds describes the kinds of faults between nodes.
 var PeerFaultKinds = map[string]string{
-	"groups":  "the nodes are partitioned into groups of the sizes in parts; only nodes of one group reach each other",
-	"chain":   "the nodes are partitioned into groups of the sizes in parts; a group reaches only itself and its two neighbors",
+	"groups":  "the nodes are partitioned into groups of the relative sizes in parts; only nodes of one group reach each other",
+	"chain":   "the nodes are partitioned into groups of the relative sizes in parts; a group reaches only itself and its two neighbors",
 	"cut":     "the nodes neither receive from nor send to other nodes",
 	"deaf":    "the nodes receive nothing from other nodes; the other nodes receive from them",
 	"dumb":    "the other nodes receive nothing from the nodes; the nodes receive from them",
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -57,16 +57,16 @@
 	next uint64 // order of the last scheduled event
 }
 
-func (e *eventQueue) Len() int { return len(e.heap) }
-func (e *eventQueue) Less(i, j int) bool {
-	return e.heap[i].at < e.heap[j].at || e.heap[i].at == e.heap[j].at && e.heap[i].order < e.heap[j].order
+func (q *eventQueue) Len() int { return len(q.heap) }
+func (q *eventQueue) Less(i, j int) bool {
+	return q.heap[i].at < q.heap[j].at || q.heap[i].at == q.heap[j].at && q.heap[i].order < q.heap[j].order
 }
-func (e *eventQueue) Swap(i, j int) { e.heap[i], e.heap[j] = e.heap[j], e.heap[i] }
-func (e *eventQueue) Push(x any)    { e.heap = append(e.heap, x.(event)) }
-func (e *eventQueue) Pop() any {
-	last := e.heap[len(e.heap)-1]
-	e.heap[len(e.heap)-1] = event{}
-	e.heap = e.heap[:len(e.heap)-1]
+func (q *eventQueue) Swap(i, j int) { q.heap[i], q.heap[j] = q.heap[j], q.heap[i] }
+func (q *eventQueue) Push(x any)    { q.heap = append(q.heap, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := q.heap[len(q.heap)-1]
+	q.heap[len(q.heap)-1] = event{}
+	q.heap = q.heap[:len(q.heap)-1]
 	return last
 }
 
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -114,7 +114,7 @@
 	return b.effects
 }
 
-func (b *baseline) emit(e policy.Effect) { b.effects = append(b.effects, e) }
+func (b *baseline) emit(effect policy.Effect) { b.effects = append(b.effects, effect) }
 
 // updateList takes over a list, or the changes to it, and keeps the servers in order of their IDs.
 func (b *baseline) updateList(now policy.Micros, in *policy.Input) {
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -123,20 +123,20 @@
 }
 
 // Step implements policy.Decider.
-func (s *dropOps) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+func (d *dropOps) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	switch in.Kind {
 	case policy.OpArrived:
-		delete(s.dropped, in.Op)
-		if s.arrived++; s.arrived%dropInterval == 0 {
-			s.dropped[in.Op] = true
+		delete(d.dropped, in.Op)
+		if d.arrived++; d.arrived%dropInterval == 0 {
+			d.dropped[in.Op] = true
 			return nil
 		}
 	case policy.OpAbandoned:
-		if s.dropped[in.Op] {
+		if d.dropped[in.Op] {
 			return nil
 		}
 	}
-	return s.inner.Step(now, in)
+	return d.inner.Step(now, in)
 }
 
 // ignoreDrains implements the fault drained-send: it reports every listed server as ready to the decider.
@@ -180,7 +180,8 @@
 	case policy.PushEnded:
 		if intended, redirected := c.intended[pushKey{in.Op, in.Push}]; redirected {
 			modified.Server = intended
-			// Otherwise the module would send less as soon as its pushes took long, whichever server it chose for them.
+			// Without this bound, the module would send less as soon as its pushes took long, although it does not know
+			// that they went to the cold server.
 			modified.Took = min(modified.Took, maxReportedLatency)
 			delete(c.intended, pushKey{in.Op, in.Push})
 		}
