--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -109,9 +109,18 @@
 			op := ledger.RecordOp(4000*millisecond, slots, -1, 0)
 			ledger.RecordPush(ledger.RecordTry(op, 0, 4000*millisecond, 4200*millisecond), 3, 4100*millisecond)
 		}, []string{}},
-		"answered within the tolerance": {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 270*millisecond, Failed) }, []string{}},
-		"answered late":                 {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 271*millisecond, Failed) }, []string{"answer"}},
-		"client left":                   {func(ledger *Ledger) { _, id := try(ledger, slots); ledger.RecordTryEnd(id, 50*millisecond, ClientLeft) }, []string{}},
+		"answered within the tolerance": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 270*millisecond, Failed)
+		}, []string{}},
+		"answered late": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 271*millisecond, Failed)
+		}, []string{"answer"}},
+		"client left": {func(ledger *Ledger) {
+			_, id := try(ledger, slots)
+			ledger.RecordTryEnd(id, 50*millisecond, ClientLeft)
+		}, []string{}},
 		"ran after its client left": {func(ledger *Ledger) {
 			_, id := try(ledger, slots)
 			p := ledger.RecordPush(id, 0, 1)
--- a/internal/lab/ledger/result.go
+++ b/internal/lab/ledger/result.go
@@ -301,7 +301,7 @@
 	}
 	for _, rule := range RuleNames {
 		if expectedBroken[rule] {
-			fail("rule %q was to be broken and is not", rule)
+			fail("rule %q was expected to be broken and is not", rule)
 		}
 	}
 	requireMin := func(what string, got float64, bound *float64) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -596,7 +596,8 @@
 		path := ""
 		switch expression.Kind {
 		case unstable.Table:
-			table, path = indexedPath(names, arrayLengths), indexedPath(names, arrayLengths)
+			table = indexedPath(names, arrayLengths)
+			path = indexedPath(names, arrayLengths)
 		case unstable.ArrayTable:
 			outer := indexedPath(names[:len(names)-1], arrayLengths)
 			array := strings.TrimPrefix(outer+"."+names[len(names)-1], ".")
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -56,7 +56,9 @@
 			t.Parallel()
 			s := readScenario(t, name)
 			if name == "large" {
-				s.Tiers[0].NodeCount, s.Tiers[0].MachineTypes[0].Count, s.Load.Rate = 10, 40, 180
+				s.Tiers[0].NodeCount = 10
+				s.Tiers[0].MachineTypes[0].Count = 40
+				s.Load.Rate = 180
 			}
 			for _, policyName := range trial.Policies {
 				result := runScenario(t, s, Options{Policy: policyName, Seed: 2})
@@ -107,7 +109,8 @@
 		s := readScenario(t, "leaving-clients")
 		for i := range s.Disturbances {
 			if s.Disturbances[i].Kind == "clock-step" {
-				s.Disturbances[i].Factor, s.Disturbances[i].At = step, 0
+				s.Disturbances[i].Factor = step
+				s.Disturbances[i].At = 0
 			}
 		}
 		if r := runScenario(t, s, Options{Seed: 4}); len(r.BrokenRules) > 0 {
@@ -120,7 +123,8 @@
 // be reported as broken.
 func TestNodeCrash(t *testing.T) {
 	s := readScenario(t, "node-crash")
-	s.Load.Retries, s.Load.Rate = 0, 300
+	s.Load.Retries = 0
+	s.Load.Rate = 300
 	r := runScenario(t, s, Options{Seed: 1})
 	if r.LostToCrash == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("lost to the crash %d, broken rules %v: %v", r.LostToCrash, r.BrokenRules, r.BreachMessages)
@@ -131,8 +135,10 @@
 // drain every 100 ms, with a grace period hardly longer than the network delay.
 func TestDrainDuringPush(t *testing.T) {
 	s := readScenario(t, "drain")
-	s.Limits.DrainGrace, s.Load.Rate = scenario.Duration(50*policy.Millisecond), 300
-	s.Disturbances, s.Registry = nil, scenario.Registry{Mode: "watch", Delay: scenario.Duration(5 * policy.Millisecond)}
+	s.Limits.DrainGrace = scenario.Duration(50 * policy.Millisecond)
+	s.Load.Rate = 300
+	s.Disturbances = nil
+	s.Registry = scenario.Registry{Mode: "watch", Delay: scenario.Duration(5 * policy.Millisecond)}
 	for i := range 30 {
 		s.Disturbances = append(s.Disturbances, scenario.Disturbance{Kind: "list-lie", At: scenario.Duration(100*(i+1)) * 1000,
 			Duration: scenario.Duration(70_000), Tier: "front", Count: 2, Factor: 1})
