--- a/cmd/canvaslab/capacity.go
+++ b/cmd/canvaslab/capacity.go
@@ -14,7 +14,7 @@
 
 // Run prints what the records come to. The exit code is 1 where a row passes its budget or was not measured.
 func (c *capacityCommand) Run() error {
-	records, err := scale.All(c.Records)
+	records, err := scale.LoadAll(c.Records)
 	if err != nil {
 		return err
 	}
@@ -22,13 +22,13 @@
 		return fmt.Errorf("no record in %s: canvaslab scale makes them", c.Records)
 	}
 	page := scale.NewPage(records)
-	text := page.Generated()
+	text := page.Render()
 	if c.Write != "" {
 		raw, err := os.ReadFile(c.Write)
 		if err != nil {
 			return err
 		}
-		whole, err := scale.Replace(string(raw), text)
+		whole, err := scale.ReplaceGenerated(string(raw), text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Write, err)
 		}
@@ -38,13 +38,13 @@
 	} else {
 		fmt.Print(text)
 	}
-	for _, line := range page.Over {
+	for _, line := range page.OverBudget {
 		fmt.Fprintln(os.Stderr, "over its budget:", line)
 	}
 	for _, line := range page.Missing {
 		fmt.Fprintln(os.Stderr, "not measured, or nothing carries it:", line)
 	}
-	if len(page.Over)+len(page.Missing) > 0 {
+	if len(page.OverBudget)+len(page.Missing) > 0 {
 		return errNotMet
 	}
 	return nil
--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -25,18 +25,18 @@
 }
 
 // side makes one side's run out of its word.
-func (c *compareCommand) side(word string, seed uint64) (lab.Choice, error) {
-	run := lab.Choice{Name: c.On, Short: c.Short, Seed: seed, Driver: c.Driver, Self: self()}
+func (c *compareCommand) side(word string, seed uint64) (lab.RunOptions, error) {
+	run := lab.RunOptions{Experiment: c.On, Short: c.Short, Seed: seed, Driver: c.Driver, SelfPath: self()}
 	switch {
 	case slices.Contains(trial.Policies, word):
 		run.Policy = word
 	case strings.HasSuffix(word, ".toml"):
-		run.Name = word
+		run.Experiment = word
 	default:
 		if _, err := os.Stat(word); err != nil {
 			return run, fmt.Errorf("%q is no policy (%s), no program and no experiment", word, strings.Join(trial.Policies, ", "))
 		}
-		run.Node = filepath.Clean(word)
+		run.NodeProgram = filepath.Clean(word)
 	}
 	return run, nil
 }
@@ -118,8 +118,8 @@
 		for _, p := range trial.Policies {
 			served, broken := 0.0, map[string]bool{}
 			for n := range t.Runs {
-				r, _, err := play(ctx, lab.Choice{Name: name, Short: t.Short, Seed: t.Seed + uint64(n), Driver: t.Driver,
-					Policy: p, Self: self()})
+				r, _, err := play(ctx, lab.RunOptions{Experiment: name, Short: t.Short, Seed: t.Seed + uint64(n), Driver: t.Driver,
+					Policy: p, SelfPath: self()})
 				if err != nil {
 					return err
 				}
--- a/cmd/canvaslab/count.go
+++ b/cmd/canvaslab/count.go
@@ -31,14 +31,14 @@
 		}
 	}
 	fleet.Count()
-	return fleet.Table(os.Stdout)
+	return fleet.WriteTable(os.Stdout)
 }
 
-func read(fleet *fleetlog.Fleet, name string) error {
+func read(fleet *fleetlog.Counter, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return fleet.Read(file)
+	return fleet.ReadLog(file)
 }
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -107,7 +107,7 @@
 			return err
 		}
 		for _, name := range all {
-			s, err := lab.Find(experiments.Files, name)
+			s, err := lab.ReadExperiment(experiments.Files, name)
 			if err != nil {
 				return err
 			}
@@ -149,9 +149,9 @@
 	Alone  bool   `help:"Nodes don't hear each other, whatever the experiment says."`
 }
 
-func (r *runCommand) wanted() lab.Choice {
-	return lab.Choice{Name: r.Name, Short: r.Short, Seed: r.Seed, Driver: r.Driver, Policy: r.Policy, Fault: r.Break,
-		Node: r.Node, Trace: r.Trace, Listen: r.Listen, Logs: r.Logs, Nodes: r.Nodes, Alone: r.Alone, Self: self()}
+func (r *runCommand) wanted() lab.RunOptions {
+	return lab.RunOptions{Experiment: r.Name, Short: r.Short, Seed: r.Seed, Driver: r.Driver, Policy: r.Policy, InjectedFault: r.Break,
+		NodeProgram: r.Node, TraceFile: r.Trace, ListenAddr: r.Listen, LogDir: r.Logs, NodeCount: r.Nodes, NoPeerMessages: r.Alone, SelfPath: self()}
 }
 
 func (r *runCommand) Run(ctx context.Context) error {
@@ -200,14 +200,14 @@
 }
 
 // play reads and plays, with progress: one line that is written over on a terminal, one a second elsewhere.
-func play(ctx context.Context, c lab.Choice) (*ledger.Result, *scenario.Scenario, error) {
-	s, err := lab.Find(experiments.Files, c.Name)
+func play(ctx context.Context, c lab.RunOptions) (*ledger.Result, *scenario.Scenario, error) {
+	s, err := lab.ReadExperiment(experiments.Files, c.Experiment)
 	if err != nil {
 		return nil, nil, err
 	}
 	whole := *s
 	terminal := isatty.IsTerminal(os.Stderr.Fd())
-	result, err := lab.Play(ctx, s, c, func(now policy.Micros, a *ledger.Ledger) {
+	result, err := lab.Run(ctx, s, c, func(now policy.Micros, a *ledger.Ledger) {
 		p := a.Progress()
 		line := fmt.Sprintf("%s %.0f s: offered %d, served %d, nacked %d, open %d", whole.Name, float64(now)/1e6, p.Offered,
 			p.Served, p.Nacked, p.Pending)
@@ -269,7 +269,7 @@
 }
 
 func (r *recordCommand) Run(ctx context.Context) error {
-	s, err := lab.Find(experiments.Files, r.Name)
+	s, err := lab.ReadExperiment(experiments.Files, r.Name)
 	if err != nil {
 		return err
 	}
@@ -284,7 +284,7 @@
 	n := 0
 	if r.Listen != "" {
 		fmt.Fprintf(os.Stderr, "recording what comes to %s and goes on to %s; interrupt to end\n", r.Listen, r.To)
-		n, err = lab.Record(ctx, s, r.Listen, r.To, file)
+		n, err = lab.RecordTrace(ctx, s, r.Listen, r.To, file)
 	} else {
 		length := s.Duration.Micros()
 		if r.Short {
@@ -321,12 +321,12 @@
 }
 
 func (u *upCommand) Run(ctx context.Context) error {
-	s, err := lab.Find(experiments.Files, u.Name)
+	s, err := lab.ReadExperiment(experiments.Files, u.Name)
 	if err != nil {
 		return err
 	}
-	err = live.Serve(ctx, live.Options{Scenario: s, Program: live.Program{Path: self(), Args: []string{"node"}, Own: true},
-		Seed: 1, Listen: u.Listen}, func(nodes []string) {
+	err = live.Serve(ctx, live.Options{Scenario: s, Program: live.Program{Path: self(), Args: []string{"node"}, ExitsWithStdin: true},
+		Seed: 1, ListenAddr: u.Listen}, func(nodes []string) {
 		fmt.Printf("nodes at %s, %d servers behind them; interrupt to end. Try:\n", strings.Join(nodes, " and "), len(s.Machines()))
 		for _, c := range s.Categories {
 			if c.Delivery == "redeliverable" {
--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -42,7 +42,7 @@
 }
 
 func (m *membersCommand) measure(ctx context.Context, nodes int) (err error) {
-	s, err := lab.Find(experiments.Files, "fleet-steady")
+	s, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 			return 0
 		}
 		var took time.Duration
-		took, err = p.Agree(ctx, places, mostAgree)
+		took, err = p.WaitForAgreement(ctx, places, mostAgree)
 		fmt.Fprintf(os.Stderr, "%d of %d agree after %v\n", len(places), nodes, took.Round(10*time.Millisecond))
 		return took.Round(10 * time.Millisecond)
 	}
@@ -83,14 +83,16 @@
 	}
 	agree(all)
 	third := nodes / 3
-	apart := func(from, to int) relay.Way { return relay.Way{Cut: (from%nodes < third) != (to%nodes < third)} }
-	cut := p.Relay.Begin(apart)
+	apart := func(from, to int) relay.Impairment {
+		return relay.Impairment{Cut: (from%nodes < third) != (to%nodes < third)}
+	}
+	cut := p.Relay.AddFault(apart)
 	begun := time.Now()
 	agree(all[:third])
 	small := time.Since(begun).Round(10 * time.Millisecond)
 	agree(all[third:])
 	large := time.Since(begun).Round(10 * time.Millisecond)
-	p.Relay.End(cut)
+	p.Relay.RemoveFault(cut)
 	healed := agree(all)
 	if err != nil {
 		return err
@@ -98,7 +100,7 @@
 	var mb float64
 	descriptors := 0
 	for _, place := range all {
-		_, of, open := p.CPU(place)
+		_, of, open := p.ProcessUsage(place)
 		mb, descriptors = max(mb, of), max(descriptors, open)
 	}
 	fmt.Printf("| %d | %v | %v | %v, %v | %v | %.0f, %.1f | %.2f%% | %.1f, %d |\n", nodes, joined, killed, small, large, healed, bytes, datagrams, 100*cpu, mb, descriptors)
@@ -109,9 +111,9 @@
 func (m *membersCommand) calm(ctx context.Context, p *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
 	sum := func() (b, d, c float64) {
 		for i := range nodes {
-			n := p.Relay.Count(i)
-			used, _, _ := p.CPU(i)
-			b, d, c = b+float64(n.SentBytes+n.StreamBytes), d+float64(n.SentDatagrams), c+used
+			n := p.Relay.Traffic(i)
+			used, _, _ := p.ProcessUsage(i)
+			b, d, c = b+float64(n.SentBytes+n.SentStreamBytes), d+float64(n.SentDatagrams), c+used
 		}
 		return b, d, c
 	}
@@ -126,24 +128,24 @@
 }
 
 // cuts cuts and heals again and again, and says what is left over.
-func (m *membersCommand) cuts(ctx context.Context, p *together.Processes, all []int, apart func(int, int) relay.Way, mb float64, descriptors int) error {
+func (m *membersCommand) cuts(ctx context.Context, p *together.Processes, all []int, apart func(int, int) relay.Impairment, mb float64, descriptors int) error {
 	if m.Cuts == 0 {
 		return nil
 	}
 	for range m.Cuts {
-		cut := p.Relay.Begin(apart)
+		cut := p.Relay.AddFault(apart)
 		time.Sleep(400 * time.Millisecond)
-		p.Relay.End(cut)
+		p.Relay.RemoveFault(cut)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if _, err := p.Agree(ctx, all, mostAgree); err != nil {
+	if _, err := p.WaitForAgreement(ctx, all, mostAgree); err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second) // streams that were open have ended
 	var most float64
 	open := 0
 	for _, place := range all {
-		_, of, n := p.CPU(place)
+		_, of, n := p.ProcessUsage(place)
 		most, open = max(most, of), max(open, n)
 	}
 	fmt.Printf("\nafter %d cuts of 0.4 s: %.1f MB and %d descriptors at the most (%.1f and %d before)\n", m.Cuts, most, open, mb, descriptors)
--- a/cmd/canvaslab/scale.go
+++ b/cmd/canvaslab/scale.go
@@ -37,20 +37,20 @@
 
 // Run plays each size, writes down what smaller ones predict before it, and keeps what was measured.
 func (s *scaleCommand) Run(ctx context.Context) error {
-	kind, most := scale.Hollow, mostHollow
+	kind, most := scale.KindInProcess, mostHollow
 	if s.Node != "" {
-		kind, most = scale.Real, mostReal
+		kind, most = scale.KindReal, mostReal
 	}
 	if s.Role == "path" {
 		most = 20
 	}
-	if err := scale.ParseSizes(s.Nodes, most); err != nil {
+	if err := scale.ValidateSizes(s.Nodes, most); err != nil {
 		return err
 	}
 	if s.Plays < 1 || s.Plays > 10 || s.First < 1 || s.Calm < time.Second || s.Calm > time.Minute || s.Called < 1 {
 		return errors.New("--plays is from 1 to 10, --first and --called at least 1, --calm from 1s to 1m")
 	}
-	if slowed := s.Role == "members" || s.Role == "judgements" || s.Role == "view"; s.Slow < 1 || s.Slow > mostSlow || s.Slow > 1 && (!slowed || kind == scale.Real) {
+	if slowed := s.Role == "members" || s.Role == "judgements" || s.Role == "view"; s.Slow < 1 || s.Slow > mostSlow || s.Slow > 1 && (!slowed || kind == scale.KindReal) {
 		return fmt.Errorf("--slow is from 1 to %d, for hollow members, judgements and view alone", mostSlow)
 	}
 	name := s.Role
@@ -62,14 +62,14 @@
 		return err
 	}
 	record.Command = "canvaslab scale " + strings.Join(strings.Fields(fmt.Sprintf("%s --nodes N --plays %d --called %d --calm %v", s.Role, s.Plays, s.Called, s.Calm)), " ")
-	if kind == scale.Real {
+	if kind == scale.KindReal {
 		record.Command += " --node bin/canvasrouter"
 	}
 	record.Cores = runtime.NumCPU()
-	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d plays each: %s\n", s.Role, kind, s.Nodes, s.Plays, scale.Bounds(kind, s.Nodes))
+	fmt.Fprintf(os.Stderr, "%s, %s nodes of sizes %v, %d plays each: %s\n", s.Role, kind, s.Nodes, s.Plays, scale.ResourceEstimate(kind, s.Nodes))
 	for _, nodes := range s.Nodes {
 		if p := record.Predict(nodes); p != nil {
-			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, p.From, p.Values)
+			fmt.Fprintf(os.Stderr, "%d nodes, predicted from %v: %v\n", nodes, p.FromSizes, p.Values)
 			if err := record.Save(s.Out); err != nil {
 				return err
 			}
@@ -79,12 +79,12 @@
 			if err != nil {
 				return fmt.Errorf("%s, %d nodes: %w", s.Role, nodes, err)
 			}
-			p.Play = play + s.First
+			p.Run = play + s.First
 			record.Add(p)
 			if err := record.Save(s.Out); err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "%d nodes, play %d: %v %s\n", nodes, p.Play, p.Values, p.Void)
+			fmt.Fprintf(os.Stderr, "%d nodes, play %d: %v %s\n", nodes, p.Run, p.Values, p.VoidReason)
 		}
 	}
 	return nil
@@ -94,46 +94,46 @@
 	tell := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	switch s.Role {
 	case "list":
-		if kind == scale.Real {
-			return scale.ListReal(ctx, s.Node, nodes, s.Called, s.Calm, seed, tell)
+		if kind == scale.KindReal {
+			return scale.MeasureListReal(ctx, s.Node, nodes, s.Called, s.Calm, seed, tell)
 		}
-		return scale.List(ctx, nodes, s.Called, s.Calm, seed, tell)
+		return scale.MeasureList(ctx, nodes, s.Called, s.Calm, seed, tell)
 	case "changes":
-		return scale.Changes(ctx, s.Node, nodes, s.Calm, seed, tell)
+		return scale.MeasureChanges(ctx, s.Node, nodes, s.Calm, seed, tell)
 	case "start":
-		return scale.Starts(ctx, s.Node, nodes, seed, tell)
+		return scale.MeasureStarts(ctx, s.Node, nodes, seed, tell)
 	case "path":
-		return scale.Path(ctx, s.Node, nodes, s.Calm, seed, tell)
+		return scale.MeasureCallPath(ctx, s.Node, nodes, s.Calm, seed, tell)
 	}
 	var c scale.Cluster
-	if kind == scale.Real {
-		experiment, err := lab.Find(experiments.Files, "fleet-steady")
+	if kind == scale.KindReal {
+		experiment, err := lab.ReadExperiment(experiments.Files, "fleet-steady")
 		if err != nil {
 			return p, err
 		}
-		c, err = scale.NewReal(s.Node, experiment, nodes, seed)
+		c, err = scale.NewProcessCluster(s.Node, experiment, nodes, seed)
 		if err != nil {
 			return p, err
 		}
 	} else {
 		keep := time.Duration(0)
 		if s.Role == "members" {
-			keep = scale.KeepScaled
+			keep = scale.ScaledRetention
 		}
-		if c, err = scale.NewHollow(nodes, s.Called, keep, s.Slow, seed); err != nil {
+		if c, err = scale.NewInProcessCluster(nodes, s.Called, keep, s.Slow, seed); err != nil {
 			return p, err
 		}
 	}
 	defer func() { err = errors.Join(err, c.Close()) }()
 	if s.Role == "judgements" {
-		of, hollow := c.(*scale.HollowCluster)
+		of, hollow := c.(*scale.InProcessCluster)
 		if !hollow {
 			return p, errors.New("judgements are measured with hollow nodes: leave --node out")
 		}
-		return scale.Judgements(ctx, of, s.Calm, tell)
+		return scale.MeasureServerReports(ctx, of, s.Calm, tell)
 	}
 	if s.Role == "view" {
-		return scale.Views(ctx, c, tell)
+		return scale.MeasureViews(ctx, c, tell)
 	}
-	return scale.Members(ctx, c, s.Calm, tell)
+	return scale.MeasureMembers(ctx, c, s.Calm, tell)
 }
--- a/cmd/canvaslab/versus.go
+++ b/cmd/canvaslab/versus.go
@@ -28,21 +28,21 @@
 
 // Run compares the node with net/http's reverse proxy, each on one core, and with no proxy at all.
 func (v *versusCommand) Run(ctx context.Context) error {
-	ways := []live.Way{{Name: "direct"}, {Name: "reverse proxy", Program: live.Program{Path: self(), Args: []string{"proxy"}}},
+	ways := []live.Target{{Name: "direct"}, {Name: "reverse proxy", Program: live.Program{Path: self(), Args: []string{"proxy"}}},
 		{Name: "node", Program: live.Program{Path: self(), Args: []string{"node"}}}}
 	if v.Node != "" {
-		ways = append(ways, live.Way{Name: "other node", Program: live.Program{Path: filepath.Clean(v.Node)}})
+		ways = append(ways, live.Target{Name: "other node", Program: live.Program{Path: filepath.Clean(v.Node)}})
 	}
-	laps, err := live.Versus(ctx, ways, v.Connections, max(1, v.Servers), max(1, v.Rounds), v.Span)
+	laps, err := live.CompareTargets(ctx, ways, v.Connections, max(1, v.Servers), max(1, v.Rounds), v.Span)
 	fmt.Printf("%d cores, %d servers that answer at once, %d turns of %v each; the proxies have one core\n\n", runtime.NumCPU(), v.Servers, v.Rounds, v.Span)
 	fmt.Println("| connections | way | ops a second | p50 ms | p99 ms | p99.9 ms | added p50 ms | errors |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	direct := 0.0
 	for _, l := range laps {
-		if l.Way == "direct" {
+		if l.Target == "direct" {
 			direct = l.P50Ms
 		}
-		fmt.Printf("| %d | %s | %.0f | %.3f | %.3f | %.3f | %.3f | %d |\n", l.Connections, l.Way, l.OpsPerSecond, l.P50Ms, l.P99Ms,
-			l.P999, l.P50Ms-direct, l.Errors)
+		fmt.Printf("| %d | %s | %.0f | %.3f | %.3f | %.3f | %.3f | %d |\n", l.Connections, l.Target, l.OpsPerSecond, l.P50Ms, l.P99Ms,
+			l.P999Ms, l.P50Ms-direct, l.Errors)
 	}
 	return err
 }
@@ -55,8 +55,8 @@
 		io.Copy(io.Discard, os.Stdin)
 		os.Exit(3)
 	}()
-	servers := strings.Fields(os.Getenv(live.ServersEnv))
-	l, err := net.Listen("tcp", os.Getenv(live.ListenEnv))
+	servers := strings.Fields(os.Getenv(live.ProxyServersEnv))
+	l, err := net.Listen("tcp", os.Getenv(live.ProxyListenEnv))
 	if err != nil || len(servers) == 0 {
 		return fmt.Errorf("proxy: servers %v: %w", servers, err)
 	}
--- a/cmd/canvasrouter/commands.go
+++ b/cmd/canvasrouter/commands.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	if err := serve.Check(got); err != nil {
+	if err := serve.CheckConfig(got); err != nil {
 		return err
 	}
 	fmt.Printf("%s: no fault found\n", c.File)
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if err := serve.Check(c); err != nil {
+	if err := serve.CheckConfig(c); err != nil {
 		return err
 	}
 	fmt.Print(c.Explain())
--- a/cmd/canvasrouter/crowd_test.go
+++ b/cmd/canvasrouter/crowd_test.go
@@ -112,14 +112,14 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var took time.Duration
 	select {
 	case took = <-told:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the node does not come back to the registry")
 	}
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	t.Logf("the list is followed again %v after the registry's return", took)
 	if took > 4500*time.Millisecond+late {
 		t.Errorf("the list is followed again after %v", took)
--- a/cmd/canvasrouter/gone_test.go
+++ b/cmd/canvasrouter/gone_test.go
@@ -133,7 +133,7 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	closed := map[string]time.Time{}
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for k := range clients {
 		all.Go(func() {
 			for i := range ops {
@@ -161,7 +161,7 @@
 	}
 	all.Wait()
 	time.Sleep(500 * time.Millisecond)
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	got.mu.Lock()
 	defer got.mu.Unlock()
 	worst, pushes, after := time.Duration(0), 0, 0
--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -198,12 +198,12 @@
 	}()
 	<-begun
 	p.Process.Signal(syscall.SIGTERM)
-	told, lag := time.Now(), together.NewLag()
+	told, lag := time.Now(), together.NewTimerLag()
 	if got := <-status; got != http.StatusBadGateway { // its one push may have run
 		t.Errorf("status %d", got)
 	}
 	took := time.Since(told)
-	if late, _ := lag.End(); took > 3700*time.Millisecond+late { // how late this process was itself is not the node's fault
+	if late, _ := lag.Stop(); took > 3700*time.Millisecond+late { // how late this process was itself is not the node's fault
 		t.Errorf("answered after %v", took)
 	}
 	if err := p.Wait(); err != nil {
--- a/cmd/canvasrouter/store.go
+++ b/cmd/canvasrouter/store.go
@@ -71,7 +71,7 @@
 		}
 		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	return store.ReplicaOptions{Number: *f.Number, Peers: f.Replicas, Dir: f.Dir, Check: apply.CheckChange, Dial: dialer.DialContext}, f.Listen, nil
+	return store.ReplicaOptions{Index: *f.Number, Replicas: f.Replicas, Dir: f.Dir, Validate: apply.ValidateChange, Dial: dialer.DialContext}, f.Listen, nil
 }
 
 // Run is a replica until SIGTERM.
@@ -81,7 +81,7 @@
 		return err
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", o.Number).Logger()
+	log := zerolog.New(os.Stderr).With().Timestamp().Int("replica", o.Index).Logger()
 	r, err := store.NewReplica(o, log)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		<-ctx.Done()
 		server.Close() // watches have no end of their own; nodes go to another replica
 	}()
-	log.Info().Str("listen", listen).Strs("replicas", o.Peers).Msg("replica starts")
+	log.Info().Str("listen", listen).Strs("replicas", o.Replicas).Msg("replica starts")
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	change := store.Change{Key: store.Key(c.Key), ID: c.ID, From: c.From, Back: c.Back, Needs: c.Needs}
+	change := store.Change{Key: store.Key(c.Key), ID: c.ID, ExpectedVersion: c.From, Rollback: c.Back, RequiredFormat: c.Needs}
 	if c.Patch != "" {
 		raw, err := os.ReadFile(c.Patch)
 		if err != nil {
@@ -180,7 +180,7 @@
 
 // askFor asks for a change, one replica after another until one says something. Danger: one that says that there is no majority may be the one
 // that is cut off; the next may not be.
-func askFor(replicas []string, change *store.Change) (*store.Answer, error) {
+func askFor(replicas []string, change *store.Change) (*store.ChangeResponse, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 		}
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 		response.Body.Close()
-		var a store.Answer
+		var a store.ChangeResponse
 		if err := json.Unmarshal(body, &a); err != nil {
 			last = fmt.Errorf("replica at %s answered %s", addr, response.Status)
 			continue
@@ -203,18 +203,18 @@
 		case http.StatusOK:
 			return &a, nil
 		case http.StatusBadRequest:
-			return nil, fmt.Errorf("refused: %s", a.Why)
+			return nil, fmt.Errorf("refused: %s", a.Reason)
 		case http.StatusConflict:
 			return nil, fmt.Errorf("%s: version %d stands", a.Verdict, a.Version)
 		}
-		last = errors.New(a.Why)
+		last = errors.New(a.Reason)
 	}
 	return nil, last
 }
 
 // states are what the replicas know together.
 type states struct {
-	all    []*store.State
+	all    []*store.ReplicaState
 	faults []string
 	nodes  map[string]store.NodeReport // the youngest of each
 	values map[store.Key]*store.Value
@@ -228,7 +228,7 @@
 			g.faults = append(g.faults, fmt.Sprintf("replica %d at %s does not answer: %v", i, addr, err))
 			continue
 		}
-		s := &store.State{}
+		s := &store.ReplicaState{}
 		err = json.NewDecoder(io.LimitReader(response.Body, 256<<20)).Decode(s)
 		response.Body.Close()
 		if err != nil {
@@ -242,7 +242,7 @@
 			}
 		}
 		for _, v := range s.Values {
-			store.Merge(g.values, v)
+			store.MergeNewer(g.values, v)
 		}
 	}
 	return g
@@ -257,12 +257,12 @@
 		}
 		of++
 		switch no, has := n.Refused[key]; {
-		case n.Runs[key] >= version:
+		case n.Applied[key] >= version:
 			runs++
 		case has && no.Version >= version:
-			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, no.Version, no.Why))
+			refused = append(refused, fmt.Sprintf("%s refuses version %d: %s", name, no.Version, no.Reason))
 		default:
-			lag = append(lag, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, n.Runs[key], n.AgeMs/1000))
+			lag = append(lag, fmt.Sprintf("%s runs version %d, heard %.1f s ago", name, n.Applied[key], n.AgeMs/1000))
 		}
 	}
 	return runs, of, lag, refused
@@ -289,7 +289,7 @@
 		fmt.Println(fault)
 	}
 	for _, of := range g.all {
-		fmt.Printf("replica %d: %d keys, %d watch it\n", of.Number, len(of.Values), of.Watchers)
+		fmt.Printf("replica %d: %d keys, %d watch it\n", of.Index, len(of.Values), of.Watchers)
 	}
 	for _, key := range slices.Sorted(maps.Keys(g.values)) {
 		v := g.values[key]
--- a/cmd/canvasrouter/store_test.go
+++ b/cmd/canvasrouter/store_test.go
@@ -284,8 +284,8 @@
 // A node's own look shows which changes it was told of, runs, and refuses.
 func TestFleetShowsTheStore(t *testing.T) {
 	var b strings.Builder
-	printView(&b, &fleet.View{Store: &store.Look{Replica: "127.0.0.1:7950", Told: map[store.Key]store.Version{"all": 3}, Runs: map[store.Key]store.Version{"all": 2},
-		Refused: map[store.Key]store.Refusal{"all": {Version: 3, Why: "setting tick is no number"}}}})
+	printView(&b, &fleet.View{Store: &store.View{Replica: "127.0.0.1:7950", Received: map[store.Key]store.Version{"all": 3}, Applied: map[store.Key]store.Version{"all": 2},
+		Refused: map[store.Key]store.Refusal{"all": {Version: 3, Reason: "setting tick is no number"}}}})
 	for _, want := range []string{"store: watches 127.0.0.1:7950; runs map[all:2] of what it was told, map[all:3]", "all version 3 refused: setting tick is no number"} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("no %q in %s", want, b.String())
--- a/cmd/canvasrouter/switch_test.go
+++ b/cmd/canvasrouter/switch_test.go
@@ -59,15 +59,15 @@
 		t.Cleanup(stand.Close)
 		addrs[server] = strings.TrimPrefix(stand.URL, "http://")
 	}
-	list := registry.NewService(registry.NewCatalog([]registry.Entry{{Server: 1, Weight: 1}}, false), 0, registry.Words{
-		Zones: []string{"a"}, Kinds: []string{"m1"}, Addr: func(server int) string { return addrs[server] },
-		Told: func(int, []registry.Entry, bool) {}})
+	list := registry.NewService(registry.NewCatalog([]registry.Entry{{Server: 1, Weight: 1}}, false), 0, registry.Options{
+		Zones: []string{"a"}, MachineTypes: []string{"m1"}, Addr: func(server int) string { return addrs[server] },
+		OnSent: func(int, []registry.Entry, bool) {}})
 	t.Cleanup(list.Close)
 	discovery, err := list.Listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list.Change(func(c *registry.Catalog) { c.Set(registry.Entry{Server: 2, Weight: 1}) })
+	list.Update(func(c *registry.Catalog) { c.SetEntry(registry.Entry{Server: 2, Weight: 1}) })
 	addr := free(t)
 	with := func(more []string) []string {
 		return append([]string{"127.0.0.1:8500", discovery, "127.0.0.1:8081", addr, "127.0.0.1:8181", addrs[1]}, more...)
@@ -115,7 +115,7 @@
 			return send(http.DefaultClient, "GET", "http://"+addr+"/lookup", fmt.Sprintf("probe-%d-%d", i, probes)) == want
 		})
 		if i == 7 {
-			list.Change(func(c *registry.Catalog) { c.Set(registry.Entry{Server: 1, Weight: 1, State: policy.Draining}) })
+			list.Update(func(c *registry.Catalog) { c.SetEntry(registry.Entry{Server: 1, Weight: 1, State: policy.Draining}) })
 			time.Sleep(100 * time.Millisecond)
 			drained = time.Now()
 		}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -52,23 +52,23 @@
 
 // Actor is the module's actor, as a client's side sees it.
 type Actor interface {
-	Arrive(*node.Op)
+	Submit(*node.Op)
 	Abandon(*node.Op)
-	EndBy(policy.Micros)
+	SetShutdownDeadline(policy.Micros)
 }
 
 // Options are what the settings say of clients.
 type Options struct {
 	Categories, Tenants []string
-	Repeats             []policy.Repeat // of each category
-	Longest             time.Duration   // TTL of any category: no op is in hand for longer
-	Generation          int             // of the settings that say so
+	DeliverySemantics   []policy.DeliverySemantics // of each category
+	MaxTTL              time.Duration              // TTL of any category: no op is in hand for longer
+	GenerationNumber    int                        // of the settings that say so
 }
 
 // drainTimes are how long after SIGTERM connections that clients have kept are served, and when the last answer must be
 // out; a third of the longest TTL lies between. Danger: the kill does not wait for longer TTLs.
 func (o *Options) drainTimes() (stay, last time.Duration) {
-	longest := min(o.Longest, killTTL)
+	longest := min(o.MaxTTL, killTTL)
 	last = longest + killAfter - exitTime
 	return last - longest/3, last
 }
@@ -95,7 +95,7 @@
 }
 
 // Listen opens the listener; Serve answers on it.
-func Listen(addr string, options Options, part *sockets.Part, actor Actor, clock *node.Clock,
+func Listen(addr string, options Options, part *sockets.Budget, actor Actor, clock *node.Clock,
 	log zerolog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -105,8 +105,8 @@
 	sampled := log.Sample(&zerolog.BurstSampler{Burst: 1, Period: complainEvery})
 	s := &Server{actor: actor, clock: clock, log: log, sampled: sampled,
 		listener: newListener(l.(*net.TCPListener), part)}
-	s.Use(options)
-	part.OnShort(s.idle.shed)
+	s.SetOptions(options)
+	part.OnExhausted(s.idle.shed)
 	s.http = &http.Server{
 		Handler:                      s,
 		ReadHeaderTimeout:            headerWait,
@@ -121,7 +121,7 @@
 			s.idle.set(c, state)
 			s.conns.set(c, state)
 			if state == http.StateIdle {
-				part.Idle()
+				part.NotifyIdle()
 			}
 		},
 	}
@@ -147,7 +147,7 @@
 }
 
 // Use reads requests that begin from now on by other settings.
-func (s *Server) Use(options Options) { s.options.Store(&options) }
+func (s *Server) SetOptions(options Options) { s.options.Store(&options) }
 
 // Drain loses nothing taken: new connections are taken and served for a while, with answers that close them,
 // then the listener closes and ops in hand are finished. Serve must be over, or end by it. With stay, connections that
@@ -160,7 +160,7 @@
 	defer cancel()
 	end := s.clock.Now() + policy.Micros(last/time.Microsecond)
 	s.drain.Store(&drain{begun: begun, end: end})
-	s.actor.EndBy(end)
+	s.actor.SetShutdownDeadline(end)
 	s.listener.drain()
 	<-served
 	if stay {
@@ -247,7 +247,7 @@
 		return
 	}
 	defer s.ids.give(op.Header.Get(idHeader))
-	s.actor.Arrive(op)
+	s.actor.Submit(op)
 	s.write(w, s.answer(r, op))
 }
 
@@ -304,14 +304,14 @@
 	if err != nil || remaining < 0 || remaining > longestWait.Milliseconds() {
 		return nil, http.StatusBadRequest, remainingHeader + " is not a time in whole milliseconds"
 	}
-	if status, reason := fits(r, options.Repeats[category]); status != 0 {
+	if status, reason := fits(r, options.DeliverySemantics[category]); status != 0 {
 		return nil, status, reason
 	}
 	tenant, err := options.tenant(r.Header)
 	if err != nil {
 		return nil, http.StatusBadRequest, err.Error()
 	}
-	if r.ContentLength > node.MostBody {
+	if r.ContentLength > node.MaxBodyBytes {
 		return nil, http.StatusRequestEntityTooLarge, "body is too long"
 	}
 	control := http.NewResponseController(w)
@@ -345,12 +345,12 @@
 	control.SetWriteDeadline(time.Now().Add(time.Duration(remaining)*time.Millisecond + writeWait))
 	op = node.NewOp()
 	op.Request = node.Request{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body}
-	op.Category, op.Tenant, op.Generation = category, tenant, options.Generation
-	op.NotAfter = now + policy.Micros(remaining)*policy.Millisecond
+	op.Category, op.Tenant, op.GenerationNumber = category, tenant, options.GenerationNumber
+	op.Deadline = now + policy.Micros(remaining)*policy.Millisecond
 	if d := s.drain.Load(); d != nil {
-		op.NotAfter = min(op.NotAfter, d.end) // Danger: what the kill finds unanswered is lost
+		op.Deadline = min(op.Deadline, d.end) // Danger: what the kill finds unanswered is lost
 	}
-	op.Repeated = r.Header.Get(repeatedHeader) == "1"
+	op.ClientRetry = r.Header.Get(repeatedHeader) == "1"
 	if c, ok := connOf(r); ok {
 		op.Client = c
 	}
@@ -385,7 +385,7 @@
 
 // fits refuses a request whose form does not belong to what a second run of its op does. Danger: a server can't drop
 // the repeats of an op without a key, and one that passes over a GET's body reads it as a request of its own.
-func fits(r *http.Request, repeat policy.Repeat) (status int, reason string) {
+func fits(r *http.Request, repeat policy.DeliverySemantics) (status int, reason string) {
 	method := http.MethodPost
 	if repeat == policy.Redeliverable {
 		method = http.MethodGet
@@ -436,7 +436,7 @@
 
 func (s *Server) write(w http.ResponseWriter, answer node.Answer) {
 	defer answer.Body.Release()
-	if answer.Excess {
+	if answer.OverLimit {
 		w.Header().Set("Connection", "close")
 	}
 	switch answer.Verdict {
@@ -456,7 +456,7 @@
 		w.WriteHeader(statusNack)
 	case node.DeadLettered:
 		w.WriteHeader(statusDead)
-	case node.Left:
+	case node.ClientLeft:
 		panic(http.ErrAbortHandler) // nobody to answer
 	}
 }
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -32,12 +32,12 @@
 	knew bool // the last one that left had done so by its connection's word; read after left
 }
 
-func (m *module) Arrive(op *node.Op)     { m.do(op) }
-func (m *module) EndBy(at policy.Micros) { m.ends <- at }
+func (m *module) Submit(op *node.Op)                   { m.do(op) }
+func (m *module) SetShutdownDeadline(at policy.Micros) { m.ends <- at }
 func (m *module) Abandon(op *node.Op) {
-	m.knew = op.Client != nil && op.Client.Left()
+	m.knew = op.Client != nil && op.Client.Disconnected()
 	m.left <- op
-	op.Answer(node.Answer{Verdict: node.Left})
+	op.Answer(node.Answer{Verdict: node.ClientLeft})
 }
 
 type rig struct {
@@ -45,18 +45,18 @@
 	*module
 	addr   string
 	served chan error
-	part   *sockets.Part
+	part   *sockets.Budget
 }
 
 // start runs a server with so many sockets for clients.
 func start(t *testing.T, room int, do func(*node.Op)) *rig {
 	t.Helper()
 	r := &rig{module: &module{do: do, left: make(chan *node.Op, 8), ends: make(chan policy.Micros, 1)}, served: make(chan error, 1),
-		part: sockets.NewPart(room)}
+		part: sockets.NewBudget(room)}
 	var err error
 	r.Server, err = Listen("127.0.0.1:0", Options{Categories: []string{"checkout", "browse", "booking"},
-		Repeats: []policy.Repeat{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
-		Tenants: []string{"one", "two"}, Longest: time.Second}, r.part, r.module, node.NewClock(), zerolog.Nop())
+		DeliverySemantics: []policy.DeliverySemantics{policy.Redeliverable, policy.Redeliverable, policy.Deduplicated},
+		Tenants:           []string{"one", "two"}, MaxTTL: time.Second}, r.part, r.module, node.NewClock(), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 		"not by GET":          {request("GET", "/booking", "", "Idempotency-Key: k"), "405 close"},
 		"not by POST":         {request("POST", "/checkout", ""), "405 close"},
 		"a GET with a body":   {request("GET", "/checkout", "body"), "400 close"},
-		"a body too long":     {request("POST", "/booking", strings.Repeat("x", node.MostBody+1)), "413 close"},
+		"a body too long":     {request("POST", "/booking", strings.Repeat("x", node.MaxBodyBytes+1)), "413 close"},
 		"60 MB announced":     {strings.Replace(request("POST", "/booking", ""), "Length: 0", "Length: 60000000", 1), "413 close"},
 		"chunks":              {inChunks("0\r\n\r\n"), "411 close"},
 		"broken chunks":       {inChunks("zz\r\n"), "411 close"},
@@ -259,11 +259,11 @@
 	before := r.clock.Now()
 	r.dial(t).ask(request("POST", "/booking/x//y?k=%zz", "body", "X-Resent: 1", "X-Labels: size=3,org=two"))
 	op := <-ops
-	got := fmt.Sprint(op.Method, " ", op.Target, " ", op.Host, " ", op.Category, op.Tenant, op.Repeated)
+	got := fmt.Sprint(op.Method, " ", op.Target, " ", op.Host, " ", op.Category, op.Tenant, op.ClientRetry)
 	if diff := cmp.Diff("POST /booking/x//y?k=%zz backend.local 2 1 true", got); diff != "" {
 		t.Error(diff)
 	}
-	if left := op.NotAfter - before; left < 480*policy.Millisecond || left > policy.Micros(bound.Microseconds()) {
+	if left := op.Deadline - before; left < 480*policy.Millisecond || left > policy.Micros(bound.Microseconds()) {
 		t.Errorf("the client waits for %d us", left)
 	}
 }
@@ -284,7 +284,7 @@
 	read := r.clock.Now()
 	close(held)
 	c.answer()
-	if left := (<-ops).NotAfter - read; left > policy.Micros((480*time.Millisecond-late).Microseconds()*5/4) {
+	if left := (<-ops).Deadline - read; left > policy.Micros((480*time.Millisecond-late).Microseconds()*5/4) {
 		t.Errorf("%d us left", left)
 	}
 }
@@ -300,7 +300,7 @@
 		"nacked, come back": {func(op *node.Op) {
 			op.Answer(node.Answer{Verdict: node.Nacked, RetryAfter: 1250 * policy.Millisecond})
 		}, "503 after 1.250"},
-		"in excess":     {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.Nacked, Excess: true}) }, "503 close"},
+		"in excess":     {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.Nacked, OverLimit: true}) }, "503 close"},
 		"dead-lettered": {func(op *node.Op) { op.Answer(node.Answer{Verdict: node.DeadLettered}) }, "502"},
 		"a panic":       {func(*node.Op) { panic("broken") }, "500"},
 	} {
@@ -431,27 +431,27 @@
 	// be answered before the kill.
 	io.WriteString(kept.Conn, strings.Replace(request("GET", "/browse", ""), "Ms: 480", "Ms: 60000", 1))
 	last := <-ops
-	if most := r.drain.Load().end; last.NotAfter != most || r.clock.Until(most) > r.options.Load().Longest {
-		t.Errorf("the last op may take until %d, the end is %d", last.NotAfter, most)
+	if most := r.drain.Load().end; last.Deadline != most || r.clock.Until(most) > r.options.Load().MaxTTL {
+		t.Errorf("the last op may take until %d, the end is %d", last.Deadline, most)
 	}
 	served(last)
 	if got := kept.answer(); got != "200 GET /browse " {
 		t.Errorf("a kept connection: %s", got)
 	}
 	_, end := r.options.Load().drainTimes()
-	time.Sleep(time.Until(r.drain.Load().begun.Add(end - r.options.Load().Longest/4)))
+	time.Sleep(time.Until(r.drain.Load().begun.Add(end - r.options.Load().MaxTTL/4)))
 	served(op)
 	if got := running.answer(); got != "200 close GET /browse " {
 		t.Errorf("the op in hand: %s", got)
 	}
 	drained.Wait()
-	if took := time.Since(r.drain.Load().begun); took > r.options.Load().Longest+killAfter {
+	if took := time.Since(r.drain.Load().begun); took > r.options.Load().MaxTTL+killAfter {
 		t.Errorf("took %v", took)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), bound)
 	defer cancel()
 	for i := range 8 {
-		if r.part.Take(ctx) != nil {
+		if r.part.Acquire(ctx) != nil {
 			t.Fatalf("%d of 8 sockets came back", i)
 		}
 	}
@@ -461,7 +461,7 @@
 func TestDrainTime(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{time.Second: 1500 * time.Millisecond,
 		6 * time.Second: 3500 * time.Millisecond} {
-		if _, got := (&Options{Longest: longest}).drainTimes(); got != want {
+		if _, got := (&Options{MaxTTL: longest}).drainTimes(); got != want {
 			t.Errorf("with a TTL of %v: %v", longest, got)
 		}
 	}
@@ -498,7 +498,7 @@
 	begun := time.Now()
 	time.AfterFunc(linger, func() { served(op) })
 	r.Drain(r.served, true)
-	if took := time.Since(begun); took > r.options.Load().Longest+killAfter {
+	if took := time.Since(begun); took > r.options.Load().MaxTTL+killAfter {
 		t.Errorf("took %v", took)
 	}
 	if got := running.answer(); got != "200 GET /browse " {
--- a/internal/clients/crossing_test.go
+++ b/internal/clients/crossing_test.go
@@ -103,7 +103,7 @@
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				r, c, op := sendsMore(t, beyond)
-				lag := together.NewLag()
+				lag := together.NewTimerLag()
 				begun := time.Now()
 				leave(c.Conn.(*net.TCPConn))
 				select {
@@ -115,7 +115,7 @@
 					t.Fatal("nobody noticed")
 				}
 				took := time.Since(begun)
-				if late, _ := lag.End(); took > 300*time.Millisecond+late { // what this process was late by is not the node's
+				if late, _ := lag.Stop(); took > 300*time.Millisecond+late { // what this process was late by is not the node's
 					t.Errorf("noticed after %v", took)
 				}
 				if !r.knew {
@@ -137,7 +137,7 @@
 	own := r.only(t)
 	io.WriteString(c.Conn, beyond) // what came in one piece with the request would not stop the library
 	await(t, "the library read no byte beyond", func() bool { return !own.reading.Load() })
-	if op.Client.Left() || own.leftUnread() {
+	if op.Client.Disconnected() || own.leftUnread() {
 		t.Error("it counts as left")
 	}
 	return r, c, op
--- a/internal/clients/listener.go
+++ b/internal/clients/listener.go
@@ -28,7 +28,7 @@
 // backlog and nothing spins.
 type listener struct {
 	*net.TCPListener
-	part *sockets.Part
+	part *sockets.Budget
 	ctx  context.Context // done when nothing more is to be taken
 	end  context.CancelFunc
 	last bool // past linger: the backlog is being emptied
@@ -36,7 +36,7 @@
 	until atomic.Pointer[time.Time] // when that ends at the latest
 }
 
-func newListener(tcp *net.TCPListener, part *sockets.Part) *listener {
+func newListener(tcp *net.TCPListener, part *sockets.Budget) *listener {
 	ctx, end := context.WithCancel(context.Background())
 	return &listener{TCPListener: tcp, part: part, ctx: ctx, end: end}
 }
@@ -55,7 +55,7 @@
 			if l.last {
 				l.SetDeadline(l.quietBy())
 			}
-			return &conn{Conn: l.part.Own(tcp), tcp: tcp, came: time.Now()}, nil
+			return &conn{Conn: l.part.Wrap(tcp), tcp: tcp, came: time.Now()}, nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && !l.last:
 			// Danger: closing now would reset connections that wait in the backlog.
 			l.last = true
@@ -65,7 +65,7 @@
 			err = net.ErrClosed
 			l.close()
 		}
-		l.part.Give()
+		l.part.Release()
 		return nil, err
 	}
 }
@@ -74,7 +74,7 @@
 func (l *listener) room() bool {
 	ctx, cancel := context.WithTimeout(l.ctx, unused/4)
 	defer cancel()
-	return l.part.Take(ctx) == nil
+	return l.part.Acquire(ctx) == nil
 }
 
 // quietBy is when the backlog counts as empty, unless something comes before. Danger: bad clients connect without a
@@ -196,10 +196,10 @@
 
 // leftUnread says that the client has left and that nobody is reading who would notice. Danger: the library reads one
 // byte beyond a request and then no further; a client that sends much at once and goes has left unseen.
-func (c *conn) leftUnread() bool { return !c.reading.Load() && c.Left() }
+func (c *conn) leftUnread() bool { return !c.reading.Load() && c.Disconnected() }
 
 // Left says that the client has left, as the kernel knows it.
-func (c *conn) Left() bool { return received(c.tcp).ended }
+func (c *conn) Disconnected() bool { return received(c.tcp).ended }
 
 // conns are those that stand open.
 type conns struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,31 +29,31 @@
 
 // Config is all that a node is told at its start.
 type Config struct {
-	Name        string
-	Listen      string // where clients connect
-	Discovery   string // the registry
-	Seed        uint64
-	LogLevel    zerolog.Level
-	Cores       float64
-	MemoryMB    int
-	Sockets     int
-	Known       json.RawMessage // the list as the node last had it, in the registry's form
-	Rules       *Rules
-	Names       Names
-	MostOpen    int           // ops in hand that the settings allow
-	AnswerSlack policy.Micros // past a client's wait, in which a final answer still counts
-	Unheeded    []string      // settings that earlier versions heeded, given here
-	IdleClose   time.Duration // a server closes a connection that was idle for this long
-	Fleet       *Fleet        // nil: the node hears nobody
-	Store       *Store        // nil: the file alone says what holds
-	Raw         []byte        // the document that this was read from
+	Name              string
+	Listen            string // where clients connect
+	RegistryAddr      string // the registry
+	Seed              uint64
+	LogLevel          zerolog.Level
+	Cores             float64
+	MemoryMB          int
+	Sockets           int
+	CachedList        json.RawMessage // the list as the node last had it, in the registry's form
+	Rules             *Rules
+	Names             Names
+	MaxPendingOps     int           // ops in hand that the settings allow
+	AnswerSlack       policy.Micros // past a client's wait, in which a final answer still counts
+	IgnoredSettings   []string      // settings that earlier versions heeded, given here
+	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long
+	Fleet             *Fleet        // nil: the node hears nobody
+	Store             *Store        // nil: the file alone says what holds
+	Raw               []byte        // the document that this was read from
 
 	settings, fleet json.RawMessage
 }
 
 // Fixed names the keys that differ in next and can't change while the node runs. Discovery, log_level and settings
 // can; known is only read at the start, since the node itself holds a newer list.
-func (c *Config) Fixed(next *Config) (keys []string) {
+func (c *Config) RestartRequiredKeys(next *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
@@ -72,7 +72,7 @@
 }
 
 // Running is c, taken over by a node that runs with old: what can't change while it runs stays.
-func (c *Config) Running(old *Config) *Config {
+func (c *Config) WithFixedKeysOf(old *Config) *Config {
 	now := *c
 	now.Name, now.Listen, now.Seed = old.Name, old.Listen, old.Seed
 	now.Cores, now.MemoryMB, now.Sockets = old.Cores, old.MemoryMB, old.Sockets
@@ -85,9 +85,9 @@
 
 // SameFleet says that the nodes would hear each other as before: the same keys, and the same place among them.
 func (c *Config) SameFleet(next *Config) bool {
-	a, b := &c.Rules.Place, &next.Rules.Place
+	a, b := &c.Rules.Topology, &next.Rules.Topology
 	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.fleet, next.fleet) &&
-		a.Number == b.Number && a.Zone == b.Zone && a.Nodes == b.Nodes)
+		a.NodeNumber == b.NodeNumber && a.Zone == b.Zone && a.NodeCount == b.NodeCount)
 }
 
 // sameJSON compares values, whatever their spacing and the order of their keys.
@@ -98,7 +98,7 @@
 
 // Names are the words of the settings, by the number that the module knows them by.
 type Names struct {
-	Categories, Tenants, Zones, Kinds []string
+	Categories, Tenants, Zones, MachineTypes []string
 }
 
 // document is the file's form.
@@ -152,21 +152,21 @@
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
 	c := &Config{
-		Name:      cmp.Or(d.Name, getenv("NODE_NAME")),
-		Listen:    cmp.Or(d.Listen, getenv("NODE_LISTEN")),
-		Discovery: cmp.Or(d.Discovery, getenv("NODE_DISCOVERY")),
-		Known:     d.Known,
-		settings:  d.Settings,
-		fleet:     d.Fleet,
-		Raw:       raw,
-		Cores:     orDefault(d.Limits.Cores, defaultCores),
-		MemoryMB:  orDefault(d.Limits.MemoryMB, defaultMemoryMB),
-		Sockets:   orDefault(d.Limits.Sockets, defaultSockets),
+		Name:         cmp.Or(d.Name, getenv("NODE_NAME")),
+		Listen:       cmp.Or(d.Listen, getenv("NODE_LISTEN")),
+		RegistryAddr: cmp.Or(d.Discovery, getenv("NODE_DISCOVERY")),
+		CachedList:   d.Known,
+		settings:     d.Settings,
+		fleet:        d.Fleet,
+		Raw:          raw,
+		Cores:        orDefault(d.Limits.Cores, defaultCores),
+		MemoryMB:     orDefault(d.Limits.MemoryMB, defaultMemoryMB),
+		Sockets:      orDefault(d.Limits.Sockets, defaultSockets),
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("key listen: %w", err)
 	}
-	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(c.RegistryAddr); err != nil {
 		return nil, fmt.Errorf("key discovery: %w", err)
 	}
 	if d.Seed != "" {
@@ -193,17 +193,17 @@
 	c.LogLevel = level
 	s := fromJSON(d.Settings)
 	c.Rules = s.rules()
-	c.IdleClose = Duration(Micros(s.numberOr("limits.idle_close", 0)))
-	c.AnswerSlack = Micros(s.numberOr("safety.answer_slack", 0))
-	c.MostOpen = int(s.numberOr("limits.max_open", float64(c.Sockets)))
+	c.ServerIdleTimeout = Duration(MillisToMicros(s.numberOr("limits.idle_close", 0)))
+	c.AnswerSlack = MillisToMicros(s.numberOr("safety.answer_slack", 0))
+	c.MaxPendingOps = int(s.numberOr("limits.max_open", float64(c.Sockets)))
 	c.Names = Names{Categories: s.names("categories"), Tenants: s.names("tenants"),
-		Zones: s.list("failure_domains"), Kinds: s.list("kinds")}
+		Zones: s.list("failure_domains"), MachineTypes: s.list("kinds")}
 	s.check(c.Rules)
 	if s.flagOr("safety.gone_is_advice", false) {
-		c.Unheeded = append(c.Unheeded, "safety.gone_is_advice")
+		c.IgnoredSettings = append(c.IgnoredSettings, "safety.gone_is_advice")
 	}
 	if _, found := s.pairs["tenants.0.quota_rps"]; found {
-		c.Unheeded = append(c.Unheeded, "tenants.quota_rps")
+		c.IgnoredSettings = append(c.IgnoredSettings, "tenants.quota_rps")
 	}
 	if s.err != nil {
 		return c, s.err
@@ -220,19 +220,19 @@
 		key string
 		bad bool
 	}{
-		{"tier", r.Place.Tier < 0 || r.Place.Tier >= r.Place.Tiers},
-		{"fleet_size", r.Place.Nodes < 1},
-		{"slot_no", r.Place.Number < 0},
-		{"tick", r.Place.Tick < 1},
-		{"limits.max_pushes", r.Push.Max < 1},
-		{"limits.dial_timeout", r.Push.Dial < policy.Millisecond},
+		{"tier", r.Topology.Tier < 0 || r.Topology.Tier >= r.Topology.TierCount},
+		{"fleet_size", r.Topology.NodeCount < 1},
+		{"slot_no", r.Topology.NodeNumber < 0},
+		{"tick", r.Topology.ClockTick < 1},
+		{"limits.max_pushes", r.PushLimits.MaxPushes < 1},
+		{"limits.dial_timeout", r.PushLimits.DialTimeout < policy.Millisecond},
 	} {
 		if rule.bad {
 			s.fail("setting %s is out of range: %q", rule.key, s.pairs[rule.key])
 		}
 	}
 	for i, c := range r.Categories {
-		if c.TTL <= 0 || c.Target <= 0 || c.Target > c.TTL {
+		if c.TTL <= 0 || c.TargetLatency <= 0 || c.TargetLatency > c.TTL {
 			s.fail("setting categories.%d.target_latency or ttl is out of range", i)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -78,7 +78,7 @@
 		`"peers": true, "max_pushes": 3`:  true,
 	} {
 		c, err := load(t, `"max_pushes": 3`, with)
-		if err != nil || c.Rules.Place.Peers != peers || len(c.Unheeded) > 0 ||
+		if err != nil || c.Rules.Topology.PeerMessaging != peers || len(c.IgnoredSettings) > 0 ||
 			strings.Contains(c.Explain(), "tell each other") != peers {
 			t.Errorf("%s: %+v, %v", with, c, err)
 		}
@@ -88,7 +88,7 @@
 		{`"tick": 5.0`, `"tick": 5.0, "tenants": [{"name": "a", "quota_rps": 5}]`, "tenants.quota_rps"},
 	} {
 		got, err := load(t, c.old, c.new)
-		if err != nil || !slices.Equal(got.Unheeded, []string{c.key}) || !strings.Contains(got.Explain(), c.key) {
+		if err != nil || !slices.Equal(got.IgnoredSettings, []string{c.key}) || !strings.Contains(got.Explain(), c.key) {
 			t.Errorf("%s: %+v, %v", c.key, got, err)
 		}
 	}
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -13,66 +13,66 @@
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	r := c.Rules
-	line("Node %q listens on %s and follows the list of servers at %s.", c.Name, c.Listen, c.Discovery)
+	line("Node %q listens on %s and follows the list of servers at %s.", c.Name, c.Listen, c.RegistryAddr)
 	line("It may use %g cores, %d MB and %d sockets, and logs at level %s.", c.Cores, c.MemoryMB, c.Sockets, c.LogLevel)
-	line("It is node %d of %d before tier %d of %d, in zone %s.", r.Place.Number+1, r.Place.Nodes, r.Place.Tier+1,
-		r.Place.Tiers, name(c.Names.Zones, int(r.Place.Zone)))
+	line("It is node %d of %d before tier %d of %d, in zone %s.", r.Topology.NodeNumber+1, r.Topology.NodeCount, r.Topology.Tier+1,
+		r.Topology.TierCount, name(c.Names.Zones, int(r.Topology.Zone)))
 	line("")
 	for i, k := range r.Categories {
 		line("Category %s: benefit %g within %s, %g of that up to its TTL of %s.", name(c.Names.Categories, i), k.Benefit,
-			Duration(k.Target), k.Late, Duration(k.TTL))
+			Duration(k.TargetLatency), k.LateBenefit, Duration(k.TTL))
 		line("  %s", repeats(&k))
 	}
-	for _, key := range c.Unheeded {
+	for _, key := range c.IgnoredSettings {
 		line("Setting %s is given, and no longer heeded.", key)
 	}
 	line("")
-	line("An op gets at most %d pushes, %s. A connection not open within %s has failed.", r.Push.Max,
-		either(r.Push.Duplicate, "also two at once", "never two at once"), Duration(r.Push.Dial))
-	if r.Push.RetryAfter > 0 {
-		line("A nack says when to come back, %s at most.", Duration(r.Push.RetryAfter))
+	line("An op gets at most %d pushes, %s. A connection not open within %s has failed.", r.PushLimits.MaxPushes,
+		either(r.PushLimits.MayDuplicate, "also two at once", "never two at once"), Duration(r.PushLimits.DialTimeout))
+	if r.PushLimits.MaxRetryAfter > 0 {
+		line("A nack says when to come back, %s at most.", Duration(r.PushLimits.MaxRetryAfter))
 	} else {
 		line("A nack gives no advice.")
 	}
 	line("A server that has just started can do %g%% of its work and is warm after %s; all nodes together must not send it",
-		100*r.Cold.From, Duration(r.Cold.Warm))
-	line("more than %g times what it can do for %s.", r.Cold.Factor, Duration(r.Cold.Window))
+		100*r.ColdStart.InitialShare, Duration(r.ColdStart.WarmUpTime))
+	line("more than %g times what it can do for %s.", r.ColdStart.OverloadFactor, Duration(r.ColdStart.OverloadWindow))
 	c.explainFleet(line)
 	c.explainStore(line)
-	line("Changes of the list come %s.", either(r.Registry.Ask, "only on asking, and the node asks", "unasked"))
+	line("Changes of the list come %s.", either(r.Registry.MustSubscribe, "only on asking, and the node asks", "unasked"))
 	return b.String()
 }
 
 func (c *Config) explainFleet(line func(format string, args ...any)) {
 	f := c.Fleet
 	if f == nil {
-		if c.Rules.Place.Peers {
+		if c.Rules.Topology.PeerMessaging {
 			line("Nodes may tell each other what they push, but key fleet is left out: there is no way for it, and each decides alone.")
 		}
 		return
 	}
 	line("The node hears others of fleet %q: it listens on %s (UDP and TCP), they reach it at %s, and it joins by %v.", f.Name,
 		f.Listen, f.Advertise, f.Join)
-	line("It sends them at most %d bytes a second in datagrams; what is more is dropped.", f.Pace)
+	line("It sends them at most %d bytes a second in datagrams; what is more is dropped.", f.MaxBytesPerSecond)
 	switch {
-	case f.Words && c.Rules.Place.Peers:
+	case f.PeerMessages && c.Rules.Topology.PeerMessaging:
 		line("Modules tell each other what they push and how it ends.")
-	case f.Words:
+	case f.PeerMessages:
 		line("Modules tell each other nothing: setting limits.peers is not true.")
 	default:
 		line("Modules tell each other nothing: fleet.words is off.")
 	}
-	line("What others find of servers %s.", either(f.Judged, "weighs, where this node has no better evidence of its own", "is neither told nor heeded"))
-	if f.Control != "" {
-		line("Its own user sees what it knows by the socket %s (canvasrouter fleet).", f.Control)
+	line("What others find of servers %s.", either(f.OutlierReports, "weighs, where this node has no better evidence of its own", "is neither told nor heeded"))
+	if f.ControlSocket != "" {
+		line("Its own user sees what it knows by the socket %s (canvasrouter fleet).", f.ControlSocket)
 	}
 }
 
 func repeats(k *policy.Category) string {
-	switch k.Repeat {
+	switch k.Delivery {
 	case policy.Deduplicated:
-		group := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[k.Scope]
-		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", group, Duration(k.Window))
+		group := [...]string{"all servers", "the servers of a zone", "the servers of a cell"}[k.DedupScope]
+		return fmt.Sprintf("Deduplicated: %s drop a repeat for %s after the first push that may have run.", group, Duration(k.DedupWindow))
 	case policy.AtMostOnce:
 		return "At-most-once: pushed again only when no earlier push can have run."
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,14 +11,14 @@
 
 // Fleet says how a node hears the others.
 type Fleet struct {
-	Name      string           // nodes of one fleet have one name
-	Listen    netip.AddrPort   // UDP and TCP, for nodes alone
-	Advertise netip.AddrPort   // as the others reach it
-	Join      []netip.AddrPort // some of the others; not all need to be there
-	Control   string           // Unix socket for the node's own user; "": none
-	Words     bool             // modules tell each other what they push, where settings.limits.peers allows
-	Judged    bool             // what others find of servers weighs
-	Pace      int              // bytes a second that the node sends to nodes, in datagrams
+	Name              string           // nodes of one fleet have one name
+	Listen            netip.AddrPort   // UDP and TCP, for nodes alone
+	Advertise         netip.AddrPort   // as the others reach it
+	Join              []netip.AddrPort // some of the others; not all need to be there
+	ControlSocket     string           // Unix socket for the node's own user; "": none
+	PeerMessages      bool             // modules tell each other what they push, where settings.limits.peers allows
+	OutlierReports    bool             // what others find of servers weighs
+	MaxBytesPerSecond int              // bytes a second that the node sends to nodes, in datagrams
 }
 
 const (
@@ -53,8 +53,8 @@
 		}
 		return nil, fmt.Errorf("key fleet: %w", err)
 	}
-	f := &Fleet{Name: d.Name, Control: d.Control, Words: orDefault(d.Words, true), Judged: orDefault(d.Judged, true),
-		Pace: orDefault(d.Pace, defaultPace)}
+	f := &Fleet{Name: d.Name, ControlSocket: d.Control, PeerMessages: orDefault(d.Words, true), OutlierReports: orDefault(d.Judged, true),
+		MaxBytesPerSecond: orDefault(d.Pace, defaultPace)}
 	if f.Name == "" {
 		f.Name = defaultFleet
 	}
@@ -85,10 +85,10 @@
 		return nil, errors.New("key fleet.advertise: not of the same kind (IPv4, IPv6) as fleet.listen")
 	case len(f.Join) > mostJoin:
 		return nil, fmt.Errorf("key fleet.join: %d addresses are over %d", len(f.Join), mostJoin)
-	case f.Control != "" && (!filepath.IsAbs(f.Control) || len(f.Control) > mostControl):
-		return nil, fmt.Errorf("key fleet.control: %q is no absolute path of at most %d bytes", f.Control, mostControl)
-	case f.Pace < leastPace:
-		return nil, fmt.Errorf("key fleet.bytes_per_second: %d is under %d", f.Pace, leastPace)
+	case f.ControlSocket != "" && (!filepath.IsAbs(f.ControlSocket) || len(f.ControlSocket) > mostControl):
+		return nil, fmt.Errorf("key fleet.control: %q is no absolute path of at most %d bytes", f.ControlSocket, mostControl)
+	case f.MaxBytesPerSecond < leastPace:
+		return nil, fmt.Errorf("key fleet.bytes_per_second: %d is under %d", f.MaxBytesPerSecond, leastPace)
 	}
 	return f, nil
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -42,7 +42,7 @@
 	if text := other.Explain(); !strings.Contains(text, "is neither told nor heeded") || !strings.Contains(text, "limits.peers is not true") {
 		t.Error(text)
 	}
-	if one.Fleet.Advertise != one.Fleet.Listen || one.Fleet.Pace != defaultPace || !one.Fleet.Words || one.Fleet.Name != defaultFleet {
+	if one.Fleet.Advertise != one.Fleet.Listen || one.Fleet.MaxBytesPerSecond != defaultPace || !one.Fleet.PeerMessages || one.Fleet.Name != defaultFleet {
 		t.Errorf("defaults: %+v", one.Fleet)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -113,7 +113,7 @@
 
 func (s *settings) whole(key string) int { return int(s.number(key)) }
 
-func (s *settings) span(key string) policy.Micros { return Micros(s.number(key)) }
+func (s *settings) span(key string) policy.Micros { return MillisToMicros(s.number(key)) }
 
 func (s *settings) flag(key string) bool {
 	switch value := s.text(key); value {
@@ -155,17 +155,17 @@
 	for i := range out {
 		at := fmt.Sprintf("categories.%d.", i)
 		out[i] = policy.Category{
-			Benefit: s.number(at + "benefit"),
-			Late:    s.numberOr(at+"tardy_benefit", 0),
-			Target:  s.span(at + "target_latency"),
-			TTL:     s.span(at + "ttl"),
-			Repeat: choice(s, at+"effect", map[string]policy.Repeat{"idempotent": policy.Redeliverable,
+			Benefit:       s.number(at + "benefit"),
+			LateBenefit:   s.numberOr(at+"tardy_benefit", 0),
+			TargetLatency: s.span(at + "target_latency"),
+			TTL:           s.span(at + "ttl"),
+			Delivery: choice(s, at+"effect", map[string]policy.DeliverySemantics{"idempotent": policy.Redeliverable,
 				"deduplicated": policy.Deduplicated, "at_most_once": policy.AtMostOnce}),
-			Window: Micros(s.numberOr(at+"repeat_window", 0)),
+			DedupWindow: MillisToMicros(s.numberOr(at+"repeat_window", 0)),
 		}
-		if out[i].Repeat == policy.Deduplicated {
-			out[i].Scope = choice(s, at+"key_scope", map[string]policy.Scope{"all": policy.ScopeAll,
-				"zone": policy.ScopeZone, "cell": policy.ScopeCell})
+		if out[i].Delivery == policy.Deduplicated {
+			out[i].DedupScope = choice(s, at+"key_scope", map[string]policy.DedupScope{"all": policy.DedupScopeAll,
+				"zone": policy.DedupScopeZone, "cell": policy.DedupScopeCell})
 		}
 	}
 	return out
@@ -189,21 +189,21 @@
 }
 
 // Micros turns the settings' milliseconds into the module's whole microseconds.
-func Micros(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
+func MillisToMicros(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
 
 // Rules are the settings as the module takes them.
 type Rules struct {
-	Place      policy.Place
+	Topology   policy.Topology
 	Categories []policy.Category
-	Push       policy.PushRule
-	Cold       policy.ColdRule
+	PushLimits policy.PushLimits
+	ColdStart  policy.ColdStartRule
 	Registry   policy.RegistryRule
-	Grace      policy.Micros // of drains; 0: not told
+	DrainGrace policy.Micros // of drains; 0: not told
 }
 
 // NewNode starts the module with these rules.
 func (r *Rules) NewNode(seed uint64) *policy.Node {
-	return policy.New(int64(seed), r.Place, r.Categories, r.Push, r.Cold, r.Registry)
+	return policy.New(int64(seed), r.Topology, r.Categories, r.PushLimits, r.ColdStart, r.Registry)
 }
 
 // ParseRules reads the rules from path=value lines.
@@ -215,22 +215,22 @@
 
 func (s *settings) rules() *Rules {
 	r := &Rules{
-		Place: policy.Place{Tier: s.whole("tier"), Tiers: len(strings.Split(s.text("tiers"), ",")),
-			Nodes: s.whole("fleet_size"), Number: s.whole("slot_no"),
-			Zone: policy.ZoneID(s.whole("az")), Cross: s.numberOr("prices.cross_zone", 0),
-			Peers: s.flagOr("limits.peers", false), Tick: s.span("tick")},
-		Push: policy.PushRule{Max: s.whole("limits.max_pushes"), Duplicate: s.flag("limits.may_duplicate"),
-			Cancel: s.flag("limits.may_cancel"), Dial: s.span("limits.dial_timeout")},
-		Cold: policy.ColdRule{From: s.number("safety.cold_from"), Warm: s.span("safety.cold"),
-			Factor: s.number("safety.overload_factor"), Window: s.span("safety.tip_after")},
+		Topology: policy.Topology{Tier: s.whole("tier"), TierCount: len(strings.Split(s.text("tiers"), ",")),
+			NodeCount: s.whole("fleet_size"), NodeNumber: s.whole("slot_no"),
+			Zone: policy.ZoneID(s.whole("az")), CrossZoneCost: s.numberOr("prices.cross_zone", 0),
+			PeerMessaging: s.flagOr("limits.peers", false), ClockTick: s.span("tick")},
+		PushLimits: policy.PushLimits{MaxPushes: s.whole("limits.max_pushes"), MayDuplicate: s.flag("limits.may_duplicate"),
+			MayCancel: s.flag("limits.may_cancel"), DialTimeout: s.span("limits.dial_timeout")},
+		ColdStart: policy.ColdStartRule{InitialShare: s.number("safety.cold_from"), WarmUpTime: s.span("safety.cold"),
+			OverloadFactor: s.number("safety.overload_factor"), OverloadWindow: s.span("safety.tip_after")},
 		Registry: policy.RegistryRule{
-			Ask:    choice(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
-			Within: Micros(s.numberOr("safety.must_ask_in", 0))},
-		Grace:      Micros(s.numberOr("safety.drain_grace", 0)),
+			MustSubscribe:   choice(s, "registry_mode", map[string]bool{"ask": true, "push": false}),
+			SubscribeWithin: MillisToMicros(s.numberOr("safety.must_ask_in", 0))},
+		DrainGrace: MillisToMicros(s.numberOr("safety.drain_grace", 0)),
 		Categories: s.categories(),
 	}
 	if s.flag("limits.retry_after") {
-		r.Push.RetryAfter = s.span("limits.max_retry_after")
+		r.PushLimits.MaxRetryAfter = s.span("limits.max_retry_after")
 	}
 	return r
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -10,13 +10,13 @@
 )
 
 // Form counts the forms of configuration that this program knows: a change may need a later one.
-const Form = 1
+const FormatVersion = 1
 
 // Store says where changes of configuration come from.
 type Store struct {
 	Replicas []string   // addresses of the machines that hold them
 	Service  string     // whose changes the node takes, beside those for all and for itself
-	Bind     netip.Addr // that calls come from; invalid: any
+	LocalIP  netip.Addr // that calls come from; invalid: any
 }
 
 const mostReplicas = 7
@@ -56,7 +56,7 @@
 	}
 	if d.Bind != "" {
 		var err error
-		if s.Bind, err = netip.ParseAddr(d.Bind); err != nil {
+		if s.LocalIP, err = netip.ParseAddr(d.Bind); err != nil {
 			return nil, fmt.Errorf("key store.bind: %q is no IP address", d.Bind)
 		}
 	}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -14,26 +14,26 @@
 )
 
 // Level is where a pool's ops go.
-type Level uint8
+type State uint8
 
 const (
-	Home  Level = iota // all to the pool itself
+	Home  State = iota // all to the pool itself
 	Away               // to the next, as far as that one bears it
 	Trial              // a part to the pool itself, to see whether it serves again
 )
 
-func (l Level) String() string { return [...]string{"home", "away", "trial"}[l] }
+func (l State) String() string { return [...]string{"home", "away", "trial"}[l] }
 
 // Rule holds the few settings.
-type Rule struct {
-	Beat  policy.Micros // between two calls of Beat
-	Dwell policy.Micros // the least time away; doubled each time that the pool fails again soon after
-	Most  policy.Micros // the longest that it is doubled to
+type Config struct {
+	Interval policy.Micros // between two calls of Beat
+	MinDwell policy.Micros // the least time away; doubled each time that the pool fails again soon after
+	MaxDwell policy.Micros // the longest that it is doubled to
 }
 
 // Defaults are figures that keep changes of level under four a minute, whatever the pool does.
-func Defaults() Rule {
-	return Rule{Beat: policy.Second, Dwell: 20 * policy.Second, Most: 160 * policy.Second}
+func DefaultConfig() Config {
+	return Config{Interval: policy.Second, MinDwell: 20 * policy.Second, MaxDwell: 160 * policy.Second}
 }
 
 const (
@@ -51,14 +51,14 @@
 )
 
 // Seen is what a pool's actor has seen in one beat.
-type Seen struct {
-	Ready  int // servers on the list that are ready
-	Down   int // of them that the module sends nothing to, since they failed
-	Best   int // ops with the highest benefit that came to the pool itself, spilled ones of others left out
-	Served int // of them served
-	Broken int // pushes that found no server: connections that failed or broke, time-outs
-	Pushes int // pushes that ended
-	All    int // ops served, of whatever benefit
+type Stats struct {
+	ReadyServers int // servers on the list that are ready
+	DownServers  int // of them that the module sends nothing to, since they failed
+	TopOps       int // ops with the highest benefit that came to the pool itself, spilled ones of others left out
+	TopServed    int // of them served
+	FailedPushes int // pushes that found no server: connections that failed or broke, time-outs
+	EndedPushes  int // pushes that ended
+	ServedOps    int // ops served, of whatever benefit
 }
 
 // gone says that the pool has no server that serves.
@@ -66,17 +66,17 @@
 // Danger: under a mere overload nearly all of the low benefit is refused; that pool serves, and to move its load would
 // take the next one down with it. So only ops of the highest benefit count, and only if the pushes say that servers
 // can't be reached.
-func (s *Seen) gone() bool {
-	if s.Ready == 0 || s.Down >= s.Ready {
+func (s *Stats) gone() bool {
+	if s.ReadyServers == 0 || s.DownServers >= s.ReadyServers {
 		return true
 	}
-	return s.Best >= few && float64(s.Served) < lost*float64(s.Best) && 2*s.Broken > s.Pushes
+	return s.TopOps >= few && float64(s.TopServed) < lost*float64(s.TopOps) && 2*s.FailedPushes > s.EndedPushes
 }
 
 // State is one pool's failover. The zero value is not one; use New.
-type State struct {
-	rule    Rule
-	level   Level
+type Controller struct {
+	rule    Config
+	level   State
 	bad     int           // beats in a row that show it gone
 	since   policy.Micros // of the level
 	dwell   policy.Micros
@@ -91,15 +91,17 @@
 }
 
 // New makes the failover of a pool that starts at home.
-func New(rule Rule) *State { return &State{rule: rule, dwell: rule.Dwell, home: -rule.Most} }
+func New(rule Config) *Controller {
+	return &Controller{rule: rule, dwell: rule.MinDwell, home: -rule.MaxDwell}
+}
 
 // Level is the present one, Changes how often it was entered or left, Spill the ops a beat that the next pool gets at
 // the most, Share the part of the ops that goes home.
-func (s *State) Level() Level   { return s.level }
-func (s *State) Changes() int   { return s.changes }
-func (s *State) Spill() float64 { return s.spill }
+func (s *Controller) State() State         { return s.level }
+func (s *Controller) HomeTransitions() int { return s.changes }
+func (s *Controller) SpillLimit() float64  { return s.spill }
 
-func (s *State) Share() float64 {
+func (s *Controller) HomeShare() float64 {
 	switch s.level {
 	case Home:
 		return 1
@@ -111,28 +113,28 @@
 
 // row is one line of the table.
 type row struct {
-	at   Level
-	when func(*State, policy.Micros, *Seen, *Seen) bool
-	next Level
-	do   func(*State, policy.Micros, *Seen, *Seen)
+	at   State
+	when func(*Controller, policy.Micros, *Stats, *Stats) bool
+	next State
+	do   func(*Controller, policy.Micros, *Stats, *Stats)
 }
 
 // The first row that fits is carried out.
 var table = [...]row{
-	{Home, (*State).fails, Away, (*State).leave},
-	{Away, (*State).rested, Trial, (*State).try},
-	{Away, always, Away, (*State).steer},
-	{Trial, (*State).failsTrial, Away, (*State).again},
-	{Trial, (*State).whole, Home, (*State).settle},
-	{Trial, (*State).goesWell, Trial, (*State).more},
-	{Trial, always, Trial, (*State).steer},
+	{Home, (*Controller).fails, Away, (*Controller).leave},
+	{Away, (*Controller).rested, Trial, (*Controller).try},
+	{Away, always, Away, (*Controller).steer},
+	{Trial, (*Controller).failsTrial, Away, (*Controller).again},
+	{Trial, (*Controller).whole, Home, (*Controller).settle},
+	{Trial, (*Controller).goesWell, Trial, (*Controller).more},
+	{Trial, always, Trial, (*Controller).steer},
 }
 
-func always(*State, policy.Micros, *Seen, *Seen) bool { return true }
+func always(*Controller, policy.Micros, *Stats, *Stats) bool { return true }
 
 // Beat takes what was seen of the pool and of the next one since the last beat, and gives a line for the log when the
 // level changes.
-func (s *State) Beat(now policy.Micros, own, next *Seen) (log string) {
+func (s *Controller) Tick(now policy.Micros, own, next *Stats) (log string) {
 	if own.gone() {
 		s.bad++
 	} else {
@@ -142,7 +144,7 @@
 		if r := &table[i]; r.at == s.level && r.when(s, now, own, next) {
 			if r.do(s, now, own, next); r.next != s.level {
 				log = fmt.Sprintf("pool goes from %s to %s: %d of %d servers down, %d of %d best ops served", s.level, r.next,
-					own.Down, own.Ready, own.Served, own.Best)
+					own.DownServers, own.ReadyServers, own.TopServed, own.TopOps)
 				if r.next == Home || s.level == Home {
 					s.changes++
 				}
@@ -157,33 +159,33 @@
 
 // fails: Danger: one bad beat may be a hiccup of the list, or a stall; two are not. A pool that has no server on its list
 // at all is gone at once.
-func (s *State) fails(_ policy.Micros, own, _ *Seen) bool {
-	return s.bad >= enough || s.bad > 0 && own.Ready == 0
+func (s *Controller) fails(_ policy.Micros, own, _ *Stats) bool {
+	return s.bad >= enough || s.bad > 0 && own.ReadyServers == 0
 }
 
 // leave begins with little. Danger: all of a lost site's load at once would take the next pool down as well.
-func (s *State) leave(now policy.Micros, _, next *Seen) {
+func (s *Controller) leave(now policy.Micros, _, next *Stats) {
 	if now-s.home < heal*s.dwell {
-		s.dwell = min(2*s.dwell, s.rule.Most) // it came home and failed again: flapping
+		s.dwell = min(2*s.dwell, s.rule.MaxDwell) // it came home and failed again: flapping
 	} else {
-		s.dwell = s.rule.Dwell
+		s.dwell = s.rule.MinDwell
 	}
-	s.spill, s.bound = max(1, headroom*float64(next.All)), false
+	s.spill, s.bound = max(1, headroom*float64(next.ServedOps)), false
 }
 
-func (s *State) rested(now policy.Micros, own, _ *Seen) bool {
-	return now-s.since >= s.dwell && own.Ready > 0
+func (s *Controller) rested(now policy.Micros, own, _ *Stats) bool {
+	return now-s.since >= s.dwell && own.ReadyServers > 0
 }
 
-func (s *State) try(now policy.Micros, own, next *Seen) {
+func (s *Controller) try(now policy.Micros, own, next *Stats) {
 	s.share, s.turn = first, [2]float64{}
 	s.steer(now, own, next)
 }
 
 // steer moves the spill to what the next pool bears: up while there was more to send and its own best ops went through.
-func (s *State) steer(_ policy.Micros, _, next *Seen) {
+func (s *Controller) steer(_ policy.Micros, _, next *Stats) {
 	switch {
-	case next.gone() || float64(next.Best-next.Served) > strained*float64(next.Best):
+	case next.gone() || float64(next.TopOps-next.TopServed) > strained*float64(next.TopOps):
 		s.spill, s.bound = max(1, s.spill*shrink), true
 	case s.refused > 0 && !s.bound:
 		s.spill += s.spill * grow
@@ -192,46 +194,46 @@
 	}
 }
 
-func (s *State) failsTrial(_ policy.Micros, own, _ *Seen) bool {
-	return s.bad >= enough || own.Best >= few && float64(own.Served) < well*float64(own.Best)
+func (s *Controller) failsTrial(_ policy.Micros, own, _ *Stats) bool {
+	return s.bad >= enough || own.TopOps >= few && float64(own.TopServed) < well*float64(own.TopOps)
 }
 
 // again waits longer for the next trial than for this one.
-func (s *State) again(now policy.Micros, own, next *Seen) {
-	s.dwell = min(2*s.dwell, s.rule.Most)
+func (s *Controller) again(now policy.Micros, own, next *Stats) {
+	s.dwell = min(2*s.dwell, s.rule.MaxDwell)
 	s.steer(now, own, next)
 }
 
-func (s *State) whole(_ policy.Micros, own, _ *Seen) bool {
-	return s.share >= 1 && float64(own.Served) >= well*float64(own.Best)
+func (s *Controller) whole(_ policy.Micros, own, _ *Stats) bool {
+	return s.share >= 1 && float64(own.TopServed) >= well*float64(own.TopOps)
 }
 
-func (s *State) settle(now policy.Micros, _, _ *Seen) { s.home, s.spill = now, 0 }
+func (s *Controller) settle(now policy.Micros, _, _ *Stats) { s.home, s.spill = now, 0 }
 
 // goesWell: a trial that nobody took part in proves nothing. Danger: a pool that comes back is cold.
-func (s *State) goesWell(_ policy.Micros, own, _ *Seen) bool {
-	return own.Best > 0 && float64(own.Served) >= well*float64(own.Best)
+func (s *Controller) goesWell(_ policy.Micros, own, _ *Stats) bool {
+	return own.TopOps > 0 && float64(own.TopServed) >= well*float64(own.TopOps)
 }
 
-func (s *State) more(now policy.Micros, own, next *Seen) {
+func (s *Controller) more(now policy.Micros, own, next *Stats) {
 	s.share = min(1, 2*s.share)
 	s.steer(now, own, next)
 }
 
 // Way is where an op goes.
-type Way uint8
+type Decision uint8
 
 const (
-	ToPool Way = iota
+	ToPool Decision = iota
 	ToNext
 	Refuse // neither bears it: nacked, nothing of it has run
 )
 
-func (w Way) String() string { return [...]string{"pool", "next", "refused"}[w] }
+func (w Decision) String() string { return [...]string{"pool", "next", "refused"}[w] }
 
 // Choose gives an op's way. Best says that it has the highest benefit of the pool's categories: while the spill is short
 // it goes to those alone.
-func (s *State) Choose(best bool) Way {
+func (s *Controller) Choose(best bool) Decision {
 	if s.level == Home {
 		return ToPool
 	}
@@ -256,6 +258,6 @@
 }
 
 // Cross says whether an op that may have run in one pool may be pushed in another: only if a repeat does no harm there.
-func Cross(repeat policy.Repeat, mayHaveRun, groupSpansBoth bool) bool {
+func MayPushToOtherPool(repeat policy.DeliverySemantics, mayHaveRun, groupSpansBoth bool) bool {
 	return !mayHaveRun || repeat == policy.Redeliverable || repeat == policy.Deduplicated && groupSpansBoth
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -19,7 +19,7 @@
 
 // world is two pools in the simplest form: each serves up to its capacity in a beat, the best ops first.
 type world struct {
-	*State
+	*Controller
 	now       policy.Micros
 	capacity  float64 // of the primary, in ops a beat
 	silent    bool    // the primary's servers are listed and answer nothing
@@ -33,7 +33,7 @@
 }
 
 func newWorld() *world {
-	return &world{State: New(Defaults()), capacity: 100, listed: 6, next: 100, nextOwn: 40, ops: 80}
+	return &world{Controller: New(DefaultConfig()), capacity: 100, listed: 6, next: 100, nextOwn: 40, ops: 80}
 }
 
 func (w *world) beat() string {
@@ -49,15 +49,15 @@
 			toNext++
 		}
 	}
-	own := Seen{Ready: w.listed, Best: best, Pushes: toPool}
+	own := Stats{ReadyServers: w.listed, TopOps: best, EndedPushes: toPool}
 	if w.silent || w.listed == 0 {
-		own.Broken, own.Down = toPool, min(w.listed, toPool)
-		if w.State.Level() != Home {
-			own.Down = 0 // nobody has asked them lately
+		own.FailedPushes, own.DownServers = toPool, min(w.listed, toPool)
+		if w.Controller.State() != Home {
+			own.DownServers = 0 // nobody has asked them lately
 		}
 	} else {
-		own.All = min(toPool, int(w.capacity))
-		own.Served = min(best, own.All)
+		own.ServedOps = min(toPool, int(w.capacity))
+		own.TopServed = min(best, own.ServedOps)
 	}
 	load := w.nextOwn + toNext
 	served := min(load, int(w.next))
@@ -66,12 +66,12 @@
 	if load > int(w.next) { // overfull pools lose from all
 		nextServed = nextBest * int(w.next) / load
 	}
-	next := Seen{Ready: 6, Best: nextBest, Served: nextServed, All: served, Pushes: load}
+	next := Stats{ReadyServers: 6, TopOps: nextBest, TopServed: nextServed, ServedOps: served, EndedPushes: load}
 	w.nextLost += nextBest - nextServed
-	w.served += own.All + max(0, served-w.nextOwn)
+	w.served += own.ServedOps + max(0, served-w.nextOwn)
 	w.lastSpill = toNext
-	w.now += w.rule.Beat
-	return w.Beat(w.now, &own, &next)
+	w.now += w.rule.Interval
+	return w.Tick(w.now, &own, &next)
 }
 
 // play runs a script: each line "N what" runs N beats after a change. It gives a trace of the level's changes.
@@ -108,7 +108,7 @@
 				fmt.Fprintf(&trace, "%3d s %s\n", w.now/policy.Second, log)
 			}
 		}
-		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", w.Level(), w.Share(), w.lastSpill, w.served, w.nextLost)
+		fmt.Fprintf(&trace, "      %s, home %.3f, spill %d, served %d, next's best lost %d\n", w.State(), w.HomeShare(), w.lastSpill, w.served, w.nextLost)
 	}
 	return trace.String()
 }
@@ -146,9 +146,9 @@
 			if rng.IntN(4) == 0 {
 				w.silent = !w.silent
 			}
-			before := w.Changes()
+			before := w.HomeTransitions()
 			w.beat()
-			if w.Changes() > before {
+			if w.HomeTransitions() > before {
 				at = append(at, w.now)
 			}
 		}
@@ -165,7 +165,7 @@
 
 func TestCross(t *testing.T) {
 	for _, c := range []struct {
-		repeat     policy.Repeat
+		repeat     policy.DeliverySemantics
 		risky, all bool
 		want       bool
 	}{
@@ -173,7 +173,7 @@
 		{policy.Deduplicated, true, false, false}, {policy.Deduplicated, true, true, true},
 		{policy.Redeliverable, true, false, true},
 	} {
-		if got := Cross(c.repeat, c.risky, c.all); got != c.want {
+		if got := MayPushToOtherPool(c.repeat, c.risky, c.all); got != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -21,45 +21,45 @@
 
 // View is what one node knows, as canvasrouter fleet prints it.
 type View struct {
-	Fleet   string           `json:"fleet"`
-	Own     MemberView       `json:"own"`
-	Members []MemberView     `json:"members"` // the others, by name; those gone are kept for a while
-	Ways    transport.Counts `json:"ways"`
-	Words   *words.Counts    `json:"words,omitempty"`
-	Servers []ServerView     `json:"servers"` // of which anything is held
-	Listed  int              `json:"listed"`  // servers that are ready, by the list
-	Foreign int64            `json:"judgements_not_understood"`
-	Store   *store.Look      `json:"store,omitempty"` // of configuration
+	Fleet              string           `json:"fleet"`
+	Self               MemberView       `json:"own"`
+	Members            []MemberView     `json:"members"` // the others, by name; those gone are kept for a while
+	Transport          transport.Counts `json:"ways"`
+	Messages           *words.Counts    `json:"words,omitempty"`
+	Servers            []ServerView     `json:"servers"` // of which anything is held
+	ReadyServers       int              `json:"listed"`  // servers that are ready, by the list
+	UndecodableReports int64            `json:"judgements_not_understood"`
+	Store              *store.View      `json:"store,omitempty"` // of configuration
 }
 
 // MemberView is a member as a node sees it.
 type MemberView struct {
-	Name   string  `json:"name"`
-	Life   string  `json:"life"`
-	Number int     `json:"number"`
-	Zone   int     `json:"zone"`
-	Addr   string  `json:"addr"`
-	State  string  `json:"state"`
-	ForMs  float64 `json:"for_ms"` // in this state
+	Name        string  `json:"name"`
+	Incarnation string  `json:"life"`
+	Number      int     `json:"number"`
+	Zone        int     `json:"zone"`
+	Addr        string  `json:"addr"`
+	State       string  `json:"state"`
+	StateAgeMs  float64 `json:"for_ms"` // in this state
 }
 
 // ServerView is what a node holds on a server.
 type ServerView struct {
-	Server  string       `json:"server"`
-	Own     string       `json:"own"`  // its own finding; "" if it has no fresh one
-	Ill     string       `json:"ill"`  // what others' reports come to
-	Part    float64      `json:"part"` // of its weight that is left
-	Reports []ReportView `json:"reports"`
+	Server            string       `json:"server"`
+	OwnCondition      string       `json:"own"`  // its own finding; "" if it has no fresh one
+	Condition         string       `json:"ill"`  // what others' reports come to
+	RemainingFraction float64      `json:"part"` // of its weight that is left
+	Reports           []ReportView `json:"reports"`
 }
 
 // ReportView is one node's report.
 type ReportView struct {
-	Source string  `json:"source"` // a life
-	Node   int     `json:"node"`   // its number
-	Zone   int     `json:"zone"`
-	Ill    string  `json:"ill"`
-	AgeMs  float64 `json:"age_ms"`
-	SpanMs float64 `json:"span_ms"`
+	Reporter   string  `json:"source"` // a life
+	NodeNumber int     `json:"node"`   // its number
+	Zone       int     `json:"zone"`
+	Condition  string  `json:"ill"`
+	AgeMs      float64 `json:"age_ms"`
+	DurationMs float64 `json:"span_ms"`
 }
 
 func ms(t policy.Micros) float64 { return float64(t) / 1000 }
@@ -68,10 +68,10 @@
 func (f *Fleet) View() *View {
 	own, all := f.members.View()
 	now := f.clock.Now()
-	v := &View{Fleet: f.config.Name, Ways: f.transport.Counts(), Members: []MemberView{}, Servers: []ServerView{}}
-	v.Own = MemberView{own.Name, fmt.Sprintf("%016x", uint64(own.Life)), own.Number, int(own.Zone), own.Addr.String(), "alive", 0}
+	v := &View{Fleet: f.config.Name, Transport: f.transport.Counts(), Members: []MemberView{}, Servers: []ServerView{}}
+	v.Self = MemberView{own.Name, fmt.Sprintf("%016x", uint64(own.Incarnation)), own.Number, int(own.Zone), own.Addr.String(), "alive", 0}
 	for _, m := range all {
-		v.Members = append(v.Members, MemberView{m.Name, fmt.Sprintf("%016x", uint64(m.Life)), m.Number, int(m.Zone), m.Addr.String(),
+		v.Members = append(v.Members, MemberView{m.Name, fmt.Sprintf("%016x", uint64(m.Incarnation)), m.Number, int(m.Zone), m.Addr.String(),
 			m.State.String(), ms(now - m.Since)})
 	}
 	if look := f.store.Load(); look != nil {
@@ -79,27 +79,27 @@
 	}
 	if f.words != nil {
 		counts := f.words.Counts()
-		v.Words = &counts
+		v.Messages = &counts
 	}
 	f.books.Lock()
 	defer f.books.Unlock()
 	f.mu.Lock()
 	ids := slices.Clone(f.ids)
 	f.mu.Unlock()
-	v.Foreign, v.Listed = f.foreign, len(ids)
-	held := f.book.Held(now)
+	v.UndecodableReports, v.ReadyServers = f.foreign, len(ids)
+	held := f.book.Snapshot(now)
 	for _, server := range ids {
-		s := ServerView{Server: name(server), Part: 1, Ill: "well", Reports: []ReportView{}}
+		s := ServerView{Server: name(server), RemainingFraction: 1, Condition: "well", Reports: []ReportView{}}
 		if ill, answered := f.finding(now, server); answered > 0 || ill != 0 {
-			s.Own = ill.String()
+			s.OwnCondition = ill.String()
 		}
 		for _, w := range f.weights {
 			if w.Server == server {
-				s.Part, s.Ill = w.Part, w.Ill.String()
+				s.RemainingFraction, s.Condition = w.RemainingFraction, w.Condition.String()
 			}
 		}
 		for _, r := range held[server] {
-			s.Reports = append(s.Reports, ReportView{fmt.Sprintf("%016x", uint64(r.Source)), int(r.Node), int(r.Zone), r.Ill.String(), ms(r.Age), ms(r.Span)})
+			s.Reports = append(s.Reports, ReportView{fmt.Sprintf("%016x", uint64(r.Reporter)), int(r.NodeNumber), int(r.Zone), r.Condition.String(), ms(r.Age), ms(r.Duration)})
 		}
 		if len(s.Reports) > 0 {
 			v.Servers = append(v.Servers, s)
@@ -151,7 +151,7 @@
 }
 
 // Ask gets a node's view by its socket.
-func Ask(ctx context.Context, path string) (*View, error) {
+func FetchView(ctx context.Context, path string) (*View, error) {
 	client := &http.Client{Timeout: 2 * controlWait, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -44,8 +44,8 @@
 	node      *node.Node
 	transport *transport.Transport
 	members   *members.Members
-	words     *words.Words // nil: modules tell nothing
-	control   *control     // nil: no socket
+	words     *words.Messenger // nil: modules tell nothing
+	control   *control         // nil: no socket
 	number    uint16
 	done      chan struct{}
 	over      sync.WaitGroup
@@ -53,69 +53,69 @@
 	// Danger: the node's actor waits for own's lock with ops in hand, and weighing many reports takes milliseconds. So the book
 	// has a lock of its own, which the actor never takes; whoever takes both takes the book's first.
 	mu      sync.Mutex // guards own, list, started, anew, ids
-	own     *judged.Log
-	list    []policy.Entry
+	own     *judged.LocalDetector
+	list    []policy.ListEntry
 	started map[policy.ServerID]policy.Micros
 	anew    []policy.ServerID // that have started anew since the last beat
 	ids     []policy.ServerID
 
-	store atomic.Pointer[func() *store.Look] // what is known of the store of configuration; nil: nothing
+	store atomic.Pointer[func() *store.View] // what is known of the store of configuration; nil: nothing
 
 	books   sync.Mutex // guards book, weights, foreign
-	book    *judged.Book
-	weights []judged.Weight
+	book    *judged.ReportTable
+	weights []judged.WeightReduction
 	foreign int64 // frames of judgements of another form
 }
 
 // Start opens the node's transport and begins to hear. The node is told what others judge, and tells what it sees, from Join on.
 func Start(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger) (*Fleet, error) {
-	return StartKeeping(c, n, clock, log, 0)
+	return StartWithRetention(c, n, clock, log, 0)
 }
 
 // StartKeeping is Start, where members that are gone are kept for another time than usual: a test of long cuts has no hours. All
 // waits here are by the clock, which may be slowed.
-func StartKeeping(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, keep time.Duration) (*Fleet, error) {
-	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Place.Number), done: make(chan struct{}),
+func StartWithRetention(c *config.Config, n *node.Node, clock *node.Clock, log zerolog.Logger, keep time.Duration) (*Fleet, error) {
+	f := &Fleet{config: c.Fleet, clock: clock, log: log, node: n, number: uint16(c.Rules.Topology.NodeNumber), done: make(chan struct{}),
 		started: make(map[policy.ServerID]policy.Micros)}
-	life := transport.LifeID(rand.Uint64()) // Danger: not from the seed, which a process that is back has again
-	zone := uint8(c.Rules.Place.Zone)
-	f.book, f.own = judged.NewBook(judged.SourceID(life), zone), judged.NewLog()
+	life := transport.IncarnationID(rand.Uint64()) // Danger: not from the seed, which a process that is back has again
+	zone := uint8(c.Rules.Topology.Zone)
+	f.book, f.own = judged.NewReportTable(judged.ReporterID(life), zone), judged.NewLocalDetector()
 	var err error
-	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Life: life, Pace: c.Fleet.Pace,
-		Slow: int(clock.Real(1))},
+	f.transport, err = transport.Open(transport.Options{Fleet: c.Fleet.Name, Listen: c.Fleet.Listen, Advertise: c.Fleet.Advertise, Incarnation: life, MaxBytesPerSecond: c.Fleet.MaxBytesPerSecond,
+		SlowdownFactor: int(clock.RealDuration(1))},
 		log.With().Str("part", "transport").Logger())
 	if err != nil {
 		return nil, fmt.Errorf("key fleet.listen: %w", err)
 	}
-	if c.Fleet.Control != "" {
-		if f.control, err = listen(c.Fleet.Control, f); err != nil {
+	if c.Fleet.ControlSocket != "" {
+		if f.control, err = listen(c.Fleet.ControlSocket, f); err != nil {
 			f.transport.Close()
 			return nil, fmt.Errorf("key fleet.control: %w", err)
 		}
 	}
-	if c.Fleet.Judged {
-		f.transport.Handle(transport.Judgements, f.hear)
+	if c.Fleet.OutlierReports {
+		f.transport.Handle(transport.ServerReports, f.hear)
 	}
-	if c.Fleet.Words && c.Rules.Place.Peers {
-		f.words = words.Start(f.transport, f.holder, n.Said)
+	if c.Fleet.PeerMessages && c.Rules.Topology.PeerMessaging {
+		f.words = words.Start(f.transport, f.holder, n.PeerMessagesReceived)
 	}
-	own := members.Member{Name: c.Name, Life: life, Zone: zone, Number: c.Rules.Place.Number, Addr: c.Fleet.Advertise}
-	f.members, err = members.Start(members.Options{Own: own, Nodes: c.Rules.Place.Nodes, Join: c.Fleet.Join, Seed: c.Seed, Keep: keep}, f.transport, clock,
+	own := members.Member{Name: c.Name, Incarnation: life, Zone: zone, Number: c.Rules.Topology.NodeNumber, Addr: c.Fleet.Advertise}
+	f.members, err = members.Start(members.Options{Self: own, FleetSize: c.Rules.Topology.NodeCount, JoinAddrs: c.Fleet.Join, RandomSeed: c.Seed, DepartedRetention: keep}, f.transport, clock,
 		log.With().Str("part", "members").Logger())
 	if err != nil {
 		f.end()
 		return nil, err
 	}
 	f.transport.Run()
-	if c.Fleet.Judged {
+	if c.Fleet.OutlierReports {
 		f.over.Go(f.judge)
 	}
-	n.Peer(f)
+	n.SetPeers(f)
 	if f.control != nil {
 		f.control.serve()
 	}
 	log.Info().Str("listen", c.Fleet.Listen.String()).Str("advertise", c.Fleet.Advertise.String()).Str("life", fmt.Sprintf("%016x", uint64(life))).
-		Bool("words", f.words != nil).Bool("judged", c.Fleet.Judged).Msg("the node hears others")
+		Bool("words", f.words != nil).Bool("judged", c.Fleet.OutlierReports).Msg("the node hears others")
 	return f, nil
 }
 
@@ -124,7 +124,7 @@
 
 // Close ends it all: the node hears nobody, and what it was told of servers is forgotten.
 func (f *Fleet) Close() {
-	f.node.Peer(nil)
+	f.node.SetPeers(nil)
 	f.end()
 	f.log.Info().Msg("the node hears nobody any more")
 }
@@ -148,23 +148,23 @@
 }
 
 // Show says where a look at the store of configuration comes from.
-func (f *Fleet) Show(look func() *store.Look) { f.store.Store(&look) }
+func (f *Fleet) SetStoreView(look func() *store.View) { f.store.Store(&look) }
 
 // Others gives all others that are there. The slice is shared: it is read alone.
-func (f *Fleet) Others() []members.Member { return f.members.There() }
+func (f *Fleet) AlivePeers() []members.Member { return f.members.AlivePeers() }
 
 // Life is this process's among the members.
-func (f *Fleet) Life() transport.LifeID { return f.transport.Life() }
+func (f *Fleet) Incarnation() transport.IncarnationID { return f.transport.Incarnation() }
 
 // Counts gives what has become of frames so far.
-func (f *Fleet) Counts() transport.Counts { return f.transport.Counts() }
+func (f *Fleet) TransportCounts() transport.Counts { return f.transport.Counts() }
 
 // Lowered is how many servers others' findings have taken more than half of the weight of.
-func (f *Fleet) Lowered() (n int) {
+func (f *Fleet) ReducedServers() (n int) {
 	f.books.Lock()
 	defer f.books.Unlock()
 	for _, w := range f.weights {
-		if w.Part < 1.0/2 {
+		if w.RemainingFraction < 1.0/2 {
 			n++
 		}
 	}
@@ -172,43 +172,43 @@
 }
 
 func (f *Fleet) holder(number int) (netip.AddrPort, bool) {
-	m, known := f.members.Holder(number)
+	m, known := f.members.Owner(number)
 	return m.Addr, known
 }
 
 // Tell, Ended and Follow are node.Peers.
-func (f *Fleet) Tell(number int, word node.Word) {
+func (f *Fleet) Send(number int, word node.PeerMessage) {
 	if f.words != nil {
-		f.words.Tell(number, word)
+		f.words.Send(number, word)
 	}
 }
 
-func (f *Fleet) Sent(server policy.ServerID, category policy.CategoryID) {
+func (f *Fleet) PushSent(server policy.ServerID, category policy.CategoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own.Sent(f.clock.Now(), server, category)
+	f.own.PushSent(f.clock.Now(), server, category)
 }
 
-func (f *Fleet) Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
+func (f *Fleet) PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own.Ended(f.clock.Now(), server, category, outcome, took)
+	f.own.PushEnded(f.clock.Now(), server, category, outcome, took)
 }
 
-func (f *Fleet) Follow(list []policy.Entry) {
+func (f *Fleet) ListChanged(list []policy.ListEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list[:0], list...)
-	f.own.Follow(f.list, func(s policy.ServerID) policy.Micros { return f.started[s] })
+	f.own.SetServers(f.list, func(s policy.ServerID) policy.Micros { return f.started[s] })
 	for _, e := range f.list {
-		if was, known := f.started[e.Server]; known && was != e.Started && f.config.Judged { // else no beat takes them
+		if was, known := f.started[e.Server]; known && was != e.StartedAt && f.config.OutlierReports { // else no beat takes them
 			f.anew = append(f.anew, e.Server)
 		}
 	}
 	clear(f.started)
 	f.ids = f.ids[:0]
 	for _, e := range f.list {
-		f.started[e.Server] = e.Started
+		f.started[e.Server] = e.StartedAt
 		if e.State == policy.Ready { // nothing is said of those that drain
 			f.ids = append(f.ids, e.Server)
 		}
@@ -217,7 +217,7 @@
 
 // hear takes in what another node says of servers.
 func (f *Fleet) hear(_ netip.AddrPort, frame *transport.Frame, late time.Duration) {
-	reports, understood := judged.Read(frame.Payload, make([]judged.Report, 0, judged.Fit(len(frame.Payload))))
+	reports, understood := judged.DecodeReports(frame.Payload, make([]judged.Report, 0, judged.MaxReports(len(frame.Payload))))
 	f.books.Lock()
 	defer f.books.Unlock()
 	if !understood {
@@ -227,16 +227,16 @@
 	for i := range reports {
 		reports[i].Age += policy.Micros(late.Microseconds())
 	}
-	f.book.Hear(f.clock.Now(), reports)
+	f.book.Merge(f.clock.Now(), reports)
 }
 
 // judge is the beat of judgements.
 func (f *Fleet) judge() {
-	ticker := time.NewTicker(f.clock.Real(judgeEvery))
+	ticker := time.NewTicker(f.clock.RealDuration(judgeEvery))
 	defer ticker.Stop()
-	payload := make([]byte, 0, transport.MostPayload)
-	told := make(map[transport.LifeID]bool) // those who were told all when they came
-	var known *members.Member               // of the others, as they were told last
+	payload := make([]byte, 0, transport.MaxPayload)
+	told := make(map[transport.IncarnationID]bool) // those who were told all when they came
+	var known *members.Member                      // of the others, as they were told last
 	for {
 		select {
 		case <-f.done:
@@ -245,9 +245,9 @@
 		}
 		reports, parts, changed := f.beat()
 		if changed {
-			f.node.Weigh(parts)
+			f.node.SetWeightFactors(parts)
 		}
-		others := f.members.There()
+		others := f.members.AlivePeers()
 		if len(others) == 0 {
 			continue
 		}
@@ -257,9 +257,9 @@
 		if len(reports) == 0 {
 			continue
 		}
-		payload = judged.Append(payload[:0], reports)
+		payload = judged.AppendReports(payload[:0], reports)
 		for range min(tellTo, len(others)) { // one may be drawn twice; then it is told twice
-			f.transport.Send(others[rand.IntN(len(others))].Addr, transport.Judgements, payload)
+			f.transport.Send(others[rand.IntN(len(others))].Addr, transport.ServerReports, payload)
 		}
 	}
 }
@@ -267,24 +267,24 @@
 // welcome tells those who have come what is held, the youngest first and as much as one datagram takes, a few in a beat, and forgets
 // those who have gone. It says whether
 // all have been told.
-func (f *Fleet) welcome(others []members.Member, told map[transport.LifeID]bool, payload []byte) bool {
-	here := make(map[transport.LifeID]bool, len(others))
+func (f *Fleet) welcome(others []members.Member, told map[transport.IncarnationID]bool, payload []byte) bool {
+	here := make(map[transport.IncarnationID]bool, len(others))
 	left := newcomers
 	for _, m := range others {
-		here[m.Life] = true
-		if told[m.Life] || left == 0 {
+		here[m.Incarnation] = true
+		if told[m.Incarnation] || left == 0 {
 			continue
 		}
 		left--
-		told[m.Life] = true
+		told[m.Incarnation] = true
 		f.books.Lock()
-		all := f.book.Reports(f.clock.Now(), 0, judged.Fit(transport.MostPayload))
+		all := f.book.ReportsToSend(f.clock.Now(), 0, judged.MaxReports(transport.MaxPayload))
 		f.books.Unlock()
 		if len(all) > 0 {
-			f.transport.Send(m.Addr, transport.Judgements, judged.Append(payload[:0], all))
+			f.transport.Send(m.Addr, transport.ServerReports, judged.AppendReports(payload[:0], all))
 		}
 	}
-	maps.DeleteFunc(told, func(life transport.LifeID, _ bool) bool { return !here[life] })
+	maps.DeleteFunc(told, func(life transport.IncarnationID, _ bool) bool { return !here[life] })
 	return left > 0
 }
 
@@ -295,44 +295,44 @@
 	now := f.clock.Now()
 	f.mu.Lock()
 	for _, server := range f.anew {
-		f.book.Anew(now, server)
+		f.book.ServerRestarted(now, server)
 	}
 	f.anew = f.anew[:0]
-	news, ids := f.own.Say(now, f.number, f.book), slices.Clone(f.ids)
+	news, ids := f.own.DueReports(now, f.number, f.book), slices.Clone(f.ids)
 	f.mu.Unlock()
 	for _, r := range news {
-		f.book.Say(now, r)
+		f.book.AddOwn(now, r)
 	}
-	f.book.Forget(now)
-	weights := judged.Weights(now, ids, f.book, f.finding)
+	f.book.Expire(now)
+	weights := judged.WeightReductions(now, ids, f.book, f.finding)
 	parts, changed = f.compare(weights)
 	f.weights = weights
-	reports = f.book.Reports(now, passOn, judged.Fit(transport.MostPayload))
+	reports = f.book.ReportsToSend(now, passOn, judged.MaxReports(transport.MaxPayload))
 	return reports, parts, changed
 }
 
 // finding is the node's own on a server.
-func (f *Fleet) finding(now policy.Micros, server policy.ServerID) (judged.Ill, policy.Micros) {
+func (f *Fleet) finding(now policy.Micros, server policy.ServerID) (judged.Condition, policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own.Own(now, server)
+	return f.own.Condition(now, server)
 }
 
 // compare says whether parts have changed, and logs what an operator acts on: a server that goes out of use by what others
 // say, and one that is back.
-func (f *Fleet) compare(weights []judged.Weight) (parts map[policy.ServerID]float64, changed bool) {
-	before := make(map[policy.ServerID]judged.Weight, len(f.weights))
+func (f *Fleet) compare(weights []judged.WeightReduction) (parts map[policy.ServerID]float64, changed bool) {
+	before := make(map[policy.ServerID]judged.WeightReduction, len(f.weights))
 	for _, w := range f.weights {
 		before[w.Server] = w
 	}
 	parts = make(map[policy.ServerID]float64, len(weights))
 	for _, w := range weights {
-		parts[w.Server] = w.Part
+		parts[w.Server] = w.RemainingFraction
 		was, known := before[w.Server]
-		changed = changed || !known || was.Part != w.Part
-		if !known || was.Ill != w.Ill {
-			f.log.Info().Str("server", name(w.Server)).Stringer("ill", w.Ill).Int("witnesses", w.Bad).Int("against", w.Good).
-				Bool("own zone", w.Here).Int64("since_ms", int64(f.clock.Now()-w.Since)/1000).Msg("others find a server bad")
+		changed = changed || !known || was.RemainingFraction != w.RemainingFraction
+		if !known || was.Condition != w.Condition {
+			f.log.Info().Str("server", name(w.Server)).Stringer("ill", w.Condition).Int("witnesses", w.UnhealthyReporters).Int("against", w.HealthyReporters).
+				Bool("own zone", w.OwnZoneOnly).Int64("since_ms", int64(f.clock.Now()-w.Since)/1000).Msg("others find a server bad")
 		}
 		delete(before, w.Server)
 	}
--- a/internal/fleet/judged/evidence.go
+++ b/internal/fleet/judged/evidence.go
@@ -7,7 +7,7 @@
 )
 
 // Evidence is what a node has seen itself of one server.
-type Evidence struct {
+type ServerEvidence struct {
 	number       uint32        // of the reports that it has made
 	good, bad    policy.Micros // last answer; last end that speaks against it
 	since        policy.Micros // first bad one after the last good one
@@ -20,7 +20,7 @@
 	out          int                    // pushes without an end
 	sent         [mostOut]policy.Micros // when they went out, as many as are kept
 	late         [mostOut]policy.Micros // from when on each is overdue
-	said         Ill                    // last
+	said         Condition              // last
 	saidAt       policy.Micros
 }
 
@@ -54,21 +54,23 @@
 func (s *share) over(bound float64) bool { return s.n >= leastFew && s.value > bound }
 
 // Log is a node's own evidence. One goroutine uses it at a time; adding to what is known allocates nothing.
-type Log struct {
-	servers map[policy.ServerID]*Evidence
+type LocalDetector struct {
+	servers map[policy.ServerID]*ServerEvidence
 	usual   []float64 // recent answer time of each category, in microseconds
 }
 
 // NewLog makes a log.
-func NewLog() *Log { return &Log{servers: make(map[policy.ServerID]*Evidence)} }
+func NewLocalDetector() *LocalDetector {
+	return &LocalDetector{servers: make(map[policy.ServerID]*ServerEvidence)}
+}
 
 // Follow keeps to the servers listed. One that starts anew has no past.
-func (l *Log) Follow(list []policy.Entry, started func(policy.ServerID) policy.Micros) {
+func (l *LocalDetector) SetServers(list []policy.ListEntry, started func(policy.ServerID) policy.Micros) {
 	listed := make(map[policy.ServerID]bool, len(list))
 	for _, e := range list {
 		listed[e.Server] = true
-		if o := l.servers[e.Server]; o == nil || started(e.Server) != e.Started {
-			l.servers[e.Server] = &Evidence{pace: 1}
+		if o := l.servers[e.Server]; o == nil || started(e.Server) != e.StartedAt {
+			l.servers[e.Server] = &ServerEvidence{pace: 1}
 		}
 	}
 	for server := range l.servers {
@@ -79,7 +81,7 @@
 }
 
 // Sent takes in that a push goes out.
-func (l *Log) Sent(now policy.Micros, server policy.ServerID, category policy.CategoryID) {
+func (l *LocalDetector) PushSent(now policy.Micros, server policy.ServerID, category policy.CategoryID) {
 	e := l.servers[server]
 	if e == nil {
 		return
@@ -94,7 +96,7 @@
 }
 
 // back takes a push off those that are out: the one that was sent nearest to so long ago.
-func (e *Evidence) back(sent policy.Micros) {
+func (e *ServerEvidence) back(sent policy.Micros) {
 	if e.out == 0 {
 		return
 	}
@@ -112,7 +114,7 @@
 func abs(t policy.Micros) policy.Micros { return max(t, -t) }
 
 // silent is since when a push is out that is overdue, with no answer from the server since; 0: none is.
-func (e *Evidence) silent(now policy.Micros) (since policy.Micros) {
+func (e *ServerEvidence) silent(now policy.Micros) (since policy.Micros) {
 	for i := range min(e.out, mostOut) {
 		if now > e.late[i] && e.good < e.sent[i] && (since == 0 || e.sent[i] < since) {
 			since = e.sent[i]
@@ -122,7 +124,7 @@
 }
 
 // Ended takes in the end of a push: how, after how long.
-func (l *Log) Ended(now policy.Micros, server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
+func (l *LocalDetector) PushEnded(now policy.Micros, server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros) {
 	e := l.servers[server]
 	if e == nil {
 		return
@@ -156,7 +158,7 @@
 }
 
 // paced learns how long answers of a category take, here and at this server.
-func (l *Log) paced(e *Evidence, category policy.CategoryID, took float64) {
+func (l *LocalDetector) paced(e *ServerEvidence, category policy.CategoryID, took float64) {
 	for len(l.usual) <= int(category) {
 		l.usual = append(l.usual, 0)
 	}
@@ -169,7 +171,7 @@
 }
 
 // ill is what the evidence says.
-func (e *Evidence) ill(now policy.Micros) Ill {
+func (e *ServerEvidence) ill(now policy.Micros) Condition {
 	switch {
 	case e.failures > 0:
 		return Down
@@ -180,18 +182,18 @@
 	case e.full.over(1.0 / 2):
 		return Full
 	case e.lost.over(1.0 / 4):
-		return Losing
+		return LosingAnswers
 	case e.pace > slowFrom:
 		return Slow
 	}
-	return Well
+	return Healthy
 }
 
 // Own is a node's own finding on a server, and when it had an answer there last; 0: never, or not for long.
-func (l *Log) Own(now policy.Micros, server policy.ServerID) (ill Ill, answered policy.Micros) {
+func (l *LocalDetector) Condition(now policy.Micros, server policy.ServerID) (ill Condition, answered policy.Micros) {
 	e := l.servers[server]
 	if e == nil || e.silent(now) == 0 && (e.ended == 0 || now-e.ended > ownFresh) {
-		return Well, 0
+		return Healthy, 0
 	}
 	return e.ill(now), e.good
 }
@@ -201,7 +203,7 @@
 
 // Say gives the reports that a node now has to make: what it finds bad while there is evidence, and what it finds well
 // where it had said otherwise, or others do.
-func (l *Log) Say(now policy.Micros, node uint16, book *Book) (all []Report) {
+func (l *LocalDetector) DueReports(now policy.Micros, node uint16, book *ReportTable) (all []Report) {
 	for server, e := range l.servers {
 		silent := e.silent(now)
 		if silent == 0 && (e.ended == 0 || now-e.ended > fresh) {
@@ -212,30 +214,30 @@
 		if silent > 0 {
 			at = now
 		}
-		if ill == Well || ill == Slow {
+		if ill == Healthy || ill == Slow {
 			at = e.good
 		}
 		changed := ill != e.said
-		again := at > e.saidAt && now-e.saidAt >= sayAgain && (ill != Well || book.Disputed(now, server))
+		again := at > e.saidAt && now-e.saidAt >= sayAgain && (ill != Healthy || book.ReportedUnhealthy(now, server))
 		if !changed && !again {
 			continue
 		}
-		if ill != Well && e.said == Well && book.Said(now, server, ill) {
+		if ill != Healthy && e.said == Healthy && book.Redundant(now, server, ill) {
 			continue
 		}
-		if ill == e.said && book.Said(now, server, ill) {
+		if ill == e.said && book.Redundant(now, server, ill) {
 			continue
 		}
 		e.number++
 		e.said, e.saidAt = ill, now
-		r := Report{Server: server, Number: e.number, Ill: ill, Node: node, Age: max(0, now-at)}
+		r := Report{Server: server, Sequence: e.number, Condition: ill, NodeNumber: node, Age: max(0, now-at)}
 		switch ill {
 		case Silent:
-			r.Span = at - silent
+			r.Duration = at - silent
 		case Down:
-			r.Span = max(0, at-e.since)
-		case Failing, Full, Losing:
-			r.Span = max(0, at-e.badFrom)
+			r.Duration = max(0, at-e.since)
+		case Failing, Full, LosingAnswers:
+			r.Duration = max(0, at-e.badFrom)
 		}
 		all = append(all, r)
 	}
--- a/internal/fleet/judged/judged_test.go
+++ b/internal/fleet/judged/judged_test.go
@@ -21,8 +21,8 @@
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Report {
 		source, number := rapid.IntRange(1, 4).Draw(t, "source"), rapid.IntRange(1, 3).Draw(t, "number")
 		server := rapid.IntRange(1, 3).Draw(t, "server")
-		return Report{Server: policy.ServerID(server), Source: SourceID(source), Node: uint16(source), Zone: uint8(source % 2),
-			Number: uint32(number), Ill: Ill((source + number + server) % int(kinds)),
+		return Report{Server: policy.ServerID(server), Reporter: ReporterID(source), NodeNumber: uint16(source), Zone: uint8(source % 2),
+			Sequence: uint32(number), Condition: Condition((source + number + server) % int(kinds)),
 			Age: policy.Micros(rapid.IntRange(0, 3).Draw(t, "age")) * policy.Second}
 	}), 0, 40).Draw(t, "reports")
 }
@@ -31,15 +31,15 @@
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawn(t)
-		whole := NewBook(99, 0)
-		whole.Hear(now, all)
-		other := NewBook(99, 0)
+		whole := NewReportTable(99, 0)
+		whole.Merge(now, all)
+		other := NewReportTable(99, 0)
 		cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
 		order := rapid.Permutation(all).Draw(t, "order")
-		other.Hear(now, order[cut:])
-		other.Hear(now, order[:cut])
-		other.Hear(now, order)
-		if diff := cmp.Diff(whole.Held(now), other.Held(now)); diff != "" {
+		other.Merge(now, order[cut:])
+		other.Merge(now, order[:cut])
+		other.Merge(now, order)
+		if diff := cmp.Diff(whole.Snapshot(now), other.Snapshot(now)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
@@ -49,28 +49,28 @@
 func TestWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawn(t)
-		b := Append(nil, all)
-		got, understood := Read(b, nil)
+		b := AppendReports(nil, all)
+		got, understood := DecodeReports(b, nil)
 		if diff := cmp.Diff(all, got); !understood || len(all) > 0 && diff != "" {
 			t.Fatal(diff)
 		}
 		if len(all) > 0 {
-			if _, understood := Read(b[:len(b)-1], nil); understood {
+			if _, understood := DecodeReports(b[:len(b)-1], nil); understood {
 				t.Fatal("a part was understood")
 			}
 		}
 	})
-	if _, understood := Read([]byte{formVersion + 1}, nil); understood {
+	if _, understood := DecodeReports([]byte{formVersion + 1}, nil); understood {
 		t.Error("another form was understood")
 	}
 }
 
 // Nothing is kept beyond its bounds, and everything is forgotten.
 func TestBounds(t *testing.T) {
-	b := NewBook(1, 0)
+	b := NewReportTable(1, 0)
 	for server := range 2 * mostServers {
 		for source := range 3 * mostSources {
-			b.Hear(now, []Report{{Server: policy.ServerID(server), Source: SourceID(2 + source), Node: uint16(source), Ill: Down}})
+			b.Merge(now, []Report{{Server: policy.ServerID(server), Reporter: ReporterID(2 + source), NodeNumber: uint16(source), Condition: Down}})
 		}
 	}
 	if len(b.servers) != mostServers || len(b.servers[0]) != mostSources {
@@ -80,7 +80,7 @@
 	// out no news.
 	const news = policy.ServerID(1 << 40)
 	say := func(at policy.Micros) bool {
-		b.Hear(at, []Report{{Server: news, Source: 2, Node: 2, Ill: Down}})
+		b.Merge(at, []Report{{Server: news, Reporter: 2, NodeNumber: 2, Condition: Down}})
 		return len(b.servers) == mostServers && len(b.servers[news]) > 0
 	}
 	if say(now) {
@@ -89,7 +89,7 @@
 	if !say(now + 1) {
 		t.Error("a fresher report was kept out")
 	}
-	if b.Forget(now + keep + 2); len(b.servers) != 0 {
+	if b.Expire(now + keep + 2); len(b.servers) != 0 {
 		t.Errorf("%d servers are not forgotten", len(b.servers))
 	}
 }
@@ -98,20 +98,20 @@
 func TestAnew(t *testing.T) {
 	const tenth = policy.Second / 10
 	all, _ := servers(4)
-	b, l := NewBook(1, 0), NewLog()
-	old := []Report{{Server: 1, Source: 2, Node: 2, Number: 5, Ill: Down}, {Server: 1, Source: 3, Node: 3, Number: 5, Ill: Down}}
-	b.Hear(now-tenth, old)
-	b.Anew(now, 1)
+	b, l := NewReportTable(1, 0), NewLocalDetector()
+	old := []Report{{Server: 1, Reporter: 2, NodeNumber: 2, Sequence: 5, Condition: Down}, {Server: 1, Reporter: 3, NodeNumber: 3, Sequence: 5, Condition: Down}}
+	b.Merge(now-tenth, old)
+	b.ServerRestarted(now, 1)
 	for i := range old {
-		old[i].Number, old[i].Age = 6, 2*tenth
+		old[i].Sequence, old[i].Age = 6, 2*tenth
 	}
-	if b.Hear(now+tenth, old); len(Weights(now+tenth, all, b, l.Own)) != 0 {
+	if b.Merge(now+tenth, old); len(WeightReductions(now+tenth, all, b, l.Condition)) != 0 {
 		t.Error("what was said of the process before counts")
 	}
 	for i := range old {
-		old[i].Number, old[i].Age = 7, 0
+		old[i].Sequence, old[i].Age = 7, 0
 	}
-	if b.Hear(now+tenth, old); len(Weights(now+tenth, all, b, l.Own)) != 1 {
+	if b.Merge(now+tenth, old); len(WeightReductions(now+tenth, all, b, l.Condition)) != 1 {
 		t.Error("what is said of the new one does not count")
 	}
 }
@@ -119,23 +119,23 @@
 // The worst that a beat may find: as many servers as are held, each bad by as many as are kept.
 func BenchmarkWeights(b *testing.B) {
 	all, list := servers(mostServers)
-	book, log := NewBook(1, 0), NewLog()
-	log.Follow(list, func(policy.ServerID) policy.Micros { return 0 })
+	book, log := NewReportTable(1, 0), NewLocalDetector()
+	log.SetServers(list, func(policy.ServerID) policy.Micros { return 0 })
 	for i, server := range all {
 		for source := range mostSources {
 			node := (i + source*7) % 100
-			book.Hear(now, []Report{{Server: server, Source: SourceID(node + 2), Node: uint16(node), Zone: uint8(node % 2), Number: 1, Ill: Down}})
+			book.Merge(now, []Report{{Server: server, Reporter: ReporterID(node + 2), NodeNumber: uint16(node), Zone: uint8(node % 2), Sequence: 1, Condition: Down}})
 		}
 	}
 	for b.Loop() {
-		Weights(now, all, book, log.Own)
+		WeightReductions(now, all, book, log.Condition)
 	}
 }
 
-func servers(n int) (all []policy.ServerID, list []policy.Entry) {
+func servers(n int) (all []policy.ServerID, list []policy.ListEntry) {
 	for i := range n {
 		all = append(all, policy.ServerID(i+1))
-		list = append(list, policy.Entry{Server: policy.ServerID(i + 1), Weight: 1})
+		list = append(list, policy.ListEntry{Server: policy.ServerID(i + 1), Weight: 1})
 	}
 	return all, list
 }
@@ -143,10 +143,10 @@
 // What closes a server and what doesn't, one case a line: who says what, what the node saw itself, and which are closed.
 func TestWeights(t *testing.T) {
 	all, list := servers(8)
-	says := func(node int, ill Ill, age policy.Micros, of ...policy.ServerID) (reports []Report) {
+	says := func(node int, ill Condition, age policy.Micros, of ...policy.ServerID) (reports []Report) {
 		for _, server := range of {
-			reports = append(reports, Report{Server: server, Source: SourceID(100 + node), Node: uint16(node), Zone: uint8(node % 2), Number: 1, Ill: ill,
-				Age: age, Span: 200 * policy.Millisecond})
+			reports = append(reports, Report{Server: server, Reporter: ReporterID(100 + node), NodeNumber: uint16(node), Zone: uint8(node % 2), Sequence: 1, Condition: ill,
+				Age: age, Duration: 200 * policy.Millisecond})
 		}
 		return reports
 	}
@@ -159,39 +159,39 @@
 	const tenth = policy.Second / 10
 	for name, c := range map[string]struct {
 		reports []Report
-		saw     func(*Log)
+		saw     func(*LocalDetector)
 		closed  int
 	}{
 		"nobody says anything":         {nil, nil, 0},
 		"one alone":                    {says(2, Down, 0, 1, 2), nil, 0},
-		"one alone, in two lives":      {join(says(2, Down, 0, 1), []Report{{Server: 1, Source: 999, Node: 2, Number: 1, Ill: Down}}), nil, 0},
+		"one alone, in two lives":      {join(says(2, Down, 0, 1), []Report{{Server: 1, Reporter: 999, NodeNumber: 2, Sequence: 1, Condition: Down}}), nil, 0},
 		"two":                          {join(says(2, Down, 0, 1), says(4, Down, 0, 1)), nil, 1},
 		"two, long ago":                {join(says(2, Down, fresh+1, 1), says(4, Down, fresh+1, 1)), nil, 0},
 		"two find all bad":             {join(says(2, Down, 0, all...), says(4, Down, 0, all...)), nil, 0},
 		"everybody finds all bad":      {join(says(2, Down, 0, all...), says(4, Down, 0, all...), says(6, Down, 0, all...), says(3, Full, 0, all...)), nil, 0},
 		"two find five of eight":       {join(says(2, Down, 0, all[:5]...), says(4, Down, 0, all[:5]...)), nil, 4}, // a half at the most
-		"as many find it well":         {join(says(2, Failing, 0, 1), says(4, Failing, 0, 1), says(6, Well, 0, 1), says(8, Well, 0, 1)), nil, 0},
-		"well before it began":         {join(says(2, Down, 0, 1), says(4, Down, 0, 1), says(6, Well, 5*tenth, 1), says(8, Well, 5*tenth, 1)), nil, 1},
-		"answers again":                {join(says(2, Down, 5*tenth, 1), says(4, Down, 5*tenth, 1), says(3, Down, 5*tenth, 1), says(6, Well, 0, 1), says(8, Well, 0, 1)), nil, 0},
-		"bad in the other zone":        {join(says(3, Losing, 0, 1), says(5, Losing, 0, 1), says(7, Losing, 0, 1), says(2, Well, 0, 1), says(4, Well, 0, 1)), nil, 0},
+		"as many find it well":         {join(says(2, Failing, 0, 1), says(4, Failing, 0, 1), says(6, Healthy, 0, 1), says(8, Healthy, 0, 1)), nil, 0},
+		"well before it began":         {join(says(2, Down, 0, 1), says(4, Down, 0, 1), says(6, Healthy, 5*tenth, 1), says(8, Healthy, 5*tenth, 1)), nil, 1},
+		"answers again":                {join(says(2, Down, 5*tenth, 1), says(4, Down, 5*tenth, 1), says(3, Down, 5*tenth, 1), says(6, Healthy, 0, 1), says(8, Healthy, 0, 1)), nil, 0},
+		"bad in the other zone":        {join(says(3, LosingAnswers, 0, 1), says(5, LosingAnswers, 0, 1), says(7, LosingAnswers, 0, 1), says(2, Healthy, 0, 1), says(4, Healthy, 0, 1)), nil, 0},
 		"two wait":                     {join(says(2, Silent, 0, 1), says(4, Silent, 0, 1)), nil, 0},
 		"three wait":                   {join(says(2, Silent, 0, 1), says(4, Silent, 0, 1), says(6, Silent, 0, 1)), nil, 1},
-		"three wait, one is answered":  {join(says(2, Silent, 0, 1), says(4, Silent, 0, 1), says(6, Silent, 0, 1), says(8, Well, 0, 1)), nil, 0},
+		"three wait, one is answered":  {join(says(2, Silent, 0, 1), says(4, Silent, 0, 1), says(6, Silent, 0, 1), says(8, Healthy, 0, 1)), nil, 0},
 		"two found it down, one waits": {join(says(2, Down, 0, 1), says(4, Down, 0, 1), says(6, Silent, 0, 1)), nil, 1},
 		"slow closes nothing":          {join(says(2, Slow, 0, 1), says(4, Slow, 0, 1)), nil, 0},
-		"it answers here":              {join(says(2, Down, 0, 1), says(4, Down, 0, 1)), func(l *Log) { l.Ended(now-tenth, 1, 0, policy.Acked, tenth) }, 0},
-		"it answered here before":      {join(says(2, Down, 0, 1), says(4, Down, 0, 1)), func(l *Log) { l.Ended(now-3*tenth, 1, 0, policy.Acked, tenth) }, 1},
+		"it answers here":              {join(says(2, Down, 0, 1), says(4, Down, 0, 1)), func(l *LocalDetector) { l.PushEnded(now-tenth, 1, 0, policy.Acked, tenth) }, 0},
+		"it answered here before":      {join(says(2, Down, 0, 1), says(4, Down, 0, 1)), func(l *LocalDetector) { l.PushEnded(now-3*tenth, 1, 0, policy.Acked, tenth) }, 1},
 		"a server that is no more":     {join(says(2, Down, 0, 77), says(4, Down, 0, 77)), nil, 0},
 	} {
-		b, l := NewBook(1, 0), NewLog()
-		l.Follow(list, func(policy.ServerID) policy.Micros { return 0 })
+		b, l := NewReportTable(1, 0), NewLocalDetector()
+		l.SetServers(list, func(policy.ServerID) policy.Micros { return 0 })
 		if c.saw != nil {
 			c.saw(l)
 		}
-		b.Hear(now, c.reports)
+		b.Merge(now, c.reports)
 		closed := 0
-		for _, w := range Weights(now, all, b, l.Own) {
-			if w.Part < slowWeight {
+		for _, w := range WeightReductions(now, all, b, l.Condition) {
+			if w.RemainingFraction < slowWeight {
 				closed++
 			}
 		}
@@ -204,45 +204,45 @@
 // What a node's own pushes are evidence of.
 func TestEvidence(t *testing.T) {
 	const tenth = policy.Second / 10
-	ended := func(at policy.Micros, outcome policy.Outcome, took policy.Micros) func(*Log) {
-		return func(l *Log) { l.Sent(at-took, 1, 0); l.Ended(at, 1, 0, outcome, took) }
+	ended := func(at policy.Micros, outcome policy.Outcome, took policy.Micros) func(*LocalDetector) {
+		return func(l *LocalDetector) { l.PushSent(at-took, 1, 0); l.PushEnded(at, 1, 0, outcome, took) }
 	}
-	quick := func(l *Log) {
+	quick := func(l *LocalDetector) {
 		for range 20 {
-			l.Ended(now-20*tenth, 2, 0, policy.Acked, 20*policy.Millisecond)
+			l.PushEnded(now-20*tenth, 2, 0, policy.Acked, 20*policy.Millisecond)
 		}
 	}
 	for name, c := range map[string]struct {
-		do   []func(*Log)
-		want Ill
+		do   []func(*LocalDetector)
+		want Condition
 	}{
-		"answers":                     {[]func(*Log){ended(now, policy.Acked, tenth)}, Well},
-		"silent":                      {[]func(*Log){ended(now, policy.TimedOut, tenth)}, Down},
-		"not to be reached":           {[]func(*Log){ended(now, policy.ConnectFailed, 0)}, Down},
-		"answers after silence":       {[]func(*Log){ended(now-2, policy.TimedOut, tenth), ended(now, policy.Acked, tenth)}, Well},
-		"one lost, answers meanwhile": {[]func(*Log){ended(now-1, policy.Acked, tenth), ended(now, policy.TimedOut, 3*tenth)}, Well},
-		"errors":                      {[]func(*Log){ended(now-2, policy.Errored, 1), ended(now-1, policy.Errored, 1), ended(now, policy.Errored, 1)}, Failing},
-		"turns away":                  {[]func(*Log){ended(now-2, policy.Full, 1), ended(now-1, policy.Full, 1), ended(now, policy.Full, 1)}, Full},
-		"given up is no evidence":     {[]func(*Log){ended(now-1, policy.Acked, tenth), ended(now, policy.Cancelled, 9*tenth)}, Well},
-		"overdue":                     {[]func(*Log){quick, func(l *Log) { l.Sent(now-2*tenth, 1, 0) }}, Silent},
-		"overdue, answers meanwhile":  {[]func(*Log){quick, func(l *Log) { l.Sent(now-2*tenth, 1, 0) }, ended(now, policy.Acked, tenth)}, Well},
-		"not yet overdue":             {[]func(*Log){quick, func(l *Log) { l.Sent(now-tenth/2, 1, 0) }}, Well},
+		"answers":                     {[]func(*LocalDetector){ended(now, policy.Acked, tenth)}, Healthy},
+		"silent":                      {[]func(*LocalDetector){ended(now, policy.TimedOut, tenth)}, Down},
+		"not to be reached":           {[]func(*LocalDetector){ended(now, policy.ConnectFailed, 0)}, Down},
+		"answers after silence":       {[]func(*LocalDetector){ended(now-2, policy.TimedOut, tenth), ended(now, policy.Acked, tenth)}, Healthy},
+		"one lost, answers meanwhile": {[]func(*LocalDetector){ended(now-1, policy.Acked, tenth), ended(now, policy.TimedOut, 3*tenth)}, Healthy},
+		"errors":                      {[]func(*LocalDetector){ended(now-2, policy.Errored, 1), ended(now-1, policy.Errored, 1), ended(now, policy.Errored, 1)}, Failing},
+		"turns away":                  {[]func(*LocalDetector){ended(now-2, policy.Full, 1), ended(now-1, policy.Full, 1), ended(now, policy.Full, 1)}, Full},
+		"given up is no evidence":     {[]func(*LocalDetector){ended(now-1, policy.Acked, tenth), ended(now, policy.Cancelled, 9*tenth)}, Healthy},
+		"overdue":                     {[]func(*LocalDetector){quick, func(l *LocalDetector) { l.PushSent(now-2*tenth, 1, 0) }}, Silent},
+		"overdue, answers meanwhile":  {[]func(*LocalDetector){quick, func(l *LocalDetector) { l.PushSent(now-2*tenth, 1, 0) }, ended(now, policy.Acked, tenth)}, Healthy},
+		"not yet overdue":             {[]func(*LocalDetector){quick, func(l *LocalDetector) { l.PushSent(now-tenth/2, 1, 0) }}, Healthy},
 	} {
 		_, list := servers(2)
-		l := NewLog()
-		l.Follow(list, func(policy.ServerID) policy.Micros { return 0 })
+		l := NewLocalDetector()
+		l.SetServers(list, func(policy.ServerID) policy.Micros { return 0 })
 		for _, do := range c.do {
 			do(l)
 		}
-		if ill, _ := l.Own(now, 1); ill != c.want {
+		if ill, _ := l.Condition(now, 1); ill != c.want {
 			t.Errorf("%s: %v, not %v", name, ill, c.want)
 		}
 	}
-	l := NewLog()
+	l := NewLocalDetector()
 	_, list := servers(2)
-	l.Follow(list, func(policy.ServerID) policy.Micros { return 0 })
+	l.SetServers(list, func(policy.ServerID) policy.Micros { return 0 })
 	quick(l)
-	if n := testing.AllocsPerRun(100, func() { l.Sent(now, 2, 0); l.Ended(now, 2, 0, policy.Acked, tenth) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { l.PushSent(now, 2, 0); l.PushEnded(now, 2, 0, policy.Acked, tenth) }); n != 0 {
 		t.Errorf("%v allocations a push", n)
 	}
 }
@@ -270,8 +270,8 @@
 type simulated struct {
 	rng     *rand.Rand
 	now     policy.Micros
-	books   []*Book
-	logs    []*Log
+	books   []*ReportTable
+	logs    []*LocalDetector
 	ids     []policy.ServerID
 	dead    map[policy.ServerID]bool
 	mail    []letter
@@ -293,8 +293,8 @@
 	ids, list := servers(n)
 	f.ids = ids
 	for i := range nodes {
-		f.books, f.logs = append(f.books, NewBook(SourceID(i+1), uint8(i%2))), append(f.logs, NewLog())
-		f.logs[i].Follow(list, func(policy.ServerID) policy.Micros { return 0 })
+		f.books, f.logs = append(f.books, NewReportTable(ReporterID(i+1), uint8(i%2))), append(f.logs, NewLocalDetector())
+		f.logs[i].SetServers(list, func(policy.ServerID) policy.Micros { return 0 })
 	}
 	for range 1 + f.rng.IntN(n/2) {
 		f.dead[ids[f.rng.IntN(n)]] = true
@@ -325,13 +325,13 @@
 			if l.at > f.now {
 				f.mail = append(f.mail, l)
 			} else {
-				f.books[l.to].Hear(f.now, l.reports)
+				f.books[l.to].Merge(f.now, l.reports)
 			}
 		}
 	}
 	f.now += keep + policy.Second // all that was said has been forgotten
 	for i, b := range f.books {
-		if b.Forget(f.now); len(Weights(f.now, f.ids, b, f.logs[i].Own)) > 0 || len(b.servers) > 0 {
+		if b.Expire(f.now); len(WeightReductions(f.now, f.ids, b, f.logs[i].Condition)) > 0 || len(b.servers) > 0 {
 			t.Errorf("node %d still holds reports", i)
 		}
 	}
@@ -341,29 +341,29 @@
 func (f *simulated) work(i int) {
 	for range f.rng.IntN(3) {
 		server := f.ids[f.rng.IntN(len(f.ids))]
-		f.logs[i].Sent(f.now, server, 0)
+		f.logs[i].PushSent(f.now, server, 0)
 		if f.deadFor(i, server) {
-			f.logs[i].Ended(f.now, server, 0, policy.TimedOut, 10*policy.Millisecond)
+			f.logs[i].PushEnded(f.now, server, 0, policy.TimedOut, 10*policy.Millisecond)
 		} else {
-			f.logs[i].Ended(f.now, server, 0, policy.Acked, 20*policy.Millisecond)
+			f.logs[i].PushEnded(f.now, server, 0, policy.Acked, 20*policy.Millisecond)
 		}
 	}
 }
 
 func (f *simulated) beat(t *testing.T, i int, cut, ill bool) {
 	b, l := f.books[i], f.logs[i]
-	for _, r := range l.Say(f.now, uint16(i), b) {
-		b.Say(f.now, r)
+	for _, r := range l.DueReports(f.now, uint16(i), b) {
+		b.AddOwn(f.now, r)
 	}
 	if i == f.liar && ill {
 		for _, server := range f.ids {
-			b.Say(f.now, Report{Server: server, Number: uint32(f.now / 1000), Ill: Down, Node: uint16(i)})
+			b.AddOwn(f.now, Report{Server: server, Sequence: uint32(f.now / 1000), Condition: Down, NodeNumber: uint16(i)})
 		}
 	}
-	b.Forget(f.now)
+	b.Expire(f.now)
 	closed := 0
-	for _, w := range Weights(f.now, f.ids, b, l.Own) {
-		if !w.Ill.closes() {
+	for _, w := range WeightReductions(f.now, f.ids, b, l.Condition) {
+		if !w.Condition.closes() {
 			continue
 		}
 		closed++
@@ -374,10 +374,10 @@
 			t.Errorf("node %d: server %d is closed and answers it", i, w.Server)
 		}
 	}
-	if float64(closed) > Part*float64(len(f.ids)) {
+	if float64(closed) > MaxEjectedFraction*float64(len(f.ids)) {
 		t.Errorf("node %d: %d of %d servers closed", i, closed, len(f.ids))
 	}
-	reports := b.Reports(f.now, 3, 50)
+	reports := b.ReportsToSend(f.now, 3, 50)
 	for range 3 {
 		to := f.rng.IntN(len(f.books))
 		if to == i || cut && (to < f.cut) != (i < f.cut) || f.rng.IntN(5) == 0 {
--- a/internal/fleet/judged/weights.go
+++ b/internal/fleet/judged/weights.go
@@ -17,37 +17,37 @@
 const slowWeight = 1.0 / 2
 
 // Weight is a part of the weight that the list gives a server.
-type Weight struct {
-	Judgement
-	Part float64
+type WeightReduction struct {
+	Assessment
+	RemainingFraction float64
 }
 
 // Weights gives the servers whose weight shrinks by hearsay, and to what part. It leaves out what own evidence speaks for,
 // and closes at most Part of the list: those with most witnesses against them.
 // own is Log.Own, which the caller may guard by a lock of its own.
-func Weights(now policy.Micros, list []policy.ServerID, b *Book, own func(policy.Micros, policy.ServerID) (Ill, policy.Micros)) (all []Weight) {
+func WeightReductions(now policy.Micros, list []policy.ServerID, b *ReportTable, own func(policy.Micros, policy.ServerID) (Condition, policy.Micros)) (all []WeightReduction) {
 	if len(b.servers) == 0 {
 		return nil
 	}
 	closed := 0
-	for _, j := range b.Judge(now, list) {
+	for _, j := range b.Assess(now, list) {
 		_, answered := own(now, j.Server)
 		if answered > 0 && now-answered <= ownFresh && answered > j.Since+margin {
 			continue // it answers here, after it is said to have stopped
 		}
-		w := Weight{j, slowWeight}
-		if j.Ill.closes() {
-			if closed++; float64(closed) > Part*float64(len(list)) {
+		w := WeightReduction{j, slowWeight}
+		if j.Condition.closes() {
+			if closed++; float64(closed) > MaxEjectedFraction*float64(len(list)) {
 				continue
 			}
-			w.Part = steps[min(len(steps)-1, int(max(0, now-j.Last)/policy.Second))]
-			if j.Answered > j.Last+refuted {
-				w.Part = max(w.Part, tryWeight)
+			w.RemainingFraction = steps[min(len(steps)-1, int(max(0, now-j.LastEvidence)/policy.Second))]
+			if j.LastAnswer > j.LastEvidence+refuted {
+				w.RemainingFraction = max(w.RemainingFraction, tryWeight)
 			}
 		}
 		all = append(all, w)
 	}
-	slices.SortFunc(all, func(a, b Weight) int {
+	slices.SortFunc(all, func(a, b WeightReduction) int {
 		if a.Server < b.Server {
 			return -1
 		}
--- a/internal/fleet/judged/wire.go
+++ b/internal/fleet/judged/wire.go
@@ -15,22 +15,22 @@
 )
 
 // Fit is how many reports go into so many bytes.
-func Fit(bytes int) int { return (bytes - 1) / reportLen }
+func MaxReports(bytes int) int { return (bytes - 1) / reportLen }
 
 const formVersion = 1
 
 // Append writes reports behind b.
-func Append(b []byte, reports []Report) []byte {
+func AppendReports(b []byte, reports []Report) []byte {
 	b = append(b, formVersion)
 	for _, r := range reports {
 		b = append(b, byte(r.Server>>40), byte(r.Server>>32))
 		b = binary.BigEndian.AppendUint32(b, uint32(r.Server))
-		b = binary.BigEndian.AppendUint64(b, uint64(r.Source))
-		b = binary.BigEndian.AppendUint32(b, r.Number)
-		b = binary.BigEndian.AppendUint16(b, r.Node)
-		b = append(b, byte(r.Ill), r.Zone)
+		b = binary.BigEndian.AppendUint64(b, uint64(r.Reporter))
+		b = binary.BigEndian.AppendUint32(b, r.Sequence)
+		b = binary.BigEndian.AppendUint16(b, r.NodeNumber)
+		b = append(b, byte(r.Condition), r.Zone)
 		b = binary.BigEndian.AppendUint16(b, steps2(r.Age))
-		b = binary.BigEndian.AppendUint16(b, steps2(r.Span))
+		b = binary.BigEndian.AppendUint16(b, steps2(r.Duration))
 	}
 	return b
 }
@@ -39,17 +39,17 @@
 
 // Read takes reports apart. What is of another form gives none; a newer version may have longer ones, which this one
 // does not understand.
-func Read(b []byte, into []Report) (all []Report, understood bool) {
+func DecodeReports(b []byte, into []Report) (all []Report, understood bool) {
 	if len(b) < 1 || b[0] != formVersion || (len(b)-1)%reportLen != 0 {
 		return into, false
 	}
 	for b = b[1:]; len(b) > 0; b = b[reportLen:] {
 		into = append(into, Report{
-			Server: policy.ServerID(uint64(binary.BigEndian.Uint16(b))<<32 | uint64(binary.BigEndian.Uint32(b[2:]))),
-			Source: SourceID(binary.BigEndian.Uint64(b[6:])), Number: binary.BigEndian.Uint32(b[14:]),
-			Node: binary.BigEndian.Uint16(b[18:]), Ill: Ill(b[20]), Zone: b[21],
-			Age:  policy.Micros(binary.BigEndian.Uint16(b[22:])) * ageStep,
-			Span: policy.Micros(binary.BigEndian.Uint16(b[24:])) * ageStep})
+			Server:   policy.ServerID(uint64(binary.BigEndian.Uint16(b))<<32 | uint64(binary.BigEndian.Uint32(b[2:]))),
+			Reporter: ReporterID(binary.BigEndian.Uint64(b[6:])), Sequence: binary.BigEndian.Uint32(b[14:]),
+			NodeNumber: binary.BigEndian.Uint16(b[18:]), Condition: Condition(b[20]), Zone: b[21],
+			Age:      policy.Micros(binary.BigEndian.Uint16(b[22:])) * ageStep,
+			Duration: policy.Micros(binary.BigEndian.Uint16(b[24:])) * ageStep})
 	}
 	return into, true
 }
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -35,7 +35,7 @@
 	// look ever more slowly.
 	mostAwareness = 3
 	// ProbeEnds is how long after Close a probe of the library, which waits for nobody's end, may go on: it waits out its time.
-	ProbeEnds = probeEvery * mostAwareness
+	MaxProbeAfterClose = probeEvery * mostAwareness
 	// leaveWait is how long a node waits until its leaving has gone out.
 	leaveWait = 300 * time.Millisecond
 	packets   = 256 // that may wait to be worked
@@ -43,11 +43,11 @@
 
 // Options say who the node is and by whom it joins.
 type Options struct {
-	Own   Member
-	Nodes int // that the settings tell of
-	Join  []netip.AddrPort
-	Seed  uint64
-	Keep  time.Duration // how long one that is gone is kept; 0: ten minutes
+	Self              Member
+	FleetSize         int // that the settings tell of
+	JoinAddrs         []netip.AddrPort
+	RandomSeed        uint64
+	DepartedRetention time.Duration // how long one that is gone is kept; 0: ten minutes
 }
 
 // Members is the actor. Its methods may be called from any goroutine and don't wait, but for Leave and Close.
@@ -72,28 +72,28 @@
 // Start joins. Nobody needs to be there yet.
 func Start(o Options, w *transport.Transport, clock *node.Clock, log zerolog.Logger) (*Members, error) {
 	m := &Members{options: o, transport: w, clock: clock, log: log, packets: make(chan *memberlist.Packet, packets),
-		done: make(chan struct{}), table: NewTable(o.Own, o.Nodes)}
-	if o.Keep > 0 {
-		m.table.keep = policy.Micros(o.Keep.Microseconds())
+		done: make(chan struct{}), table: NewTable(o.Self, o.FleetSize)}
+	if o.DepartedRetention > 0 {
+		m.table.keep = policy.Micros(o.DepartedRetention.Microseconds())
 	}
 	w.Handle(transport.Membership, m.packet)
 	config := memberlist.DefaultLANConfig()
-	m.leaving.NumNodes, m.leaving.RetransmitMult = func() int { return len(m.There()) + 1 }, config.RetransmitMult
-	config.Name = id(o.Own.Name, o.Own.Life)
-	config.BindAddr, config.BindPort = o.Own.Addr.Addr().String(), int(o.Own.Addr.Port())
+	m.leaving.NumNodes, m.leaving.RetransmitMult = func() int { return len(m.AlivePeers()) + 1 }, config.RetransmitMult
+	config.Name = id(o.Self.Name, o.Self.Incarnation)
+	config.BindAddr, config.BindPort = o.Self.Addr.Addr().String(), int(o.Self.Addr.Port())
 	config.AdvertiseAddr, config.AdvertisePort = config.BindAddr, config.BindPort
 	config.Transport = &adapter{m}
 	config.Delegate, config.Events = delegate{m}, events{m}
 	config.Logger = stdlog.New(quiet{log}, "", 0)
-	config.UDPBufferSize = transport.MostPayload
+	config.UDPBufferSize = transport.MaxPayload
 	config.EnableCompression = false // what is told is short
-	config.ProbeInterval, config.ProbeTimeout = clock.Real(probeEvery), clock.Real(200*time.Millisecond)
+	config.ProbeInterval, config.ProbeTimeout = clock.RealDuration(probeEvery), clock.RealDuration(200*time.Millisecond)
 	config.SuspicionMult, config.SuspicionMaxTimeoutMult = 3, 2
 	config.AwarenessMaxMultiplier = mostAwareness
-	config.GossipInterval = clock.Real(100 * time.Millisecond)
-	config.PushPullInterval = clock.Real(exchangeEvery)
-	config.TCPTimeout = clock.Real(2 * time.Second)
-	config.GossipToTheDeadTime, config.QueueCheckInterval = clock.Real(config.GossipToTheDeadTime), clock.Real(config.QueueCheckInterval)
+	config.GossipInterval = clock.RealDuration(100 * time.Millisecond)
+	config.PushPullInterval = clock.RealDuration(exchangeEvery)
+	config.TCPTimeout = clock.RealDuration(2 * time.Second)
+	config.GossipToTheDeadTime, config.QueueCheckInterval = clock.RealDuration(config.GossipToTheDeadTime), clock.RealDuration(config.QueueCheckInterval)
 	list, err := memberlist.Create(config)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -105,7 +105,7 @@
 
 // ExchangeEvery is how often each of so many nodes exchanges all that it knows with another: the library's base up to 32, and one
 // base more for each doubling past that. What a node sends and gets in the mean is told over whole such spans.
-func ExchangeEvery(nodes int) time.Duration {
+func ExchangeInterval(nodes int) time.Duration {
 	longer := 1.0
 	if nodes > 32 {
 		longer += math.Ceil(math.Log2(float64(nodes)) - 5)
@@ -117,17 +117,17 @@
 func (m *Members) Leave() {
 	m.left.Do(func() {
 		m.leaves.Store(true)
-		word := &leaving{life: m.options.Own.Life, told: make(chan struct{})}
+		word := &leaving{life: m.options.Self.Incarnation, told: make(chan struct{})}
 		m.leaving.QueueBroadcast(word)
-		if err := m.list.UpdateNode(m.clock.Real(leaveWait)); err != nil { // members of versions that know no such word go by what it tells of itself
+		if err := m.list.UpdateNode(m.clock.RealDuration(leaveWait)); err != nil { // members of versions that know no such word go by what it tells of itself
 			m.log.Debug().Err(err).Msg("that the node leaves was not told to all")
 		}
-		if err := m.list.Leave(m.clock.Real(leaveWait)); err != nil {
+		if err := m.list.Leave(m.clock.RealDuration(leaveWait)); err != nil {
 			m.log.Debug().Err(err).Msg("leaving was not told to all")
 		}
 		select {
 		case <-word.told:
-		case <-time.After(m.clock.Real(leaveWait)):
+		case <-time.After(m.clock.RealDuration(leaveWait)):
 		}
 	})
 }
@@ -150,7 +150,7 @@
 //
 // It is made when it is asked for. Danger: hundreds join or come back together, and a list sorted anew at each one's word costs
 // their square.
-func (m *Members) There() []Member {
+func (m *Members) AlivePeers() []Member {
 	if all := m.there.Load(); all != nil {
 		return *all
 	}
@@ -159,16 +159,16 @@
 	if all := m.there.Load(); all != nil {
 		return *all // somebody else has asked meanwhile
 	}
-	all := m.table.There()
+	all := m.table.AlivePeers()
 	m.there.Store(&all) // changes come under the lock, too
 	return all
 }
 
 // Holder is whom a word to a number goes to.
-func (m *Members) Holder(number int) (Member, bool) {
+func (m *Members) Owner(number int) (Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Holder(number)
+	return m.table.Owner(number)
 }
 
 // tell changes the table and logs what an operator may act on.
@@ -181,10 +181,10 @@
 	m.mu.Unlock()
 	for _, c := range changes {
 		line := m.log.Info()
-		if c.Other != "" {
-			line = m.log.Warn().Str("beside", c.Other)
+		if c.ConflictsWith != "" {
+			line = m.log.Warn().Str("beside", c.ConflictsWith)
 		}
-		line.Str("member", id(c.Member.Name, c.Member.Life)).Str("addr", c.Member.Addr.String()).Int("number", c.Member.Number).Msg(c.Text)
+		line.Str("member", id(c.Member.Name, c.Member.Incarnation)).Str("addr", c.Member.Addr.String()).Int("number", c.Member.Number).Msg(c.Text)
 	}
 }
 
@@ -207,25 +207,25 @@
 		m.log.Warn().Str("member", n.Name).Err(err).Msg("a member is passed over")
 		return
 	}
-	m.tell(func(now policy.Micros) []Change { return m.table.Heard(now, of) })
+	m.tell(func(now policy.Micros) []Change { return m.table.MemberAlive(now, of) })
 }
 
 // ask asks one address at a time, at random, whether somebody is there. Danger: nodes that start or heal together would
 // all ask the same one at once.
 func (m *Members) ask() {
-	rng := rand.New(rand.NewPCG(m.options.Seed, uint64(m.options.Own.Life)))
+	rng := rand.New(rand.NewPCG(m.options.RandomSeed, uint64(m.options.Self.Incarnation)))
 	grown := m.clock.Now() + policy.Micros(young.Microseconds())
 	for wait := time.Duration(0); ; wait = askEvery/2 + time.Duration(rng.Int64N(int64(askEvery))) {
 		select {
 		case <-m.done:
 			return
-		case <-time.After(m.clock.Real(wait)):
+		case <-time.After(m.clock.RealDuration(wait)):
 		}
 		m.mu.Lock()
-		m.table.Forget(m.clock.Now())
-		all := m.table.Ask(m.options.Join)
+		m.table.Expire(m.clock.Now())
+		all := m.table.JoinCandidates(m.options.JoinAddrs)
 		m.mu.Unlock()
-		if there := m.There(); m.clock.Now() < grown && len(there) > 0 && (len(all) == 0 || rng.IntN(2) == 0) {
+		if there := m.AlivePeers(); m.clock.Now() < grown && len(there) > 0 && (len(all) == 0 || rng.IntN(2) == 0) {
 			all = []netip.AddrPort{there[rng.IntN(len(there))].Addr}
 		}
 		if len(all) == 0 {
@@ -243,7 +243,7 @@
 	select {
 	case m.packets <- &memberlist.Packet{Buf: append([]byte(nil), f.Payload...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
 	default:
-		m.transport.Overrun()
+		m.transport.CountDroppedUnread()
 	}
 }
 
@@ -251,7 +251,7 @@
 type adapter struct{ *Members }
 
 func (t *adapter) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	a := t.options.Own.Addr
+	a := t.options.Self.Addr
 	return a.Addr().AsSlice(), int(a.Port()), nil
 }
 
@@ -284,7 +284,7 @@
 type delegate struct{ *Members }
 
 func (d delegate) NodeMeta(int) []byte {
-	own := d.options.Own
+	own := d.options.Self
 	own.leaves = d.leaves.Load()
 	return meta(&own)
 }
@@ -297,7 +297,7 @@
 func (d delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lives := d.table.Said(mostSaid)
+	lives := d.table.LeavingIncarnations(mostSaid)
 	if len(lives) == 0 {
 		return nil
 	}
@@ -326,7 +326,7 @@
 	for _, life := range lives {
 		news := false
 		d.tell(func(policy.Micros) (changes []Change) {
-			changes, news = d.table.Leaves(life)
+			changes, news = d.table.LeaveAnnounced(life)
 			return changes
 		})
 		if news { // Danger: the queue asks for the members under its own lock, so it is not told under theirs
@@ -337,7 +337,7 @@
 
 // leaving is the word that a life leaves, on its way.
 type leaving struct {
-	life transport.LifeID
+	life transport.IncarnationID
 	told chan struct{} // closed when it has gone out often enough; nil: nobody waits
 }
 
@@ -346,7 +346,7 @@
 func (l *leaving) Message() []byte { return leavingWord(l.life) }
 
 // leavingWord is a version and lives.
-func leavingWord(lives ...transport.LifeID) []byte {
+func leavingWord(lives ...transport.IncarnationID) []byte {
 	b := []byte{leavingVersion}
 	for _, life := range lives {
 		b = binary.BigEndian.AppendUint64(b, uint64(life))
@@ -363,12 +363,12 @@
 }
 
 // readLeaving takes the word apart.
-func readLeaving(b []byte) (lives []transport.LifeID, err error) {
+func readLeaving(b []byte) (lives []transport.IncarnationID, err error) {
 	if len(b) < 9 || len(b)%8 != 1 || len(b) > 1+8*mostSaid || b[0] != leavingVersion {
 		return nil, errMeta
 	}
 	for b = b[1:]; len(b) > 0; b = b[8:] {
-		lives = append(lives, transport.LifeID(binary.BigEndian.Uint64(b)))
+		lives = append(lives, transport.IncarnationID(binary.BigEndian.Uint64(b)))
 	}
 	return lives, nil
 }
@@ -385,7 +385,7 @@
 		return
 	}
 	// The library knows as well whether it said that it leaves, and tells nobody.
-	e.tell(func(now policy.Micros) []Change { return e.table.Gone(now, of.Life, of.leaves) })
+	e.tell(func(now policy.Micros) []Change { return e.table.MemberGone(now, of.Incarnation, of.leaves) })
 }
 
 // quiet writes the library's lines at debug level: what matters in them is told by changes.
--- a/internal/fleet/members/table.go
+++ b/internal/fleet/members/table.go
@@ -30,20 +30,20 @@
 
 // Member is one life of a node.
 type Member struct {
-	Name   string
-	Life   transport.LifeID
-	Zone   uint8
-	Number int // of the node among those of its tier
-	Addr   netip.AddrPort
-	State  State
-	Since  policy.Micros // of this state, here
-	leaves bool          // it has said that it leaves
-	passed bool          // its word of that has come here, and was passed on
-	joined uint64        // counts joins, as seen here
+	Name        string
+	Incarnation transport.IncarnationID
+	Zone        uint8
+	Number      int // of the node among those of its tier
+	Addr        netip.AddrPort
+	State       State
+	Since       policy.Micros // of this state, here
+	leaves      bool          // it has said that it leaves
+	passed      bool          // its word of that has come here, and was passed on
+	joined      uint64        // counts joins, as seen here
 }
 
 // id is a member's name among the members: one life has one, for good.
-func id(name string, life transport.LifeID) string {
+func id(name string, life transport.IncarnationID) string {
 	return fmt.Sprintf("%s/%016x", name, uint64(life))
 }
 
@@ -53,7 +53,7 @@
 func meta(m *Member) []byte {
 	b := []byte{metaVersion, m.Zone}
 	b = binary.BigEndian.AppendUint32(b, uint32(m.Number))
-	b = binary.BigEndian.AppendUint64(b, uint64(m.Life))
+	b = binary.BigEndian.AppendUint64(b, uint64(m.Incarnation))
 	if m.leaves {
 		return append(b, 1)
 	}
@@ -68,7 +68,7 @@
 		return errMeta
 	}
 	m.leaves = b[14] == 1
-	m.Zone, m.Number, m.Life = b[1], int(binary.BigEndian.Uint32(b[2:])), transport.LifeID(binary.BigEndian.Uint64(b[6:]))
+	m.Zone, m.Number, m.Incarnation = b[1], int(binary.BigEndian.Uint32(b[2:])), transport.IncarnationID(binary.BigEndian.Uint64(b[6:]))
 	return nil
 }
 
@@ -81,16 +81,16 @@
 
 // Change is what an operator may act on.
 type Change struct {
-	Text   string
-	Member Member
-	Other  string // the life that it stands beside
+	Text          string
+	Member        Member
+	ConflictsWith string // the life that it stands beside
 }
 
 // Table is who is there. It is told and read by one goroutine at a time.
 type Table struct {
 	own     Member
 	nodes   int // that the settings tell of: numbers are under it
-	members map[transport.LifeID]*Member
+	members map[transport.IncarnationID]*Member
 	joins   uint64
 	numbers map[int][]*Member // those there, by number; who joined last is first
 	keep    policy.Micros     // how long one that is gone is kept
@@ -98,21 +98,21 @@
 
 // NewTable begins with the node itself, and how many nodes its settings tell of.
 func NewTable(own Member, nodes int) *Table {
-	return &Table{own: own, nodes: nodes, members: make(map[transport.LifeID]*Member), numbers: make(map[int][]*Member), keep: keepGone}
+	return &Table{own: own, nodes: nodes, members: make(map[transport.IncarnationID]*Member), numbers: make(map[int][]*Member), keep: keepGone}
 }
 
 // Heard says that a member is there.
-func (t *Table) Heard(now policy.Micros, m Member) (changes []Change) {
-	if m.Life == t.own.Life {
+func (t *Table) MemberAlive(now policy.Micros, m Member) (changes []Change) {
+	if m.Incarnation == t.own.Incarnation {
 		return nil
 	}
-	known := t.members[m.Life]
+	known := t.members[m.Incarnation]
 	if known == nil {
 		if len(t.members) >= mostMembers && !t.room() {
 			return nil
 		}
 		known = &Member{}
-		t.members[m.Life] = known
+		t.members[m.Incarnation] = known
 		known.State = Dead
 	}
 	was := *known
@@ -123,7 +123,7 @@
 	if !was.State.there() {
 		t.joins++
 		m.joined = t.joins
-		changes = append(changes, t.arrived(&m, was.Life != 0)...)
+		changes = append(changes, t.arrived(&m, was.Incarnation != 0)...)
 	}
 	*known = m
 	if len(changes) > 0 || m.Number != was.Number {
@@ -142,7 +142,7 @@
 	changes := []Change{{Text: text, Member: *m}}
 	if m.Number >= t.nodes {
 		changes = append(changes, Change{Text: "number passes the nodes that the settings tell of", Member: *m,
-			Other: fmt.Sprintf("fleet_size %d", t.nodes)})
+			ConflictsWith: fmt.Sprintf("fleet_size %d", t.nodes)})
 	}
 	// One that it clashes with is enough to tell. Danger: where all have one name, a line for each pair would fill the log.
 	for _, same := range []struct {
@@ -152,14 +152,14 @@
 		{"two processes have one name", func(o *Member) bool { return o.Name == m.Name }},
 		{"two nodes have one number", func(o *Member) bool { return o.Name != m.Name && o.Number == m.Number }},
 	} {
-		if all := t.there(func(o *Member) bool { return o.Life != m.Life && same.is(o) }); len(all) > 0 {
-			changes = append(changes, Change{Text: same.text, Member: *m, Other: id(all[0].Name, all[0].Life)})
+		if all := t.there(func(o *Member) bool { return o.Incarnation != m.Incarnation && same.is(o) }); len(all) > 0 {
+			changes = append(changes, Change{Text: same.text, Member: *m, ConflictsWith: id(all[0].Name, all[0].Incarnation)})
 		}
 	}
 	if t.own.Name == m.Name {
-		changes = append(changes, Change{Text: "two processes have one name", Member: *m, Other: id(t.own.Name, t.own.Life)})
+		changes = append(changes, Change{Text: "two processes have one name", Member: *m, ConflictsWith: id(t.own.Name, t.own.Incarnation)})
 	} else if t.own.Number == m.Number {
-		changes = append(changes, Change{Text: "two nodes have one number", Member: *m, Other: id(t.own.Name, t.own.Life)})
+		changes = append(changes, Change{Text: "two nodes have one number", Member: *m, ConflictsWith: id(t.own.Name, t.own.Incarnation)})
 	}
 	return changes
 }
@@ -176,11 +176,11 @@
 }
 
 func byName(a, b *Member) int {
-	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life))
+	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // Gone says that a member was found dead, or has left if it said so, now or before.
-func (t *Table) Gone(now policy.Micros, life transport.LifeID, said bool) []Change {
+func (t *Table) MemberGone(now policy.Micros, life transport.IncarnationID, said bool) []Change {
 	m := t.members[life]
 	if m == nil || !m.State.there() {
 		return nil
@@ -194,16 +194,18 @@
 }
 
 // Said gives the lives whose word has come that they leave, the latest first and so many at the most.
-func (t *Table) Said(most int) (lives []transport.LifeID) {
+func (t *Table) LeavingIncarnations(most int) (lives []transport.IncarnationID) {
 	var all []*Member
 	for _, m := range t.members {
 		if m.passed {
 			all = append(all, m)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Member) int { return cmp.Or(cmp.Compare(b.Since, a.Since), cmp.Compare(a.Life, b.Life)) })
+	slices.SortFunc(all, func(a, b *Member) int {
+		return cmp.Or(cmp.Compare(b.Since, a.Since), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
 	for _, m := range all[:min(most, len(all))] {
-		lives = append(lives, m.Life)
+		lives = append(lives, m.Incarnation)
 	}
 	return lives
 }
@@ -211,7 +213,7 @@
 // Leaves says that a member's word has come that it leaves. News is whether it comes for the first time: then it is passed on, also where
 // what the member tells of itself has said as much. Danger: word of its going may come first, by another way, and who takes it for
 // dead asks for it for as long as those gone are kept.
-func (t *Table) Leaves(life transport.LifeID) (changes []Change, news bool) {
+func (t *Table) LeaveAnnounced(life transport.IncarnationID) (changes []Change, news bool) {
 	m := t.members[life]
 	if m == nil || m.passed {
 		return nil, false
@@ -225,7 +227,7 @@
 }
 
 // Forget lets those go that are gone for long.
-func (t *Table) Forget(now policy.Micros) {
+func (t *Table) Expire(now policy.Micros) {
 	for life, m := range t.members {
 		if !m.State.there() && now-m.Since > t.keep {
 			delete(t.members, life)
@@ -237,12 +239,12 @@
 func (t *Table) room() bool {
 	var oldest *Member
 	for _, m := range t.members {
-		if !m.State.there() && (oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Life < oldest.Life) {
+		if !m.State.there() && (oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Incarnation < oldest.Incarnation) {
 			oldest = m
 		}
 	}
 	if oldest != nil {
-		delete(t.members, oldest.Life)
+		delete(t.members, oldest.Incarnation)
 	}
 	return oldest != nil
 }
@@ -260,7 +262,7 @@
 }
 
 // Holder is whom a word to a number goes to, if anybody has it.
-func (t *Table) Holder(number int) (Member, bool) {
+func (t *Table) Owner(number int) (Member, bool) {
 	if all := t.numbers[number]; len(all) > 0 {
 		return *all[0], true
 	}
@@ -268,7 +270,7 @@
 }
 
 // There gives all that are there, by name, without the node itself.
-func (t *Table) There() (all []Member) {
+func (t *Table) AlivePeers() (all []Member) {
 	for _, m := range t.there(func(*Member) bool { return true }) {
 		all = append(all, *m)
 	}
@@ -285,11 +287,11 @@
 }
 
 // Own is the node itself.
-func (t *Table) Own() Member { return t.own }
+func (t *Table) Self() Member { return t.own }
 
 // Ask gives the addresses that may be asked whether somebody is there: those to join by, and of members that are gone and
 // did not say that they leave, but for those where somebody else is now.
-func (t *Table) Ask(join []netip.AddrPort) (all []netip.AddrPort) {
+func (t *Table) JoinCandidates(join []netip.AddrPort) (all []netip.AddrPort) {
 	taken := map[netip.AddrPort]bool{t.own.Addr: true}
 	for _, m := range t.members {
 		if m.State.there() {
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -14,18 +14,18 @@
 type Kind uint8
 
 const (
-	Membership Kind = 1 + iota // of the library that keeps the members
-	Words                      // of modules to each other
-	Judgements                 // on servers
-	piece                      // of a stream
+	Membership    Kind = 1 + iota // of the library that keeps the members
+	PeerMessages                  // of modules to each other
+	ServerReports                 // on servers
+	piece                         // of a stream
 )
 
 const (
 	version = 1
 	// MostPayload is the most that a datagram holds beside its head, so that it passes whole where 1,500 bytes do.
-	MostPayload = 1400
+	MaxPayload = 1400
 	// MostPiece is the most that a piece of a stream holds.
-	MostPiece = 16 << 10
+	MaxChunk = 16 << 10
 
 	headLen      = 24 // version, kind, length; life; number; time; sum
 	pieceHeadLen = 8  // version, kind, length; sum
@@ -33,15 +33,15 @@
 )
 
 // LifeID is one process's life under a name: drawn at its start. One that comes back has another.
-type LifeID uint64
+type IncarnationID uint64
 
 // Frame is one datagram as it came. Payload is valid until the handler returns.
 type Frame struct {
-	Kind    Kind
-	Life    LifeID
-	Number  uint32 // counts the sender's frames
-	Sent    uint32 // milliseconds of the sender's own clock, from its start
-	Payload []byte
+	Kind        Kind
+	Incarnation IncarnationID
+	Sequence    uint32 // counts the sender's frames
+	SentMs      uint32 // milliseconds of the sender's own clock, from its start
+	Payload     []byte
 }
 
 var (
@@ -66,15 +66,15 @@
 
 // append writes a frame behind b.
 func (f *Frame) append(b []byte, seal uint64) ([]byte, error) {
-	if len(f.Payload) > MostPayload {
+	if len(f.Payload) > MaxPayload {
 		return b, errTooLong
 	}
 	from := len(b)
 	b = append(b, version, byte(f.Kind))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.Payload)))
-	b = binary.BigEndian.AppendUint64(b, uint64(f.Life))
-	b = binary.BigEndian.AppendUint32(b, f.Number)
-	b = binary.BigEndian.AppendUint32(b, f.Sent)
+	b = binary.BigEndian.AppendUint64(b, uint64(f.Incarnation))
+	b = binary.BigEndian.AppendUint32(b, f.Sequence)
+	b = binary.BigEndian.AppendUint32(b, f.SentMs)
 	b = binary.BigEndian.AppendUint32(b, sum(seal, b[from:from+sumAt], f.Payload))
 	return append(b, f.Payload...), nil
 }
@@ -88,13 +88,13 @@
 		return f, errVersion
 	case int(binary.BigEndian.Uint16(b[2:])) != len(b)-headLen:
 		return f, errLength
-	case len(b)-headLen > MostPayload:
+	case len(b)-headLen > MaxPayload:
 		return f, errTooLong
 	case binary.BigEndian.Uint32(b[sumAt:]) != sum(seal, b[:sumAt], b[headLen:]):
 		return f, errSum
 	}
-	return Frame{Kind: Kind(b[1]), Life: LifeID(binary.BigEndian.Uint64(b[4:])), Number: binary.BigEndian.Uint32(b[12:]),
-		Sent: binary.BigEndian.Uint32(b[16:]), Payload: b[headLen:]}, nil
+	return Frame{Kind: Kind(b[1]), Incarnation: IncarnationID(binary.BigEndian.Uint64(b[4:])), Sequence: binary.BigEndian.Uint32(b[12:]),
+		SentMs: binary.BigEndian.Uint32(b[16:]), Payload: b[headLen:]}, nil
 }
 
 // pieceHead writes the head of a stream's piece. Pieces of one stream are numbered by its own count, which goes into the
@@ -113,7 +113,7 @@
 	case b[1] != byte(piece):
 		return 0, 0, errNotPiece
 	}
-	if length = int(binary.BigEndian.Uint16(b[2:])); length > MostPiece {
+	if length = int(binary.BigEndian.Uint16(b[2:])); length > MaxChunk {
 		return 0, 0, errTooLong
 	}
 	return length, binary.BigEndian.Uint32(b[4:]), nil
--- a/internal/fleet/transport/stream.go
+++ b/internal/fleet/transport/stream.go
@@ -43,7 +43,7 @@
 
 // harm counts a stream that was spoilt, and ends it.
 func (s *stream) harm(err error) error {
-	s.of.count(func(n *Counts) { n.Broken++ })
+	s.of.count(func(n *Counts) { n.StreamsCorrupted++ })
 	s.Close()
 	return err
 }
@@ -72,7 +72,7 @@
 			return 0, s.harm(errSum)
 		}
 		s.got++
-		s.of.count(func(n *Counts) { n.StreamGot += int64(pieceHeadLen + length) })
+		s.of.count(func(n *Counts) { n.StreamBytesReceived += int64(pieceHeadLen + length) })
 		s.rest = s.piece
 	}
 	n := copy(b, s.rest)
@@ -84,7 +84,7 @@
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	for len(b) > 0 {
-		part := b[:min(len(b), MostPiece)]
+		part := b[:min(len(b), MaxChunk)]
 		if cap(s.outgoing) < pieceHeadLen+len(part) {
 			s.outgoing = make([]byte, pieceHeadLen+len(part))
 		}
@@ -95,7 +95,7 @@
 			return n, err
 		}
 		s.sent++
-		s.of.count(func(n *Counts) { n.StreamSent += int64(len(out)) })
+		s.of.count(func(n *Counts) { n.StreamBytesSent += int64(len(out)) })
 		n += len(part)
 		b = b[len(part):]
 	}
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -27,49 +27,49 @@
 type Options struct {
 	Fleet             string // nodes of one fleet have one name
 	Listen, Advertise netip.AddrPort
-	Life              LifeID
-	Pace              int // bytes a second of datagrams that it sends; past that they are dropped
-	Slow              int // by this factor all times here are longer; 0: none. A laboratory's, where many nodes share few cores
+	Incarnation       IncarnationID
+	MaxBytesPerSecond int // bytes a second of datagrams that it sends; past that they are dropped
+	SlowdownFactor    int // by this factor all times here are longer; 0: none. A laboratory's, where many nodes share few cores
 }
 
 // Counts are what has become of frames so far.
 type Counts struct {
-	Sent      int64 `json:"sent"`
-	SentBytes int64 `json:"sent_bytes"`
-	Got       int64 `json:"got"`
-	GotBytes  int64 `json:"got_bytes"`
-	Paced     int64 `json:"dropped_for_pace"`  // not sent
-	Failed    int64 `json:"failed_to_send"`    // the kernel refused
-	Spoilt    int64 `json:"not_understood"`    // by version, length or sum; another fleet's too
-	Doubled   int64 `json:"doubled"`           // had come before
-	Unknown   int64 `json:"of_unknown_kind"`   // a newer version's
-	Overrun   int64 `json:"dropped_unread"`    // came faster than they were worked
-	Streams   int64 `json:"streams"`           // taken and opened
-	Refused   int64 `json:"streams_refused"`   // beyond those that may be open
-	Broken    int64 `json:"streams_with_harm"` // spoilt on their way
-	Panicked  int64 `json:"handlers_panicked"` // over what came
+	Sent             int64 `json:"sent"`
+	SentBytes        int64 `json:"sent_bytes"`
+	Received         int64 `json:"got"`
+	ReceivedBytes    int64 `json:"got_bytes"`
+	RateLimited      int64 `json:"dropped_for_pace"`  // not sent
+	SendFailed       int64 `json:"failed_to_send"`    // the kernel refused
+	Malformed        int64 `json:"not_understood"`    // by version, length or sum; another fleet's too
+	Duplicates       int64 `json:"doubled"`           // had come before
+	UnknownKind      int64 `json:"of_unknown_kind"`   // a newer version's
+	DroppedUnread    int64 `json:"dropped_unread"`    // came faster than they were worked
+	Streams          int64 `json:"streams"`           // taken and opened
+	StreamsRefused   int64 `json:"streams_refused"`   // beyond those that may be open
+	StreamsCorrupted int64 `json:"streams_with_harm"` // spoilt on their way
+	HandlerPanics    int64 `json:"handlers_panicked"` // over what came
 
-	SentKinds  Kinds `json:"sent_kinds"`
-	GotKinds   Kinds `json:"got_kinds"`
-	StreamSent int64 `json:"stream_bytes_sent"` // heads of pieces among them
-	StreamGot  int64 `json:"stream_bytes_got"`
+	SentBytesByKind     BytesByKind `json:"sent_kinds"`
+	ReceivedBytesByKind BytesByKind `json:"got_kinds"`
+	StreamBytesSent     int64       `json:"stream_bytes_sent"` // heads of pieces among them
+	StreamBytesReceived int64       `json:"stream_bytes_got"`
 }
 
 // Kinds are the bytes of datagrams of each kind, heads among them.
-type Kinds struct {
-	Membership int64 `json:"membership"`
-	Words      int64 `json:"words"`
-	Judgements int64 `json:"judgements"`
+type BytesByKind struct {
+	Membership    int64 `json:"membership"`
+	PeerMessages  int64 `json:"words"`
+	ServerReports int64 `json:"judgements"`
 }
 
-func (k *Kinds) add(kind Kind, bytes int) {
+func (k *BytesByKind) add(kind Kind, bytes int) {
 	switch kind {
 	case Membership:
 		k.Membership += int64(bytes)
-	case Words:
-		k.Words += int64(bytes)
-	case Judgements:
-		k.Judgements += int64(bytes)
+	case PeerMessages:
+		k.PeerMessages += int64(bytes)
+	case ServerReports:
+		k.ServerReports += int64(bytes)
 	}
 }
 
@@ -95,7 +95,7 @@
 	bucket  float64    // bytes that may go out now
 	filled  time.Duration
 	buffer  []byte
-	senders map[LifeID]*sender
+	senders map[IncarnationID]*sender
 	counts  Counts
 }
 
@@ -111,9 +111,9 @@
 		return nil, err
 	}
 	udp.SetReadBuffer(readBuffer) // best effort: the kernel may give less
-	o.Slow = max(1, o.Slow)
+	o.SlowdownFactor = max(1, o.SlowdownFactor)
 	return &Transport{options: o, seal: seal(o.Fleet), log: log, udp: udp, tcp: tcp, began: time.Now(), streams: make(chan net.Conn),
-		done: make(chan struct{}), senders: make(map[LifeID]*sender), bucket: float64(o.Pace) * burst.Seconds()}, nil
+		done: make(chan struct{}), senders: make(map[IncarnationID]*sender), bucket: float64(o.MaxBytesPerSecond) * burst.Seconds()}, nil
 }
 
 // Handle says who takes frames of a kind.
@@ -146,32 +146,34 @@
 }
 
 // Life is this process's.
-func (w *Transport) Life() LifeID { return w.options.Life }
+func (w *Transport) Incarnation() IncarnationID { return w.options.Incarnation }
 
 // now is this process's own clock, from the transport's start.
-func (w *Transport) now() time.Duration { return time.Since(w.began) / time.Duration(w.options.Slow) }
+func (w *Transport) now() time.Duration {
+	return time.Since(w.began) / time.Duration(w.options.SlowdownFactor)
+}
 
 // real is how long a span takes in real time.
 func (w *Transport) real(span time.Duration) time.Duration {
-	return span * time.Duration(w.options.Slow)
+	return span * time.Duration(w.options.SlowdownFactor)
 }
 
 // Send sends a datagram, if the pace allows. It does not wait for anybody. Membership goes before everything else: it may
 // use the pace to its end, the others leave an eighth of it.
 func (w *Transport) Send(to netip.AddrPort, kind Kind, payload []byte) bool {
 	now := w.now()
-	f := Frame{Kind: kind, Life: w.options.Life, Number: w.number.Add(1), Sent: uint32(now.Milliseconds()), Payload: payload}
+	f := Frame{Kind: kind, Incarnation: w.options.Incarnation, Sequence: w.number.Add(1), SentMs: uint32(now.Milliseconds()), Payload: payload}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	most := float64(w.options.Pace) * burst.Seconds()
-	w.bucket = min(most, w.bucket+float64(w.options.Pace)*(now-w.filled).Seconds())
+	most := float64(w.options.MaxBytesPerSecond) * burst.Seconds()
+	w.bucket = min(most, w.bucket+float64(w.options.MaxBytesPerSecond)*(now-w.filled).Seconds())
 	w.filled = now
 	size, least := float64(headLen+len(payload)), 0.0
 	if kind != Membership {
 		least = most / 8
 	}
 	if w.bucket-size < least {
-		w.counts.Paced++
+		w.counts.RateLimited++
 		return false
 	}
 	var err error
@@ -179,18 +181,18 @@
 		_, err = w.udp.WriteToUDPAddrPort(w.buffer, to)
 	}
 	if err != nil {
-		w.counts.Failed++
+		w.counts.SendFailed++
 		return false
 	}
 	w.bucket -= size
 	w.counts.Sent++
 	w.counts.SentBytes += int64(len(w.buffer))
-	w.counts.SentKinds.add(kind, len(w.buffer))
+	w.counts.SentBytesByKind.add(kind, len(w.buffer))
 	return true
 }
 
 func (w *Transport) read() {
-	buffer := make([]byte, headLen+MostPayload+1) // one more shows that there was more
+	buffer := make([]byte, headLen+MaxPayload+1) // one more shows that there was more
 	for {
 		n, from, err := w.udp.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -213,34 +215,34 @@
 	defer func() {
 		if r := recover(); r != nil {
 			w.mu.Lock()
-			w.counts.Panicked++
+			w.counts.HandlerPanics++
 			w.mu.Unlock()
 			w.log.Error().Str("from", from.String()).Str("panic", fmt.Sprint(r)).Msg("a frame was passed over")
 		}
 	}()
 	f, err := read(b, w.seal)
 	w.mu.Lock()
-	w.counts.Got++
-	w.counts.GotBytes += int64(len(b))
-	w.counts.GotKinds.add(f.Kind, len(b))
+	w.counts.Received++
+	w.counts.ReceivedBytes += int64(len(b))
+	w.counts.ReceivedBytesByKind.add(f.Kind, len(b))
 	var late time.Duration
 	known := false
 	switch {
 	case err != nil:
-		w.counts.Spoilt++
-	case f.Life == w.options.Life: // its own, come back
+		w.counts.Malformed++
+	case f.Incarnation == w.options.Incarnation: // its own, come back
 	default:
 		now := w.now()
-		s := w.sender(f.Life)
-		if known = s.first(f.Number); known {
-			late = s.late(now, f.Sent)
+		s := w.sender(f.Incarnation)
+		if known = s.first(f.Sequence); known {
+			late = s.late(now, f.SentMs)
 		} else {
-			w.counts.Doubled++
+			w.counts.Duplicates++
 		}
 	}
 	handler := w.handlers[f.Kind]
 	if known && handler == nil {
-		w.counts.Unknown++
+		w.counts.UnknownKind++
 	}
 	w.mu.Unlock()
 	if known && handler != nil {
@@ -249,13 +251,13 @@
 }
 
 // sender finds what is known of one. The lock is held.
-func (w *Transport) sender(life LifeID) *sender {
+func (w *Transport) sender(life IncarnationID) *sender {
 	s := w.senders[life]
 	if s != nil {
 		return s
 	}
 	if len(w.senders) >= mostSenders {
-		var oldest LifeID
+		var oldest IncarnationID
 		for id, s := range w.senders {
 			if o := w.senders[oldest]; o == nil || s.used < o.used {
 				oldest = id
@@ -269,9 +271,9 @@
 }
 
 // Overrun counts a frame that nobody had room for.
-func (w *Transport) Overrun() {
+func (w *Transport) CountDroppedUnread() {
 	w.mu.Lock()
-	w.counts.Overrun++
+	w.counts.DroppedUnread++
 	w.mu.Unlock()
 }
 
@@ -292,7 +294,7 @@
 		}
 		if w.open.Load() >= mostStreams {
 			c.Close()
-			w.count(func(n *Counts) { n.Refused++ })
+			w.count(func(n *Counts) { n.StreamsRefused++ })
 			continue
 		}
 		s := w.stream(c)
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -16,11 +16,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func open(t *testing.T, life LifeID, pace int) *Transport {
+func open(t *testing.T, life IncarnationID, pace int) *Transport {
 	t.Helper()
 	for port := uint16(21000); port < 22000; port++ {
 		at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)
-		w, err := Open(Options{Fleet: "f", Listen: at, Advertise: at, Life: life, Pace: pace}, zerolog.Nop())
+		w, err := Open(Options{Fleet: "f", Listen: at, Advertise: at, Incarnation: life, MaxBytesPerSecond: pace}, zerolog.Nop())
 		if err == nil {
 			t.Cleanup(w.Close)
 			return w
@@ -34,18 +34,18 @@
 // another version or another fleet it is passed over.
 func TestFrames(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	payload := make([]byte, MostPayload+1)
+	payload := make([]byte, MaxPayload+1)
 	for i := range payload {
 		payload[i] = byte(rng.Uint32())
 	}
-	for n := 0; n <= MostPayload; n++ {
-		f := Frame{Kind: Words, Life: 7, Number: uint32(n), Sent: 9, Payload: payload[:n]}
+	for n := 0; n <= MaxPayload; n++ {
+		f := Frame{Kind: PeerMessages, Incarnation: 7, Sequence: uint32(n), SentMs: 9, Payload: payload[:n]}
 		b, err := f.append(nil, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := read(b, 3)
-		if err != nil || got.Kind != f.Kind || got.Life != 7 || got.Number != f.Number || got.Sent != 9 || !bytes.Equal(got.Payload, f.Payload) {
+		if err != nil || got.Kind != f.Kind || got.Incarnation != 7 || got.Sequence != f.Sequence || got.SentMs != 9 || !bytes.Equal(got.Payload, f.Payload) {
 			t.Fatalf("length %d: %v", n, err)
 		}
 		at := rng.IntN(len(b))
@@ -111,7 +111,7 @@
 func TestWay(t *testing.T) {
 	a, b := open(t, 1, 1<<20), open(t, 2, 8<<10)
 	got := make(chan string, 100)
-	a.Handle(Words, func(_ netip.AddrPort, f *Frame, _ time.Duration) {
+	a.Handle(PeerMessages, func(_ netip.AddrPort, f *Frame, _ time.Duration) {
 		if string(f.Payload) == "panic" {
 			panic("over a frame")
 		}
@@ -124,14 +124,14 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	f := Frame{Kind: Words, Life: 3, Number: 1, Payload: []byte("once")}
+	f := Frame{Kind: PeerMessages, Incarnation: 3, Sequence: 1, Payload: []byte("once")}
 	bytes, _ := f.append(nil, a.seal)
 	for _, p := range [][]byte{{}, []byte("noise"), make([]byte, 2000), bytes, bytes} {
 		raw.Write(p)
 	}
-	b.Send(a.options.Listen, Words, []byte("panic"))
+	b.Send(a.options.Listen, PeerMessages, []byte("panic"))
 	b.Send(a.options.Listen, 77, []byte("unknown"))
-	b.Send(a.options.Listen, Words, []byte("last"))
+	b.Send(a.options.Listen, PeerMessages, []byte("last"))
 	for _, want := range []string{"once", "last"} {
 		select {
 		case text := <-got:
@@ -142,14 +142,14 @@
 			t.Fatalf("no %q: %+v", want, a.Counts())
 		}
 	}
-	if c := a.Counts(); c.Spoilt != 3 || c.Doubled != 1 || c.Unknown != 1 || c.Panicked != 1 {
+	if c := a.Counts(); c.Malformed != 3 || c.Duplicates != 1 || c.UnknownKind != 1 || c.HandlerPanics != 1 {
 		t.Errorf("counted %+v", c)
 	}
 	sent := 0
-	for b.Send(a.options.Listen, Words, make([]byte, 200)) {
+	for b.Send(a.options.Listen, PeerMessages, make([]byte, 200)) {
 		sent++
 	}
-	if sent > 20 || b.Counts().Paced != 1 || !b.Send(a.options.Listen, Membership, make([]byte, 200)) {
+	if sent > 20 || b.Counts().RateLimited != 1 || !b.Send(a.options.Listen, Membership, make([]byte, 200)) {
 		t.Errorf("%d frames at once, %+v", sent, b.Counts())
 	}
 }
@@ -180,7 +180,7 @@
 	pieceHead(head, a.seal, 0, []byte("spoilt"))
 	raw.Write(append(head, "spoilT"...))
 	in = <-a.Streams()
-	if _, err := in.Read(make([]byte, 10)); err != errSum || a.Counts().Broken != 1 {
+	if _, err := in.Read(make([]byte, 10)); err != errSum || a.Counts().StreamsCorrupted != 1 {
 		t.Errorf("%v, %+v", err, a.Counts())
 	}
 	raw.Close()
@@ -203,9 +203,9 @@
 
 // Fuzzed: nothing that comes ends the node, and only what was sealed is read.
 func FuzzRead(f *testing.F) {
-	frame := Frame{Kind: Judgements, Life: 1, Payload: []byte("payload")}
+	frame := Frame{Kind: ServerReports, Incarnation: 1, Payload: []byte("payload")}
 	good, _ := frame.append(nil, 5)
-	for _, b := range [][]byte{nil, good, good[:headLen], good[:headLen-1], append(bytes.Clone(good), 1), bytes.Repeat([]byte{1}, headLen+MostPayload)} {
+	for _, b := range [][]byte{nil, good, good[:headLen], good[:headLen-1], append(bytes.Clone(good), 1), bytes.Repeat([]byte{1}, headLen+MaxPayload)} {
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/fleet/words/words.go
+++ b/internal/fleet/words/words.go
@@ -21,32 +21,32 @@
 	// mostNumbers is the highest number that words go to.
 	mostNumbers = 1 << 13
 
-	wordLen     = len(node.Word{})
+	wordLen     = len(node.PeerMessage{})
 	formVersion = 1
 )
 
 // Counts are what has become of words so far.
 type Counts struct {
-	Told    int64 `json:"told"`    // by this node's module
-	Sent    int64 `json:"sent"`    // of them
-	Heard   int64 `json:"heard"`   // handed to the module
-	Pushed  int64 `json:"pushed"`  // out of a full queue: the oldest
-	Nobody  int64 `json:"nobody"`  // has the number
-	Paced   int64 `json:"paced"`   // dropped by the transport
-	Stale   int64 `json:"stale"`   // came, or were to go, too late
-	Foreign int64 `json:"foreign"` // of a form that is not understood
-	Busy    int64 `json:"busy"`    // came while the node's mailbox was full
+	Submitted     int64 `json:"told"`    // by this node's module
+	Sent          int64 `json:"sent"`    // of them
+	Delivered     int64 `json:"heard"`   // handed to the module
+	Evicted       int64 `json:"pushed"`  // out of a full queue: the oldest
+	NoOwner       int64 `json:"nobody"`  // has the number
+	RateLimited   int64 `json:"paced"`   // dropped by the transport
+	Stale         int64 `json:"stale"`   // came, or were to go, too late
+	UnknownFormat int64 `json:"foreign"` // of a form that is not understood
+	MailboxFull   int64 `json:"busy"`    // came while the node's mailbox was full
 }
 
 // queue holds the words for one number.
 type queue struct {
-	words [mostQueued]node.Word
+	words [mostQueued]node.PeerMessage
 	first int
 	n     int
 }
 
 // Words is the actor.
-type Words struct {
+type Messenger struct {
 	transport *transport.Transport
 	holder    func(number int) (netip.AddrPort, bool)
 	said      func([]byte) bool
@@ -62,28 +62,28 @@
 }
 
 // Start carries words: holder gives the address of the node that now has a number, said takes what comes.
-func Start(w *transport.Transport, holder func(int) (netip.AddrPort, bool), said func([]byte) bool) *Words {
-	s := &Words{transport: w, holder: holder, said: said, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	w.Handle(transport.Words, s.take)
+func Start(w *transport.Transport, holder func(int) (netip.AddrPort, bool), said func([]byte) bool) *Messenger {
+	s := &Messenger{transport: w, holder: holder, said: said, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	w.Handle(transport.PeerMessages, s.take)
 	s.over.Go(s.run)
 	return s
 }
 
 // Close ends the actor.
-func (s *Words) Close() {
+func (s *Messenger) Close() {
 	close(s.done)
 	s.over.Wait()
 }
 
 // Counts gives what has become of words so far.
-func (s *Words) Counts() Counts {
+func (s *Messenger) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
 // Tell queues a word. It does not wait.
-func (s *Words) Tell(number int, word node.Word) {
+func (s *Messenger) Send(number int, word node.PeerMessage) {
 	if number < 0 || number >= mostNumbers {
 		return
 	}
@@ -96,11 +96,11 @@
 		q = &queue{}
 		s.queues[number] = q
 	}
-	s.counts.Told++
+	s.counts.Submitted++
 	if q.n == mostQueued { // Danger: news that waits behind old news is old when it comes
 		q.first = (q.first + 1) % mostQueued
 		q.n--
-		s.counts.Pushed++
+		s.counts.Evicted++
 	}
 	q.words[(q.first+q.n)%mostQueued] = word
 	q.n++
@@ -120,7 +120,7 @@
 	}
 }
 
-func (s *Words) run() {
+func (s *Messenger) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var numbers []int
@@ -148,7 +148,7 @@
 }
 
 // flush sends what waits for a number.
-func (s *Words) flush(number int, payload []byte, old bool) []byte {
+func (s *Messenger) flush(number int, payload []byte, old bool) []byte {
 	s.mu.Lock()
 	q := s.queues[number]
 	payload = append(payload[:0], formVersion)
@@ -165,9 +165,9 @@
 	case old:
 		count = &s.counts.Stale
 	case !known:
-		count = &s.counts.Nobody
-	case !s.transport.Send(to, transport.Words, payload):
-		count = &s.counts.Paced
+		count = &s.counts.NoOwner
+	case !s.transport.Send(to, transport.PeerMessages, payload):
+		count = &s.counts.RateLimited
 	}
 	s.mu.Lock()
 	*count += int64(n)
@@ -176,18 +176,18 @@
 }
 
 // take hands on what comes.
-func (s *Words) take(_ netip.AddrPort, f *transport.Frame, late time.Duration) {
+func (s *Messenger) take(_ netip.AddrPort, f *transport.Frame, late time.Duration) {
 	n := (len(f.Payload) - 1) / wordLen
 	var count *int64
 	switch {
 	case len(f.Payload) < 1 || f.Payload[0] != formVersion || (len(f.Payload)-1)%wordLen != 0:
-		n, count = 1, &s.counts.Foreign
+		n, count = 1, &s.counts.UnknownFormat
 	case late > stale:
 		count = &s.counts.Stale
 	case s.said(append([]byte(nil), f.Payload[1:]...)):
-		count = &s.counts.Heard
+		count = &s.counts.Delivered
 	default:
-		count = &s.counts.Busy
+		count = &s.counts.MailboxFull
 	}
 	s.mu.Lock()
 	*count += int64(n)
--- a/internal/fleet/words/words_test.go
+++ b/internal/fleet/words/words_test.go
@@ -11,11 +11,11 @@
 	"canvasrouter/internal/node"
 )
 
-func open(t *testing.T, life transport.LifeID) (*transport.Transport, netip.AddrPort) {
+func open(t *testing.T, life transport.IncarnationID) (*transport.Transport, netip.AddrPort) {
 	t.Helper()
 	for port := uint16(21000); port < 22000; port++ {
 		at := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), port)
-		if w, err := transport.Open(transport.Options{Listen: at, Advertise: at, Life: life, Pace: 1 << 20}, zerolog.Nop()); err == nil {
+		if w, err := transport.Open(transport.Options{Listen: at, Advertise: at, Incarnation: life, MaxBytesPerSecond: 1 << 20}, zerolog.Nop()); err == nil {
 			t.Cleanup(w.Close)
 			return w, at
 		}
@@ -42,11 +42,11 @@
 	s := Start(a, func(number int) (netip.AddrPort, bool) { return to, number == 7 }, nil)
 	defer s.Close()
 	for i := range 100 {
-		s.Tell(8, node.Word{byte(i)}) // nobody
-		s.Tell(7, node.Word{byte(i), 1, 2})
+		s.Send(8, node.PeerMessage{byte(i)}) // nobody
+		s.Send(7, node.PeerMessage{byte(i), 1, 2})
 	}
-	s.Tell(-1, node.Word{})
-	s.Tell(mostNumbers, node.Word{})
+	s.Send(-1, node.PeerMessage{})
+	s.Send(mostNumbers, node.PeerMessage{})
 	select {
 	case said := <-got:
 		if len(said) != mostQueued*wordLen || said[0] != 100-mostQueued || said[len(said)-wordLen] != 99 {
@@ -57,7 +57,7 @@
 	}
 	for end := time.Now().Add(5 * time.Second); s.Counts().Sent == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if c := s.Counts(); c.Told != 200 || c.Pushed != 2*(100-mostQueued) || c.Nobody != mostQueued || c.Sent != mostQueued {
+	if c := s.Counts(); c.Submitted != 200 || c.Evicted != 2*(100-mostQueued) || c.NoOwner != mostQueued || c.Sent != mostQueued {
 		t.Errorf("told: %+v", c)
 	}
 	hears.take(to, &transport.Frame{Payload: []byte{formVersion, 1, 2, 3}}, stale+1)
@@ -66,7 +66,7 @@
 	hears.take(to, &transport.Frame{}, 0)
 	busy = true
 	hears.take(to, &transport.Frame{Payload: []byte{formVersion, 1, 2, 3}}, 0)
-	if c := hears.Counts(); c.Heard != mostQueued || c.Stale != 1 || c.Foreign != 3 || c.Busy != 1 {
+	if c := hears.Counts(); c.Delivered != mostQueued || c.Stale != 1 || c.UnknownFormat != 3 || c.MailboxFull != 1 {
 		t.Errorf("heard: %+v", c)
 	}
 	s.mu.Lock() // a process that was stopped goes on with what it had queued
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -17,7 +17,7 @@
 
 // Line is what the count takes of a node's log line, whichever part wrote it. A level of debug has ops, pushes, dials
 // and calls; at info there are lists and control alone.
-type Line struct {
+type LogLine struct {
 	Node     string   `json:"node"`
 	Time     int64    `json:"time"` // Unix milliseconds
 	Message  string   `json:"message"`
@@ -36,30 +36,30 @@
 
 // Window is what the fleet did in a span of time.
 type Window struct {
-	From     time.Duration // since the first line of all
-	Counts   map[string]int
-	ToServer map[string]int // pushes
-	Dials    map[string]int // connections opened, by server
+	Start          time.Duration // since the first line of all
+	Counts         map[string]int
+	PushesByServer map[string]int // pushes
+	DialsByServer  map[string]int // connections opened, by server
 }
 
 // Fleet is the count. The zero value is not one; use New.
-type Fleet struct {
-	Warm    time.Duration // a server started less than this ago is cold
-	Span    time.Duration // of a window
-	Nodes   map[string]int
-	Broken  int // lines that could not be read, as the last one of a node that was killed
-	lines   []Line
-	windows []*Window
+type Counter struct {
+	WarmUpTime      time.Duration // a server started less than this ago is cold
+	WindowDuration  time.Duration // of a window
+	LinesByNode     map[string]int
+	UnreadableLines int // lines that could not be read, as the last one of a node that was killed
+	lines           []LogLine
+	windows         []*Window
 }
 
 // New makes a count in windows of span, where servers are cold for warm.
-func New(span, warm time.Duration) *Fleet {
-	return &Fleet{Span: span, Warm: warm, Nodes: make(map[string]int)}
+func New(span, warm time.Duration) *Counter {
+	return &Counter{WindowDuration: span, WarmUpTime: warm, LinesByNode: make(map[string]int)}
 }
 
 // Read takes in the log of one node. A line that is no JSON, or half of one, is counted and passed over; what stands
 // before a line's first brace (a bench's own time) is left out.
-func (f *Fleet) Read(r io.Reader) error {
+func (f *Counter) ReadLog(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 8<<20)
 	for lines.Scan() {
@@ -67,13 +67,13 @@
 		if len(bytes.TrimSpace(raw)) == 0 {
 			continue
 		}
-		var l Line
+		var l LogLine
 		at := bytes.IndexByte(raw, '{')
 		if at < 0 || json.Unmarshal(raw[at:], &l) != nil || l.Time == 0 {
-			f.Broken++
+			f.UnreadableLines++
 			continue
 		}
-		f.Nodes[l.Node]++
+		f.LinesByNode[l.Node]++
 		f.lines = append(f.lines, l)
 	}
 	return lines.Err()
@@ -86,7 +86,7 @@
 }
 
 // Count puts all lines in order of time and counts them.
-func (f *Fleet) Count() []*Window {
+func (f *Counter) Count() []*Window {
 	sort.SliceStable(f.lines, func(i, j int) bool { return f.lines[i].Time < f.lines[j].Time })
 	f.windows = nil
 	lists := make(map[[2]string]told)
@@ -99,7 +99,7 @@
 			lists[key] = told{policy.ServerState(*l.State), l.Time - *l.AgeMs}
 		case l.Message == "push" && l.Push != nil:
 			w.Counts["pushes"]++
-			w.ToServer[l.Server]++
+			w.PushesByServer[l.Server]++
 			if *l.Push > 0 {
 				w.Counts["second pushes"]++
 			}
@@ -110,7 +110,7 @@
 				w.Counts["pushes to draining"]++
 			case t.state == policy.Gone:
 				w.Counts["pushes to gone"]++
-			case l.Time-t.started < f.Warm.Milliseconds():
+			case l.Time-t.started < f.WarmUpTime.Milliseconds():
 				w.Counts["pushes to cold"]++
 			}
 		case l.Message == "push ended":
@@ -120,7 +120,7 @@
 			if l.Error != "" {
 				w.Counts["dials failed"]++
 			} else {
-				w.Dials[l.Server]++
+				w.DialsByServer[l.Server]++
 			}
 		case l.Message == "call":
 			w.Counts["list calls"]++
@@ -148,17 +148,17 @@
 	return f.windows
 }
 
-func (f *Fleet) window(at time.Duration) *Window {
-	for n := int(at / f.Span); len(f.windows) <= n; {
-		f.windows = append(f.windows, &Window{From: time.Duration(len(f.windows)) * f.Span, Counts: make(map[string]int),
-			ToServer: make(map[string]int), Dials: make(map[string]int)})
+func (f *Counter) window(at time.Duration) *Window {
+	for n := int(at / f.WindowDuration); len(f.windows) <= n; {
+		f.windows = append(f.windows, &Window{Start: time.Duration(len(f.windows)) * f.WindowDuration, Counts: make(map[string]int),
+			PushesByServer: make(map[string]int), DialsByServer: make(map[string]int)})
 	}
-	return f.windows[int(at/f.Span)]
+	return f.windows[int(at/f.WindowDuration)]
 }
 
 // Table writes the count in Markdown: a row for each kind, a column for each window; the last rows are the server with
 // most pushes and with most connections opened, and the mean over servers.
-func (f *Fleet) Table(w io.Writer) error {
+func (f *Counter) WriteTable(w io.Writer) error {
 	kinds := make(map[string]bool)
 	for _, win := range f.windows {
 		for kind := range win.Counts {
@@ -171,9 +171,9 @@
 	}
 	sort.Strings(names)
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(f.Nodes), len(f.lines), f.Broken, f.Span)
+	fmt.Fprintf(&b, "%d nodes, %d lines, %d that could not be read; windows of %v\n\n| |", len(f.LinesByNode), len(f.lines), f.UnreadableLines, f.WindowDuration)
 	for _, win := range f.windows {
-		fmt.Fprintf(&b, " %g s |", win.From.Seconds())
+		fmt.Fprintf(&b, " %g s |", win.Start.Seconds())
 	}
 	b.WriteString("\n| --- |" + strings.Repeat(" --- |", len(f.windows)) + "\n")
 	row := func(name string, of func(*Window) string) {
@@ -186,9 +186,9 @@
 	for _, name := range names {
 		row(name, func(win *Window) string { return fmt.Sprint(win.Counts[name]) })
 	}
-	row("pushes a server, most", func(win *Window) string { return most(win.ToServer) })
-	row("pushes a server, mean", func(win *Window) string { return mean(win.ToServer) })
-	row("connections opened a server, most", func(win *Window) string { return most(win.Dials) })
+	row("pushes a server, most", func(win *Window) string { return most(win.PushesByServer) })
+	row("pushes a server, mean", func(win *Window) string { return mean(win.PushesByServer) })
+	row("connections opened a server, most", func(win *Window) string { return most(win.DialsByServer) })
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -33,7 +33,7 @@
 func TestCount(t *testing.T) {
 	f := New(2*time.Second, time.Minute)
 	for _, log := range []string{second, first} {
-		if err := f.Read(strings.NewReader(log)); err != nil {
+		if err := f.ReadLog(strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,18 +41,18 @@
 	want := []*Window{
 		{Counts: map[string]int{"node starts": 1, "list calls": 1, "ops": 1, "pushes": 2, "second pushes": 1, "pushes to cold": 1,
 			"pushes to draining": 1, "dials": 2, "dials failed": 1, "ended reset": 1},
-			ToServer: map[string]int{"a": 1, "b": 1}, Dials: map[string]int{"a": 1}},
-		{From: 2 * time.Second, Counts: map[string]int{"answers nacked": 1, "unsent of category 2": 1, "shared control starts": 1,
-			"control starts": 1, "watches ended": 1, "pushes": 1}, ToServer: map[string]int{"a": 1}, Dials: map[string]int{}},
+			PushesByServer: map[string]int{"a": 1, "b": 1}, DialsByServer: map[string]int{"a": 1}},
+		{Start: 2 * time.Second, Counts: map[string]int{"answers nacked": 1, "unsent of category 2": 1, "shared control starts": 1,
+			"control starts": 1, "watches ended": 1, "pushes": 1}, PushesByServer: map[string]int{"a": 1}, DialsByServer: map[string]int{}},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if f.Broken != 2 || len(f.Nodes) != 2 {
-		t.Errorf("%d broken lines, %d nodes", f.Broken, len(f.Nodes))
+	if f.UnreadableLines != 2 || len(f.LinesByNode) != 2 {
+		t.Errorf("%d broken lines, %d nodes", f.UnreadableLines, len(f.LinesByNode))
 	}
 	var out strings.Builder
-	if err := f.Table(&out); err != nil || !strings.Contains(out.String(), "| pushes | 2 | 1 |\n") ||
+	if err := f.WriteTable(&out); err != nil || !strings.Contains(out.String(), "| pushes | 2 | 1 |\n") ||
 		!strings.HasPrefix(out.String(), "2 nodes, 15 lines, 2 that could not be read; windows of 2s\n") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
@@ -61,7 +61,7 @@
 // No line at all is no window.
 func TestEmpty(t *testing.T) {
 	f := New(time.Second, time.Second)
-	if f.Read(strings.NewReader("")) != nil || len(f.Count()) != 0 {
+	if f.ReadLog(strings.NewReader("")) != nil || len(f.Count()) != 0 {
 		t.Error("windows of nothing")
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -21,24 +21,24 @@
 )
 
 // Choice is what of an experiment a run is free to choose.
-type Choice struct {
-	Name   string // of an experiment that comes with the program, or a file
-	Short  bool
-	Seed   uint64
-	Driver string // "": the experiment's
-	Policy string
-	Fault  string
-	Node   string // a node's program in place of this one's own; live only
-	Trace  string // of arrivals, in place of the experiment's load
-	Listen string // of the first node; live only
-	Logs   string // a directory for the nodes' logs; live only
-	Nodes  int    // of the first tier, in place of the experiment's; 0: those
-	Alone  bool   // nodes don't hear each other, whatever the experiment says
-	Self   string // this program, which is a node with the argument "node"
+type RunOptions struct {
+	Experiment     string // of an experiment that comes with the program, or a file
+	Short          bool
+	Seed           uint64
+	Driver         string // "": the experiment's
+	Policy         string
+	InjectedFault  string
+	NodeProgram    string // a node's program in place of this one's own; live only
+	TraceFile      string // of arrivals, in place of the experiment's load
+	ListenAddr     string // of the first node; live only
+	LogDir         string // a directory for the nodes' logs; live only
+	NodeCount      int    // of the first tier, in place of the experiment's; 0: those
+	NoPeerMessages bool   // nodes don't hear each other, whatever the experiment says
+	SelfPath       string // this program, which is a node with the argument "node"
 }
 
 // Find reads an experiment: a file, or one that comes with the program.
-func Find(own fs.FS, name string) (*scenario.Scenario, error) {
+func ReadExperiment(own fs.FS, name string) (*scenario.Scenario, error) {
 	if strings.HasSuffix(name, ".toml") {
 		return scenario.Read(os.DirFS(filepath.Dir(name)), filepath.Base(name))
 	}
@@ -50,8 +50,8 @@
 }
 
 // Command is how a run is made again.
-func (c *Choice) Command() string {
-	out := "canvaslab run " + c.Name
+func (c *RunOptions) Command() string {
+	out := "canvaslab run " + c.Experiment
 	add := func(flag, value string) {
 		if value != "" {
 			out += " --" + flag + " " + value
@@ -63,21 +63,21 @@
 	add("seed", fmt.Sprint(c.Seed))
 	add("driver", c.Driver)
 	add("policy", c.Policy)
-	add("break", c.Fault)
-	add("node", c.Node)
-	add("trace", c.Trace)
-	if c.Nodes > 0 {
-		add("nodes", fmt.Sprint(c.Nodes))
+	add("break", c.InjectedFault)
+	add("node", c.NodeProgram)
+	add("trace", c.TraceFile)
+	if c.NodeCount > 0 {
+		add("nodes", fmt.Sprint(c.NodeCount))
 	}
-	if c.Alone {
+	if c.NoPeerMessages {
 		out += " --alone"
 	}
 	return out
 }
 
 // Arrivals are the load of a run.
-func (c *Choice) Arrivals(s *scenario.Scenario, length policy.Micros) ([]load.Arrival, error) {
-	file := c.Trace
+func (c *RunOptions) Arrivals(s *scenario.Scenario, length policy.Micros) ([]load.Arrival, error) {
+	file := c.TraceFile
 	if file == "" {
 		file = s.Load.TraceFile
 	}
@@ -93,7 +93,7 @@
 }
 
 // length is how long the load of a run lasts.
-func (c *Choice) length(s *scenario.Scenario) policy.Micros {
+func (c *RunOptions) length(s *scenario.Scenario) policy.Micros {
 	if c.Short {
 		return s.ShortDuration.Micros()
 	}
@@ -101,30 +101,30 @@
 }
 
 // program is a node's process.
-func (c *Choice) program() live.Program {
-	if c.Node != "" {
-		return live.Program{Path: c.Node}
+func (c *RunOptions) program() live.Program {
+	if c.NodeProgram != "" {
+		return live.Program{Path: c.NodeProgram}
 	}
 	args := []string{"node"}
 	if c.Policy != "" {
 		args = append(args, "--policy", c.Policy)
 	}
-	if c.Fault != "" {
-		args = append(args, "--break", c.Fault)
+	if c.InjectedFault != "" {
+		args = append(args, "--break", c.InjectedFault)
 	}
-	return live.Program{Path: c.Self, Args: args, Own: true}
+	return live.Program{Path: c.SelfPath, Args: args, ExitsWithStdin: true}
 }
 
 // Tick is called about once a second of a run.
-type Tick func(now policy.Micros, a *ledger.Ledger)
+type ProgressFunc func(now policy.Micros, a *ledger.Ledger)
 
 // Play plays an experiment and judges it. When ctx is done before the end the result is partial, and nothing but the
 // rules is judged.
-func Play(ctx context.Context, s *scenario.Scenario, c Choice, tick Tick) (*ledger.Result, error) {
-	if c.Nodes > 0 {
-		s.Tiers[0].NodeCount = c.Nodes
+func Run(ctx context.Context, s *scenario.Scenario, c RunOptions, tick ProgressFunc) (*ledger.Result, error) {
+	if c.NodeCount > 0 {
+		s.Tiers[0].NodeCount = c.NodeCount
 	}
-	if c.Alone && s.Fleet != nil {
+	if c.NoPeerMessages && s.Fleet != nil {
 		s.Fleet = &scenario.Fleet{}
 	}
 	length := c.length(s)
@@ -143,14 +143,14 @@
 	var account *ledger.Ledger
 	switch driver {
 	case "sim":
-		if c.Node != "" {
+		if c.NodeProgram != "" {
 			return nil, errors.New("another program's nodes can't be played in simulated time")
 		}
-		result, account, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: c.Policy, Fault: c.Fault, Seed: c.Seed,
+		result, account, err = sim.Run(ctx, sim.Options{Scenario: s, Policy: c.Policy, Fault: c.InjectedFault, Seed: c.Seed,
 			LoadDuration: length, Arrivals: arrivals, OnSecond: tick})
 	case "live":
 		result, account, err = live.Run(ctx, live.Options{Scenario: s, Program: c.program(), Seed: c.Seed,
-			Length: length, Arrivals: arrivals, Listen: c.Listen, Logs: c.Logs, Tick: tick})
+			LoadDuration: length, Arrivals: arrivals, ListenAddr: c.ListenAddr, LogDir: c.LogDir, OnSecond: tick})
 	default:
 		err = fmt.Errorf("driver %q is not one of live, sim", driver)
 	}
@@ -167,17 +167,17 @@
 }
 
 // judge writes down what was not met. With a fault, all that is expected is that the ledger catches it.
-func (c *Choice) judge(result *ledger.Result, account *ledger.Ledger, s *scenario.Scenario) {
+func (c *RunOptions) judge(result *ledger.Result, account *ledger.Ledger, s *scenario.Scenario) {
 	switch {
-	case c.Fault != "":
+	case c.InjectedFault != "":
 		result.FailedExpectations = []string{}
-		rule := trial.Faults[c.Fault]
+		rule := trial.Faults[c.InjectedFault]
 		for _, broken := range result.BrokenRules {
 			if broken == rule {
 				return
 			}
 		}
-		result.FailedExpectations = append(result.FailedExpectations, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.Fault, rule))
+		result.FailedExpectations = append(result.FailedExpectations, fmt.Sprintf("fault %s breaks rule %q, and the ledger did not see it", c.InjectedFault, rule))
 	case result.Partial:
 		*s = scenario.Scenario{Categories: s.Categories, Tenants: s.Tenants, Limits: s.Limits}
 		result.CheckExpectations(account)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -24,7 +24,7 @@
 
 func find(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
-	s, err := Find(experiments.Files, name)
+	s, err := ReadExperiment(experiments.Files, name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,18 +35,18 @@
 // results is one page that needs no other file.
 func TestPlayJudgeReport(t *testing.T) {
 	s := find(t, "all-slow")
-	c := Choice{Name: "all-slow", Seed: 1, Driver: "sim"}
-	module, err := Play(t.Context(), s, c, nil)
+	c := RunOptions{Experiment: "all-slow", Seed: 1, Driver: "sim"}
+	module, err := Run(t.Context(), s, c, nil)
 	if err != nil || len(module.FailedExpectations) > 0 {
 		t.Fatalf("%v %v", err, module.FailedExpectations)
 	}
 	high := 1.0
 	s.Expect.MinServedBenefit = &high
-	if r, _ := Play(t.Context(), s, c, nil); len(r.FailedExpectations) != 1 || !strings.Contains(r.FailedExpectations[0], "served_benefit") {
+	if r, _ := Run(t.Context(), s, c, nil); len(r.FailedExpectations) != 1 || !strings.Contains(r.FailedExpectations[0], "served_benefit") {
 		t.Errorf("failures %v", r.FailedExpectations)
 	}
 	c.Policy = "random"
-	random, err := Play(t.Context(), find(t, "all-slow"), c, nil)
+	random, err := Run(t.Context(), find(t, "all-slow"), c, nil)
 	if err != nil || random.Policy != "random" || random.ServedBenefit >= module.ServedBenefit {
 		t.Errorf("%v: random served %v, the module %v", err, random.ServedBenefit, module.ServedBenefit)
 	}
@@ -79,7 +79,7 @@
 func TestPartialReport(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := find(t, "steady")
-	r, err := Play(ctx, s, Choice{Name: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Ledger) {
+	r, err := Run(ctx, s, RunOptions{Experiment: "steady", Seed: 1, Driver: "sim"}, func(now policy.Micros, _ *ledger.Ledger) {
 		if now >= 3*policy.Second {
 			cancel()
 		}
@@ -97,19 +97,19 @@
 
 func TestBadChoices(t *testing.T) {
 	s := find(t, "steady")
-	for want, c := range map[string]Choice{
+	for want, c := range map[string]RunOptions{
 		"driver":                          {Driver: "paper"},
 		`policy "luck"`:                   {Driver: "sim", Policy: "luck"},
-		`fault "rust"`:                    {Driver: "sim", Fault: "rust"},
-		"can't be played":                 {Driver: "sim", Node: "/bin/true"},
-		"no such file":                    {Driver: "sim", Trace: "/nonexistent"},
-		`no experiment "nothing of mine"`: {Name: "nothing of mine"},
+		`fault "rust"`:                    {Driver: "sim", InjectedFault: "rust"},
+		"can't be played":                 {Driver: "sim", NodeProgram: "/bin/true"},
+		"no such file":                    {Driver: "sim", TraceFile: "/nonexistent"},
+		`no experiment "nothing of mine"`: {Experiment: "nothing of mine"},
 	} {
 		var err error
-		if c.Name != "" {
-			_, err = Find(experiments.Files, c.Name)
+		if c.Experiment != "" {
+			_, err = ReadExperiment(experiments.Files, c.Experiment)
 		} else {
-			_, err = Play(t.Context(), s, c, nil)
+			_, err = Run(t.Context(), s, c, nil)
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -132,7 +132,7 @@
 	var file bytes.Buffer
 	done := make(chan int)
 	go func() {
-		n, err := Record(ctx, s, addr, strings.TrimPrefix(behind.URL, "http://"), &file)
+		n, err := RecordTrace(ctx, s, addr, strings.TrimPrefix(behind.URL, "http://"), &file)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -16,14 +16,14 @@
 )
 
 // SamplesEnv names the file that a node of the laboratory writes its throttles to.
-const SamplesEnv = "CANVASLAB_THROTTLES"
+const ThrottleFileEnv = "CANVASLAB_THROTTLES"
 
 // Sample is one line of that file.
-type Sample struct {
-	At     policy.Micros `json:"at"`
-	Server string        `json:"server"`
-	Rate   float64       `json:"rate"`
-	Cut    int           `json:"cut"`
+type ThrottleSample struct {
+	At          policy.Micros `json:"at"`
+	Server      string        `json:"server"`
+	Rate        float64       `json:"rate"`
+	CutoffLevel int           `json:"cut"`
 }
 
 // sampleEvery is how often a node writes down its throttles.
@@ -37,9 +37,9 @@
 		os.Exit(3)
 	}()
 	return serve.Main(serve.Options{
-		Decider: func(c *config.Config) (policy.Decider, error) {
+		NewDecider: func(c *config.Config) (policy.Decider, error) {
 			d, module, err := trial.New(name, fault, c.Rules, c.Seed)
-			file := os.Getenv(SamplesEnv)
+			file := os.Getenv(ThrottleFileEnv)
 			if err != nil || module == nil || file == "" {
 				return d, err
 			}
@@ -49,7 +49,7 @@
 			}
 			return &sampler{Decider: d, module: module, names: names(), lines: json.NewEncoder(out)}, nil
 		},
-		Slack: func(settings policy.Micros) policy.Micros { return trial.AnswerSlack(fault, settings) },
+		AdjustAnswerSlack: func(settings policy.Micros) policy.Micros { return trial.AnswerSlack(fault, settings) },
 	})
 }
 
@@ -65,12 +65,12 @@
 func (s *sampler) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if now >= s.next {
 		s.next = now + sampleEvery
-		s.module.Throttles(func(server policy.ServerID, rate float64, cut int) {
+		s.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
 			name := s.names[server]
 			if server == 0 {
 				name = "all"
 			}
-			s.lines.Encode(Sample{At: now, Server: name, Rate: rate, Cut: cut})
+			s.lines.Encode(ThrottleSample{At: now, Server: name, Rate: rate, CutoffLevel: cut})
 		})
 	}
 	return s.Decider.Step(now, in)
@@ -83,7 +83,7 @@
 func names() map[policy.ServerID]string {
 	out := make(map[policy.ServerID]string)
 	for i := range mostServers {
-		out[ServerID(i)] = registry.ID(i)
+		out[ServerID(i)] = registry.InstanceID(i)
 	}
 	return out
 }
@@ -91,6 +91,6 @@
 // ServerID is the number that nodes make of a server's text id.
 func ServerID(place int) policy.ServerID {
 	h := fnv.New64a()
-	fmt.Fprint(h, registry.ID(place))
+	fmt.Fprint(h, registry.InstanceID(place))
 	return policy.ServerID(h.Sum64() >> 16)
 }
--- a/internal/lab/live/client.go
+++ b/internal/lab/live/client.go
@@ -186,7 +186,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		var from server.Body
+		var from server.AnswerBody
 		if json.Unmarshal(body, &from) == nil {
 			r.account.RecordServedBy(from.Push)
 		}
