--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -35,22 +35,22 @@
 
 // Options say what is played.
 type Options struct {
-	Scenario *scenario.Scenario
-	Program  Program
-	Seed     uint64
-	Length   policy.Micros // of the load
-	Arrivals []load.Arrival
-	Listen   string // of the first node; left out: any free address
-	Logs     string // a directory for the nodes' logs, at level info; left out: only last lines are kept
-	Tick     func(now policy.Micros, a *ledger.Ledger)
+	Scenario     *scenario.Scenario
+	Program      Program
+	Seed         uint64
+	LoadDuration policy.Micros // of the load
+	Arrivals     []load.Arrival
+	ListenAddr   string // of the first node; left out: any free address
+	LogDir       string // a directory for the nodes' logs, at level info; left out: only last lines are kept
+	OnSecond     func(now policy.Micros, a *ledger.Ledger)
 }
 
 const (
-	watch     = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sendLate  = 10 * policy.Millisecond  // a send later than this has missed its schedule
-	mostLate  = 0.01                     // share of missed sends that makes a run void
-	lastServe = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
-	Span      = 500 * policy.Millisecond // of the report's buckets
+	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
+	sendLate       = 10 * policy.Millisecond  // a send later than this has missed its schedule
+	mostLate       = 0.01                     // share of missed sends that makes a run void
+	lastServe      = 500 * time.Millisecond   // in which what runs on at servers may still be an effect too many
+	BucketDuration = 500 * policy.Millisecond // of the report's buckets
 )
 
 type run struct {
@@ -63,16 +63,16 @@
 	servers  []*server.Server
 	nodes    []*balancer
 	twins    map[int]*balancer // second processes, by the node whose name they have
-	rig      *together.Rig
-	liars    []*together.Liar
+	rig      *together.Network
+	liars    []*together.FalseReporter
 	closed   atomic.Int64 // the largest part of a node's servers that hearsay closed, as nodes say, in thousandths
-	lag      *together.Lag
+	lag      *together.TimerLag
 	registry []*registry.Service
 	begin    policy.Micros
 	turn     atomic.Int64
-	step     atomic.Int64  // of clients' clocks
-	before   []relay.Count // what nodes had said when the load began
-	failed   chan error    // holds one
+	step     atomic.Int64    // of clients' clocks
+	before   []relay.Traffic // what nodes had said when the load began
+	failed   chan error      // holds one
 	mu       sync.Mutex
 	asked    map[ledger.TryID]question
 	memories scenario.DedupMemories
@@ -105,11 +105,11 @@
 	for _, n := range r.nodes {
 		n.door.drop(r.account)
 	}
-	result := r.account.Finish(r.begin + min(o.Length, r.now()-r.begin))
+	result := r.account.Finish(r.begin + min(o.LoadDuration, r.now()-r.begin))
 	result.Partial = partial
 	result.PeerTraffic = r.traffic()
-	late, _ := r.lag.End()
-	late = max(late, r.rig.Late())
+	late, _ := r.lag.Stop()
+	late = max(late, r.rig.MaxLateness())
 	result.HarnessLateMs = float64(late.Microseconds()) / 1000
 	// Danger: a machine that is too busy looks like a node at fault. What the rig itself was late with is no node's.
 	if most := duration(r.account.Tolerance()); late > most {
@@ -123,9 +123,9 @@
 }
 
 // said is what each place of the rig has sent so far.
-func (r *run) said() (all []relay.Count) {
+func (r *run) said() (all []relay.Traffic) {
 	for i := 0; r.rig.Relay != nil && i < r.Scenario.Tiers[0].NodeCount; i++ {
-		all = append(all, r.rig.Relay.Count(i))
+		all = append(all, r.rig.Relay.Traffic(i))
 	}
 	return all
 }
@@ -138,12 +138,12 @@
 	t, seconds, nodes := &ledger.PeerTraffic{}, float64(r.now()-r.begin)/float64(policy.Second), float64(len(r.before))
 	for i, now := range r.said() {
 		was := r.before[i]
-		bytes := float64(now.SentBytes - was.SentBytes + now.StreamBytes - was.StreamBytes)
+		bytes := float64(now.SentBytes - was.SentBytes + now.SentStreamBytes - was.SentStreamBytes)
 		t.BytesPerSecond += bytes / nodes / seconds
 		t.MaxBytesPerSecond = max(t.MaxBytesPerSecond, bytes/seconds)
 		t.DatagramsPerSecond += float64(now.SentDatagrams-was.SentDatagrams) / nodes / seconds
 		t.StreamsPerSecond += float64(now.SentStreams-was.SentStreams) / nodes / seconds
-		t.StreamBytesPerSecond += float64(now.StreamBytes-was.StreamBytes) / nodes / seconds
+		t.StreamBytesPerSecond += float64(now.SentStreamBytes-was.SentStreamBytes) / nodes / seconds
 	}
 	t.MaxClosedByPeers = float64(r.closed.Load()) / 1000
 	return t
@@ -167,17 +167,17 @@
 			if !n.hears {
 				continue
 			}
-			view, err := fleet.Ask(ctx, r.rig.Place(n.beside).Control)
+			view, err := fleet.FetchView(ctx, r.rig.Addresses(n.beside).ControlSocket)
 			if err != nil {
 				continue // it is down, or stopped
 			}
 			closed := 0
 			for _, s := range view.Servers {
-				if s.Part < 1.0/3 {
+				if s.RemainingFraction < 1.0/3 {
 					closed++
 				}
 			}
-			if part := int64(1000 * closed / max(1, view.Listed)); part > r.closed.Load() {
+			if part := int64(1000 * closed / max(1, view.ReadyServers)); part > r.closed.Load() {
 				r.closed.Store(part)
 			}
 		}
@@ -213,7 +213,7 @@
 	r := &run{Options: o, clock: node.NewClock(), plan: o.Scenario.Plan(stream.New(o.Seed, "troubles")),
 		failed: make(chan error, 1), asked: make(map[ledger.TryID]question), memories: make(scenario.DedupMemories),
 		twins: make(map[int]*balancer)}
-	r.account = ledger.New(o.Scenario, r.now(), Span, false)
+	r.account = ledger.New(o.Scenario, r.now(), BucketDuration, false)
 	var err error
 	if r.ports, err = newPorts(); err != nil {
 		return nil, err
@@ -221,12 +221,12 @@
 	if r.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
 		return nil, err
 	}
-	r.rig, err = together.New(o.Scenario, r.plan, r.dir, o.Seed, stream.New(o.Seed, "between"))
+	r.rig, err = together.NewNetwork(o.Scenario, r.plan, r.dir, o.Seed, stream.New(o.Seed, "between"))
 	if err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.lag = together.NewLag()
+	r.lag = together.NewTimerLag()
 	for _, step := range []func(context.Context) error{r.startServers, r.startRegistry, r.startNodes} {
 		if err := step(ctx); err != nil {
 			r.stop()
@@ -238,12 +238,12 @@
 
 func (r *run) startServers(context.Context) error {
 	for i, m := range r.plan.Machines {
-		s := server.New(i, m.Type, m.ModelSpec(r.Scenario), r.ports.addr(), server.World{Account: r.account, Now: r.now,
-			Find: func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
-			Call: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
+		s := server.New(i, m.Type, m.ModelSpec(r.Scenario), r.ports.addr(), server.Environment{Ledger: r.account, Now: r.now,
+			FindOp:       func(id string, q *http.Request) (ledger.TryID, *server.Op, bool) { return r.find(id, q, m) },
+			CallNextTier: func(try ledger.TryID, op *server.Op, until policy.Micros) bool { return r.call(i, try, op, until) }})
 		r.servers = append(r.servers, s)
 		if i < r.plan.InitialCount {
-			if err := s.Up(false); err != nil {
+			if err := s.Start(false); err != nil {
 				return err
 			}
 		}
@@ -259,10 +259,10 @@
 				standing = append(standing, m.RegistryEntry(i))
 			}
 		}
-		words := registry.Words{Zones: r.Scenario.Zones, Told: r.told(t),
+		words := registry.Options{Zones: r.Scenario.Zones, OnSent: r.told(t),
 			Addr: func(i int) string { return r.servers[i].Addr() }}
 		for _, k := range tier.MachineTypes {
-			words.Kinds = append(words.Kinds, k.Name)
+			words.MachineTypes = append(words.MachineTypes, k.Name)
 		}
 		catalog := registry.NewCatalog(standing, r.Scenario.Registry.Mode == "whole")
 		service := registry.NewService(catalog, duration(r.Scenario.Registry.Delay.Micros()), words)
@@ -275,12 +275,12 @@
 			if err != nil {
 				return err
 			}
-			listen := r.Listen
+			listen := r.ListenAddr
 			if listen == "" || i > 0 {
 				listen = r.ports.addr()
 			}
 			r.nodes = append(r.nodes, &balancer{Node: b, run: r, place: i, door: &door{addr: listen}, beside: i,
-				hears: r.hears(b), discovery: addr, known: words.Line(1, standing, true)})
+				hears: r.hears(b), discovery: addr, known: words.EncodeList(1, standing, true)})
 		}
 	}
 	return nil
@@ -300,14 +300,14 @@
 		listed := make(map[int]bool)
 		for _, e := range entries {
 			listed[e.Server] = true
-			r.account.RecordServerState(node, e.Server, e.State, e.Started, r.now())
+			r.account.RecordServerState(node, e.Server, e.State, e.StartedAt, r.now())
 		}
 		if !whole {
 			return
 		}
 		for i, m := range r.plan.Machines {
 			if m.Tier == tier && !listed[i] {
-				r.account.RecordServerState(node, i, policy.Gone, r.servers[i].Started(), r.now())
+				r.account.RecordServerState(node, i, policy.Gone, r.servers[i].StartedAt(), r.now())
 			}
 		}
 	}
@@ -358,7 +358,7 @@
 	}
 	all.Wait() // each has its own end
 	for _, s := range r.servers {
-		s.Down(false)
+		s.Stop(false)
 	}
 	for _, s := range r.registry {
 		s.Close()
@@ -368,7 +368,7 @@
 	}
 	r.rig.Close()
 	if r.lag != nil {
-		r.lag.End()
+		r.lag.Stop()
 	}
 	r.ports.close()
 	os.RemoveAll(r.dir)
@@ -379,14 +379,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.begin = r.now() + r.Scenario.Load.LeadTime.Micros()
-	r.lag.Begin()
+	r.lag.Reset()
 	r.before = r.said()
 	r.account.SetLoadStart(r.begin)
 	var work, steps sync.WaitGroup
 	steps.Go(func() { r.troubles(ctx, &steps) })
 	ticks, stopTicks := context.WithCancel(ctx)
 	steps.Go(func() { r.look(ticks) })
-	if r.Tick != nil {
+	if r.OnSecond != nil {
 		go r.tick(ticks)
 	}
 	generated := make(chan struct{})
@@ -476,7 +476,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			r.Tick(r.now()-r.begin, r.account)
+			r.OnSecond(r.now()-r.begin, r.account)
 		case <-ctx.Done():
 			return
 		}
@@ -504,16 +504,16 @@
 		return 0, nil, false
 	}
 	op := &server.Op{Key: strconv.Itoa(int(q.op)), Category: q.category, Work: q.arrival.WorkByTier[m.Tier],
-		Lock: &r.memory}
+		DedupLock: &r.memory}
 	if m.Tier+1 < len(r.Scenario.Tiers) {
-		op.Calls = q.arrival.CallsByTier[m.Tier]
+		op.DownstreamCalls = q.arrival.CallsByTier[m.Tier]
 	}
-	op.Memory = r.memoryOf(q.category, m)
+	op.Dedup = r.memoryOf(q.category, m)
 	return try, op, true
 }
 
 // memoryOf is that of a category's group, or nil. The lock is held.
-func (r *run) memoryOf(category int, m scenario.Machine) *standin.Memory {
+func (r *run) memoryOf(category int, m scenario.Machine) *standin.DedupMemory {
 	return r.memories.Get(r.Scenario, category, m, r.account.Tolerance())
 }
 
@@ -549,9 +549,9 @@
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		var s labnode.Sample
+		var s labnode.ThrottleSample
 		if json.Unmarshal(lines.Bytes(), &s) == nil { // the last line of a node that was killed may be half
-			r.account.RecordThrottle(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, CutoffLevel: s.Cut})
+			r.account.RecordThrottle(s.At, ledger.Throttle{Server: s.Server, Rate: s.Rate, CutoffLevel: s.CutoffLevel})
 		}
 	}
 }
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -49,8 +49,8 @@
 func options(t *testing.T, s *scenario.Scenario, fault string, length policy.Micros) Options {
 	t.Helper()
 	// env(1) sets the variable for this run's processes alone, so that runs can go side by side.
-	return Options{Scenario: s, Seed: 1, Length: length, Arrivals: load.Generate(s, length, 1),
-		Program: Program{Path: "/usr/bin/env", Args: []string{asNode + "=sound" + fault, os.Args[0]}, Own: true}}
+	return Options{Scenario: s, Seed: 1, LoadDuration: length, Arrivals: load.Generate(s, length, 1),
+		Program: Program{Path: "/usr/bin/env", Args: []string{asNode + "=sound" + fault, os.Args[0]}, ExitsWithStdin: true}}
 }
 
 // The rules hold on sockets, and each one broken on purpose is seen. The runs are a few seconds; the whole experiments
@@ -129,7 +129,7 @@
 	}
 	defer l.Close()
 	o := options(t, read(t, "steady"), "", policy.Second)
-	o.Listen = l.Addr().String()
+	o.ListenAddr = l.Addr().String()
 	_, _, err = Run(t.Context(), o)
 	if err == nil || !strings.Contains(err.Error(), "node 0") || !strings.Contains(err.Error(), "address already in use") ||
 		strings.Contains(err.Error(), "\n") {
@@ -171,7 +171,7 @@
 	o := options(t, read(t, "steady"), "", 10*policy.Second)
 	shell(t, &o, `"$0" <&3 & wait`)
 	ctx, cancel := context.WithCancel(t.Context())
-	o.Tick = func(policy.Micros, *ledger.Ledger) { cancel() }
+	o.OnSecond = func(policy.Micros, *ledger.Ledger) { cancel() }
 	begun := time.Now()
 	ended := make(chan *ledger.Result, 1)
 	go func() {
@@ -264,8 +264,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	taken := server.New(3, &scenario.MachineType{}, fleet.Traits{Cores: 1, Speed: 1}, l.Addr().String(), server.World{})
-	if err := taken.Up(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
+	taken := server.New(3, &scenario.MachineType{}, fleet.Spec{Cores: 1, Speed: 1}, l.Addr().String(), server.Environment{})
+	if err := taken.Start(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -288,7 +288,7 @@
 	s := read(t, "steady")
 	ctx, cancel := context.WithCancel(t.Context())
 	o := options(t, s, "", 10*policy.Second)
-	o.Tick = func(policy.Micros, *ledger.Ledger) { cancel() }
+	o.OnSecond = func(policy.Micros, *ledger.Ledger) { cancel() }
 	r, _, err := Run(ctx, o)
 	if err != nil || !r.Partial || r.Served == 0 || len(r.BrokenRules) > 0 {
 		t.Errorf("%v, %+v", err, r)
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -23,9 +23,9 @@
 
 // Program says how a node's process is started.
 type Program struct {
-	Path string   // of the program
-	Args []string // before which NODE_CONFIG is set
-	Own  bool     // it ends when its standard input does
+	Path           string   // of the program
+	Args           []string // before which NODE_CONFIG is set
+	ExitsWithStdin bool     // it ends when its standard input does
 }
 
 // balancer is one node's process.
@@ -104,7 +104,7 @@
 	seed := stream.New(b.run.Seed, "node "+strconv.Itoa(b.place)+" "+strconv.Itoa(b.lives)).Uint64()
 	file := filepath.Join(b.run.dir, fmt.Sprintf("node-%d-%d.json", b.place, b.beside))
 	config := b.run.Scenario.NodeConfig(b.Node, fmt.Sprintf("n%d", b.place), b.door.addr, b.discovery, seed, b.known, b.fleet())
-	if b.run.Logs != "" { // then its environment says
+	if b.run.LogDir != "" { // then its environment says
 		config = bytes.Replace(config, []byte(`"log_level":"warn",`), nil, 1)
 	}
 	if err := os.WriteFile(file, config, 0o600); err != nil {
@@ -112,12 +112,12 @@
 	}
 	p := b.run.Program
 	cmd := exec.Command(p.Path, p.Args...)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, labnode.SamplesEnv+"="+b.samples())
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, labnode.ThrottleFileEnv+"="+b.samples())
 	b.log = &tail{}
 	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = b.log, b.log, outputWait
-	if b.run.Logs != "" {
+	if b.run.LogDir != "" {
 		cmd.Env = append(cmd.Env, "NODE_LOG_LEVEL=info")
-		file, err := os.OpenFile(filepath.Join(b.run.Logs, fmt.Sprintf("node-%d-%d.log", b.place, b.beside)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		file, err := os.OpenFile(filepath.Join(b.run.LogDir, fmt.Sprintf("node-%d-%d.log", b.place, b.beside)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
 		}
@@ -183,12 +183,12 @@
 	if !b.hears {
 		return nil
 	}
-	at := b.run.rig.Place(b.beside)
+	at := b.run.rig.Addresses(b.beside)
 	join := []string{}
 	for i := range min(3, len(b.run.nodes)) { // the same few for all
-		join = append(join, b.run.rig.Place(i).Advertise.String())
+		join = append(join, b.run.rig.Addresses(i).Advertise.String())
 	}
-	return map[string]any{"listen": at.Listen.String(), "advertise": at.Advertise.String(), "join": join, "control": at.Control}
+	return map[string]any{"listen": at.Listen.String(), "advertise": at.Advertise.String(), "join": join, "control": at.ControlSocket}
 }
 
 // stop stops the process where it stands, or lets it go on.
--- a/internal/lab/live/troubles.go
+++ b/internal/lab/live/troubles.go
@@ -22,7 +22,7 @@
 func (r *run) troubles(ctx context.Context, beside *sync.WaitGroup) {
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
-		if step.At >= r.Length {
+		if step.At >= r.LoadDuration {
 			return
 		}
 		select {
@@ -46,30 +46,30 @@
 	}
 	switch step.Action {
 	case scenario.ServerSlow:
-		s.Slow(step.Factor)
+		s.SetSlowdown(step.Factor)
 	case scenario.ServerStall:
 		s.Stall(r.begin + step.Time)
 	case scenario.ServerCrash, scenario.ServerSilence:
-		s.Down(step.Action == scenario.ServerSilence)
+		s.Stop(step.Action == scenario.ServerSilence)
 		if n := r.behind(step.Server); n != nil {
 			check(n.kill())
 		}
 	case scenario.ServerStart:
-		check(s.Up(true))
+		check(s.Start(true))
 		if n := r.behind(step.Server); n != nil {
 			beside.Go(func() { check(n.start(ctx)) })
 		}
 	case scenario.ServerSetMode:
-		s.Behave(step.Mode)
+		s.SetMode(step.Mode)
 	case scenario.ServerSetListed:
 		m := r.plan.Machines[step.Server]
-		r.registry[m.Tier].Change(func(c *registry.Catalog) {
-			e, known := c.Entry(step.Server)
+		r.registry[m.Tier].Update(func(c *registry.Catalog) {
+			e, known := c.Lookup(step.Server)
 			if !known {
 				e = m.RegistryEntry(step.Server)
 			}
-			e.State, e.Started = step.State, s.Started()
-			c.Set(e)
+			e.State, e.StartedAt = step.State, s.StartedAt()
+			c.SetEntry(e)
 		})
 	case scenario.RegistryDown, scenario.RegistryUp, scenario.RegistryDelay, scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot,
 		scenario.RegistryServeCurrent:
@@ -90,7 +90,7 @@
 		beside.Go(func() { check(n.start(ctx)) })
 	case scenario.NodeStartMoved:
 		n := r.nodes[step.Node]
-		next, err := r.rig.Further(n.beside)
+		next, err := r.rig.NextSlot(n.beside)
 		check(err)
 		n.beside = next
 		beside.Go(func() { check(n.start(ctx)) })
@@ -105,9 +105,9 @@
 	case scenario.FalseReportsDown, scenario.FalseReportsHealthy:
 		check(r.lie(step))
 	case scenario.PeerFaultStart, scenario.PeerFaultEnd:
-		r.rig.Carry(step)
+		r.rig.ApplyStep(step)
 	case scenario.PartialLoss:
-		s.Ignore(step.Factor, r.odd)
+		s.SetIgnoredShare(step.Factor, r.odd)
 	case scenario.ClockStep:
 		r.step.Store(int64(step.Time))
 	}
@@ -116,7 +116,7 @@
 // twin is a second process of a node's name, number and configuration, at other addresses. No client comes to it.
 func (r *run) twin(node int) (*balancer, error) {
 	of := r.nodes[node]
-	next, err := r.rig.Further(of.beside)
+	next, err := r.rig.NextSlot(of.beside)
 	if err != nil {
 		return nil, err
 	}
@@ -131,8 +131,8 @@
 	if !r.nodes[step.Node].hears {
 		return nil // nobody would hear it
 	}
-	ill := map[scenario.Action]judged.Ill{scenario.FalseReportsDown: judged.Down, scenario.FalseReportsHealthy: judged.Well}[step.Action]
-	place, err := r.rig.Further(step.Node)
+	ill := map[scenario.Action]judged.Condition{scenario.FalseReportsDown: judged.Down, scenario.FalseReportsHealthy: judged.Healthy}[step.Action]
+	place, err := r.rig.NextSlot(step.Node)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 			servers = append(servers, labnode.ServerID(i))
 		}
 	}
-	liar, err := r.rig.NewLiar(place, r.Scenario.Tiers[0].NodeCount, ill, servers)
+	liar, err := r.rig.NewFalseReporter(place, r.Scenario.Tiers[0].NodeCount, ill, servers)
 	if err == nil {
 		r.liars = append(r.liars, liar)
 	}
@@ -158,15 +158,15 @@
 func (r *run) disturb(service *registry.Service, step *scenario.Step) {
 	switch step.Action {
 	case scenario.RegistryDown, scenario.RegistryUp:
-		service.Down(step.Action == scenario.RegistryDown)
+		service.SetDown(step.Action == scenario.RegistryDown)
 	case scenario.RegistryDelay:
-		service.Slow(duration(r.Scenario.Registry.Delay.Micros() + step.Time))
+		service.SetDelay(duration(r.Scenario.Registry.Delay.Micros() + step.Time))
 	case scenario.RegistrySaveSnapshot:
-		service.Change((*registry.Catalog).Freeze)
+		service.Update((*registry.Catalog).SaveSnapshot)
 	case scenario.RegistryServeSnapshot:
-		service.Change((*registry.Catalog).Thaw)
+		service.Update((*registry.Catalog).ServeSnapshot)
 	case scenario.RegistryServeCurrent:
-		service.Change((*registry.Catalog).Correct)
+		service.Update((*registry.Catalog).ServeCurrent)
 	}
 }
 
@@ -200,7 +200,7 @@
 			calls = a.CallsByTier[m.Tier]
 		}
 		return try, &server.Op{Key: request.Header.Get("Idempotency-Key"), Category: i, Work: a.WorkByTier[m.Tier],
-			Calls: calls, Memory: r.memoryOf(i, m), Lock: &r.memory}, true
+			DownstreamCalls: calls, Dedup: r.memoryOf(i, m), DedupLock: &r.memory}, true
 	}
 	return 0, nil, false
 }
--- a/internal/lab/live/versus.go
+++ b/internal/lab/live/versus.go
@@ -22,29 +22,29 @@
 )
 
 // Way is one of the ways to the servers that Versus compares.
-type Way struct {
+type Target struct {
 	Name    string
 	Program Program // started with NODE_CONFIG, and VERSUS_LISTEN and VERSUS_SERVERS for a plain proxy; none: direct
 }
 
 // Lap is what one way did at one number of connections.
-type Lap struct {
-	Way                string
-	Connections        int
-	OpsPerSecond       float64
-	P50Ms, P99Ms, P999 float64
-	Errors             int
+type Measurement struct {
+	Target               string
+	Connections          int
+	OpsPerSecond         float64
+	P50Ms, P99Ms, P999Ms float64
+	Errors               int
 }
 
 // Environment of a plain proxy.
 const (
-	ListenEnv  = "VERSUS_LISTEN"
-	ServersEnv = "VERSUS_SERVERS"
+	ProxyListenEnv  = "VERSUS_LISTEN"
+	ProxyServersEnv = "VERSUS_SERVERS"
 )
 
 // Versus drives each way in turn, closed loop, with each number of connections for a span, rounds times, against
 // servers that answer at once. One way is idle while another runs. Figures are of all rounds together.
-func Versus(ctx context.Context, ways []Way, connections []int, servers, rounds int, span time.Duration) ([]Lap, error) {
+func CompareTargets(ctx context.Context, ways []Target, connections []int, servers, rounds int, span time.Duration) ([]Measurement, error) {
 	addrs, stopServers, err := instant(servers)
 	if err != nil {
 		return nil, err
@@ -68,13 +68,13 @@
 		defer stop()
 		at[i] = addr
 	}
-	var laps []Lap
+	var laps []Measurement
 	for _, n := range connections {
 		all := make([]*hdrhistogram.Histogram, len(ways))
-		lap := make([]Lap, len(ways))
+		lap := make([]Measurement, len(ways))
 		for i := range ways {
 			all[i] = hdrhistogram.New(1, 60_000_000, 3)
-			lap[i] = Lap{Way: ways[i].Name, Connections: n}
+			lap[i] = Measurement{Target: ways[i].Name, Connections: n}
 		}
 		for round := range rounds {
 			for k := range ways {
@@ -90,7 +90,7 @@
 		for i := range ways {
 			lap[i].OpsPerSecond = float64(all[i].TotalCount()) / (span.Seconds() * float64(rounds))
 			lap[i].P50Ms, lap[i].P99Ms = float64(all[i].ValueAtQuantile(50))/1000, float64(all[i].ValueAtQuantile(99))/1000
-			lap[i].P999 = float64(all[i].ValueAtQuantile(99.9)) / 1000
+			lap[i].P999Ms = float64(all[i].ValueAtQuantile(99.9)) / 1000
 		}
 		laps = append(laps, lap...)
 	}
@@ -122,7 +122,7 @@
 }
 
 // startWay starts a way's process before the servers, on one core.
-func startWay(w Way, dir string, servers []string) (addr string, stop func(), err error) {
+func startWay(w Target, dir string, servers []string) (addr string, stop func(), err error) {
 	own, err := newPorts()
 	if err != nil {
 		return "", nil, err
@@ -140,14 +140,14 @@
 		entries = append(entries, registry.Entry{Server: i, Weight: 1})
 		list += server + " "
 	}
-	words := registry.Words{Zones: s.Zones, Kinds: []string{"std"}, Addr: func(i int) string { return servers[i] }}
+	words := registry.Options{Zones: s.Zones, MachineTypes: []string{"std"}, Addr: func(i int) string { return servers[i] }}
 	file := filepath.Join(dir, strconv.Quote(w.Name)+".json")
-	config := s.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.Line(1, entries, true), nil)
+	config := s.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, w.Name, addr, "127.0.0.1:1", 1, words.EncodeList(1, entries, true), nil)
 	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return "", nil, err
 	}
 	cmd := exec.Command(w.Program.Path, w.Program.Args...)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, ListenEnv+"="+addr, ServersEnv+"="+list, "GOMAXPROCS=1")
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, ProxyListenEnv+"="+addr, ProxyServersEnv+"="+list, "GOMAXPROCS=1")
 	log := &tail{}
 	cmd.Stderr, cmd.WaitDelay = log, outputWait
 	input, err := cmd.StdinPipe()
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -19,7 +19,7 @@
 
 // Record passes traffic on to a node and writes down when each op of a known category came, until ctx is done. Only
 // times, categories and tenants are kept, no header and no body. It gives the number of arrivals.
-func Record(ctx context.Context, s *scenario.Scenario, listen, to string, w io.Writer) (int, error) {
+func RecordTrace(ctx context.Context, s *scenario.Scenario, listen, to string, w io.Writer) (int, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return 0, err
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -99,17 +99,17 @@
 
 func (c *storeCluster) advertised() (all []string) {
 	for k := range replicas {
-		all = append(all, relay.Advertised(c.nodes+k, c.relay.Port()).String())
+		all = append(all, relay.AdvertisedAddr(c.nodes+k, c.relay.Port()).String())
 	}
 	return all
 }
 
 func (c *storeCluster) bound(place int) net.IP {
-	return relay.Bound(place, c.relay.Port()).Addr().AsSlice()
+	return relay.BindAddr(place, c.relay.Port()).Addr().AsSlice()
 }
 
 func (c *storeCluster) startReplica(k int) error {
-	listen, dir := relay.Bound(c.nodes+k, c.relay.Port()).String(), filepath.Join(c.dir, fmt.Sprint("replica-", k))
+	listen, dir := relay.BindAddr(c.nodes+k, c.relay.Port()).String(), filepath.Join(c.dir, fmt.Sprint("replica-", k))
 	if c.program != "" {
 		raw, err := json.Marshal(map[string]any{"number": k, "listen": listen, "replicas": c.advertised(), "dir": dir, "bind": c.bound(c.nodes + k).String()})
 		if err != nil {
@@ -127,7 +127,7 @@
 		return c.awaitReplica(k)
 	}
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: c.bound(c.nodes + k)}}
-	r, err := store.NewReplica(store.ReplicaOptions{Number: k, Peers: c.advertised(), Dir: dir, Check: apply.CheckChange, Dial: dialer.DialContext}, zerolog.Nop())
+	r, err := store.NewReplica(store.ReplicaOptions{Index: k, Replicas: c.advertised(), Dir: dir, Validate: apply.ValidateChange, Dial: dialer.DialContext}, zerolog.Nop())
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := apply.New(apply.Options{Config: conf, Getenv: none, Lock: &sync.Mutex{}, Life: fmt.Sprint(place), Seed: c.seed + uint64(place), Log: zerolog.Nop(),
+	a := apply.New(apply.Options{Config: conf, Getenv: none, InstallLock: &sync.Mutex{}, Incarnation: fmt.Sprint(place), Seed: c.seed + uint64(place), Log: zerolog.Nop(),
 		Install: func(*config.Config) error { return nil }})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -191,13 +191,13 @@
 	return func() { cancel(); <-over }, nil
 }
 
-func (c *storeCluster) state(k int) (*store.State, error) {
-	response, err := c.client.Get("http://" + relay.Bound(c.nodes+k, c.relay.Port()).String() + "/state")
+func (c *storeCluster) state(k int) (*store.ReplicaState, error) {
+	response, err := c.client.Get("http://" + relay.BindAddr(c.nodes+k, c.relay.Port()).String() + "/state")
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	s := &store.State{}
+	s := &store.ReplicaState{}
 	return s, json.NewDecoder(response.Body).Decode(s)
 }
 
@@ -224,17 +224,17 @@
 	if err != nil {
 		return 0, err
 	}
-	response, err := c.client.Post("http://"+relay.Bound(c.nodes+k, c.relay.Port()).String()+"/change", "application/json", bytes.NewReader(raw))
+	response, err := c.client.Post("http://"+relay.BindAddr(c.nodes+k, c.relay.Port()).String()+"/change", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0, err
 	}
 	defer response.Body.Close()
-	var a store.Answer
+	var a store.ChangeResponse
 	if err := json.NewDecoder(response.Body).Decode(&a); err != nil {
 		return 0, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s: %s %s", response.Status, a.Verdict, a.Why)
+		return 0, fmt.Errorf("%s: %s %s", response.Status, a.Verdict, a.Reason)
 	}
 	return a.Version, nil
 }
@@ -246,7 +246,7 @@
 		all, lag := c.reports(), 0
 		for _, place := range places {
 			n, known := all[fmt.Sprintf("n%d", place)]
-			if !known || slices.Contains(n.Keys, key) && n.Runs[key] < version {
+			if !known || slices.Contains(n.Keys, key) && n.Applied[key] < version {
 				lag++
 			}
 		}
@@ -262,7 +262,7 @@
 }
 
 // Changes plays one size: a change for all, a release's changes for services, one replica lost, and a region cut that has no replica.
-func Changes(ctx context.Context, program string, nodes int, calm time.Duration, seed uint64, tell Progress) (p Point, err error) {
+func MeasureChanges(ctx context.Context, program string, nodes int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
 	p = Point{Nodes: nodes, Values: map[string]float64{}}
 	c, err := newStore(nodes, program, seed)
 	if c != nil {
@@ -271,7 +271,7 @@
 	if err != nil {
 		return p, err
 	}
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	all := span(0, nodes)
 	bytesNow := func() (sum float64) {
 		for i := range nodes {
@@ -360,20 +360,20 @@
 	}
 	// The smaller region has no replica, and is cut off.
 	small := max(1, int(cutShare*float64(nodes)))
-	cut := c.relay.Begin(func(from, to int) relay.Way { return relay.Way{Cut: (from < small) != (to < small)} })
+	cut := c.relay.AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < small) != (to < small)} })
 	if err := one("cut_large", 2, all[small:]); err != nil {
 		return p, err
 	}
 	wait(ctx, cutHold)
 	was, begun = bytesNow(), time.Now()
-	c.relay.End(cut)
+	c.relay.RemoveFault(cut)
 	took, err = c.force(ctx, "all", c.versionOf("all"), all)
 	if err := step("healed", took, err); err != nil {
 		return p, err
 	}
 	p.Values["healed_bytes10"] = round((bytesNow() - was) / max(window.Seconds(), time.Since(begun).Seconds()))
-	if late, mean := lag.End(); mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", late.Round(time.Millisecond), mean.Round(time.Millisecond))
+	if late, mean := lag.Stop(); mean > mostLate {
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", late.Round(time.Millisecond), mean.Round(time.Millisecond))
 	}
 	return p, ctx.Err()
 }
@@ -393,6 +393,6 @@
 }
 
 func countOf(r *relay.Relay, place int) int64 {
-	c := r.Count(place)
-	return c.Bytes()
+	c := r.Traffic(place)
+	return c.TotalBytes()
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -29,14 +29,14 @@
 	Start(place int) error
 	Kill(place int) error
 	// Agree waits until the nodes at some places know of exactly these.
-	Agree(ctx context.Context, places []int, most time.Duration) (time.Duration, error)
-	Wires() *relay.Relay
+	WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error)
+	NetworkRelay() *relay.Relay
 	// Usage is the processor time used so far in seconds and the resident memory in MB; 0 where nodes share a process.
 	Usage(place int) (seconds, mb float64)
 	// View is what a node knows, as operators look at it.
 	View(ctx context.Context, place int) (*fleet.View, error)
 	// Slow is by how much all clocks of the run are slowed; 1: real time.
-	Slow() int
+	SlowdownFactor() int
 	Close() error
 }
 
@@ -52,7 +52,7 @@
 
 // HollowCluster is many nodes in this process: the real code of members, judgements and the module's actor, with its real
 // clocks and sizes, each at an address of its own.
-type HollowCluster struct {
+type InProcessCluster struct {
 	relay  *relay.Relay
 	nodes  []*hollow
 	called int           // services that a node calls
@@ -62,22 +62,22 @@
 }
 
 // NewHollow opens the relay for so many, with all clocks slowed by a factor.
-func NewHollow(nodes, called int, keep time.Duration, slow int, seed uint64) (*HollowCluster, error) {
+func NewInProcessCluster(nodes, called int, keep time.Duration, slow int, seed uint64) (*InProcessCluster, error) {
 	r, err := relay.New(nodes, seed)
 	if err != nil {
 		return nil, err
 	}
-	c := &HollowCluster{relay: r, called: called, keep: keep, slow: max(1, slow), seed: seed}
+	c := &InProcessCluster{relay: r, called: called, keep: keep, slow: max(1, slow), seed: seed}
 	for range nodes {
 		c.nodes = append(c.nodes, &hollow{})
 	}
 	return c, nil
 }
 
-func (c *HollowCluster) Size() int                    { return len(c.nodes) }
-func (c *HollowCluster) Wires() *relay.Relay          { return c.relay }
-func (c *HollowCluster) Usage(int) (float64, float64) { return 0, 0 }
-func (c *HollowCluster) Slow() int                    { return c.slow }
+func (c *InProcessCluster) Size() int                    { return len(c.nodes) }
+func (c *InProcessCluster) NetworkRelay() *relay.Relay   { return c.relay }
+func (c *InProcessCluster) Usage(int) (float64, float64) { return 0, 0 }
+func (c *InProcessCluster) SlowdownFactor() int          { return c.slow }
 
 // services is how many there are.
 func services(nodes int) int { return max(1, (nodes+perService-1)/perService) }
@@ -97,13 +97,13 @@
 }
 
 // configuration is a hollow node's, in the platform's form.
-func (c *HollowCluster) configuration(place int) (*config.Config, error) {
+func (c *InProcessCluster) configuration(place int) (*config.Config, error) {
 	join := ""
 	for i := range min(3, len(c.nodes)) {
 		if i > 0 {
 			join += ","
 		}
-		join += fmt.Sprintf("%q", relay.Advertised(i, c.relay.Port()))
+		join += fmt.Sprintf("%q", relay.AdvertisedAddr(i, c.relay.Port()))
 	}
 	return config.Parse([]byte(fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"%x",
  "fleet":{"listen":%q,"advertise":%q,"join":[%s],"words":false},
@@ -111,20 +111,20 @@
   "registry_mode":"ask","categories":[{"name":"call","benefit":1,"effect":"idempotent","target_latency":300,"ttl":1000}],
   "limits":{"max_pushes":3,"may_duplicate":true,"may_cancel":true,"dial_timeout":100,"retry_after":true,"max_retry_after":1000},
   "safety":{"answer_slack":20,"cold_from":0.3,"cold":4000,"overload_factor":3,"tip_after":1000,"must_ask_in":10000,"drain_grace":1500}}}`,
-		place, c.seed+uint64(place), relay.Bound(place, c.relay.Port()), relay.Advertised(place, c.relay.Port()), join,
+		place, c.seed+uint64(place), relay.BindAddr(place, c.relay.Port()), relay.AdvertisedAddr(place, c.relay.Port()), join,
 		len(c.nodes), place, place%zones)), func(string) string { return "" })
 }
 
 // none carries nothing and asks nobody: a hollow node has no servers and no registry.
 type none struct{}
 
-func (none) Follow(*node.List)         {}
+func (none) UpdateList(*node.List)     {}
 func (none) Push(*node.Push)           {}
 func (none) CloseIdle(policy.ServerID) {}
 func (none) Watch()                    {}
 
 // Start starts a hollow node.
-func (c *HollowCluster) Start(place int) error {
+func (c *InProcessCluster) Start(place int) error {
 	h := c.nodes[place]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,11 +133,11 @@
 		return err
 	}
 	clock := node.NewSlowedClock(c.slow)
-	n := node.New(node.Options{MostOpen: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
-	list := &node.List{Form: policy.ListWhole}
+	n := node.New(node.Options{MaxPendingOps: 1000}, conf.Rules.NewNode(conf.Seed), clock, zerolog.Nop())
+	list := &node.List{Form: policy.ListFull}
 	h.list = servers(place, len(c.nodes), c.called)
 	for _, s := range h.list {
-		list.Entries = append(list.Entries, policy.Entry{Server: s, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(s-1) % zones)})
+		list.Entries = append(list.Entries, policy.ListEntry{Server: s, State: policy.Ready, Weight: 1, Zone: policy.ZoneID(uint64(s-1) % zones)})
 		list.Addrs = append(list.Addrs, "127.0.0.1:1")
 	}
 	n.Start(none{}, none{}, list)
@@ -145,7 +145,7 @@
 	ctx, h.stop = context.WithCancel(context.Background())
 	h.ended = make(chan error, 1)
 	go func() { h.ended <- n.Run(ctx) }()
-	f, err := fleet.StartKeeping(conf, n, clock, zerolog.Nop(), c.keep)
+	f, err := fleet.StartWithRetention(conf, n, clock, zerolog.Nop(), c.keep)
 	if err != nil {
 		h.stop()
 		<-h.ended
@@ -156,7 +156,7 @@
 }
 
 // Kill ends a hollow node without a word to anybody.
-func (c *HollowCluster) Kill(place int) error {
+func (c *InProcessCluster) Kill(place int) error {
 	h := c.nodes[place]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // Close ends all.
-func (c *HollowCluster) Close() error {
+func (c *InProcessCluster) Close() error {
 	var all sync.WaitGroup
 	room := make(chan struct{}, 32)
 	for i := range c.nodes {
@@ -187,14 +187,14 @@
 }
 
 // View is Cluster's. Hollow nodes have no socket to ask.
-func (c *HollowCluster) View(_ context.Context, place int) (*fleet.View, error) {
+func (c *InProcessCluster) View(_ context.Context, place int) (*fleet.View, error) {
 	if f := c.fleetOf(place); f != nil {
 		return f.View(), nil
 	}
 	return nil, fmt.Errorf("node %d is not there", place)
 }
 
-func (c *HollowCluster) fleetOf(place int) *fleet.Fleet {
+func (c *InProcessCluster) fleetOf(place int) *fleet.Fleet {
 	h := c.nodes[place]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -202,12 +202,12 @@
 }
 
 // Agree is Cluster's.
-func (c *HollowCluster) Agree(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
+func (c *InProcessCluster) WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
 	begun, slow := time.Now(), time.Duration(c.slow)
-	want := make(map[transport.LifeID]bool, len(places))
+	want := make(map[transport.IncarnationID]bool, len(places))
 	for _, place := range places {
 		if f := c.fleetOf(place); f != nil {
-			want[f.Life()] = true
+			want[f.Incarnation()] = true
 		}
 	}
 	for {
@@ -233,13 +233,13 @@
 	}
 }
 
-func knows(f *fleet.Fleet, want map[transport.LifeID]bool) bool {
-	others := f.Others()
+func knows(f *fleet.Fleet, want map[transport.IncarnationID]bool) bool {
+	others := f.AlivePeers()
 	if len(others) != len(want)-1 {
 		return false
 	}
 	for i := range others {
-		if !want[others[i].Life] {
+		if !want[others[i].Incarnation] {
 			return false
 		}
 	}
@@ -248,7 +248,7 @@
 
 // Calls draws the ends of pushes at callRate a second a node, until ctx is done. Pushes to a silent server time out after a
 // second. Both are of the cluster's clock.
-func (c *HollowCluster) Calls(ctx context.Context, silent func(policy.ServerID) bool) {
+func (c *InProcessCluster) SimulateCalls(ctx context.Context, silent func(policy.ServerID) bool) {
 	const beat, wait = 50 * time.Millisecond, time.Second
 	slow := time.Duration(c.slow)
 	var all sync.WaitGroup
@@ -275,17 +275,17 @@
 				}
 				now := time.Now()
 				for len(out) > 0 && now.After(out[0].due) {
-					f.Ended(out[0].server, 0, policy.TimedOut, policy.Micros(wait.Microseconds()))
+					f.PushEnded(out[0].server, 0, policy.TimedOut, policy.Micros(wait.Microseconds()))
 					out = out[1:]
 				}
 				for due += callRate * beat.Seconds(); due >= 1; due-- {
 					s := h.list[rng.IntN(len(h.list))]
-					f.Sent(s, 0)
+					f.PushSent(s, 0)
 					if silent(s) {
 						out = append(out, push{s, now.Add(slow * wait)})
 						continue
 					}
-					f.Ended(s, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
+					f.PushEnded(s, 0, policy.Acked, policy.Micros(3000+rng.IntN(4000)))
 				}
 			}
 		})
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -19,9 +19,9 @@
 )
 
 // Bounds says beforehand what a run takes at the most.
-func Bounds(kind string, sizes []int) string {
+func ResourceEstimate(kind string, sizes []int) string {
 	largest := slices.Max(sizes)
-	if kind == Real {
+	if kind == KindReal {
 		return fmt.Sprintf("at most %d processes and some %d MB at a time", largest, 30*largest)
 	}
 	return fmt.Sprintf("one process, at most some %d MB", 200+2*largest+largest*largest/200)
@@ -35,18 +35,18 @@
 
 // List plays one size: so many nodes follow the list, the real actor each, from one stand-in registry. A release restarts a
 // fifth of the servers listed, then the registry goes down for two seconds and all open their watches anew.
-func List(ctx context.Context, nodes, called int, calm time.Duration, seed uint64, tell Progress) (p Point, err error) {
+func MeasureList(ctx context.Context, nodes, called int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
 	p = Point{Nodes: nodes, Values: map[string]float64{}}
 	servers := called * perService
 	var entries []standin.Entry
 	for i := range servers {
 		entries = append(entries, standin.Entry{Server: i, Zone: i % zones, Weight: 1})
 	}
-	words := standin.Words{Zones: []string{"a", "b", "c", "d", "e"}, Kinds: []string{"m"}, Told: func(int, []standin.Entry, bool) {},
+	words := standin.Options{Zones: []string{"a", "b", "c", "d", "e"}, MachineTypes: []string{"m"}, OnSent: func(int, []standin.Entry, bool) {},
 		Addr: func(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }}
 	service := standin.NewService(standin.NewCatalog(entries, false), 0, words)
 	defer service.Close()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var mu sync.Mutex
 	changed := map[int]time.Time{} // when a server's present start was listed
 	var took []float64
@@ -59,8 +59,8 @@
 		if err != nil {
 			return p, err
 		}
-		r := registry.New(registry.Options{Addr: addr, Zones: words.Zones, Kinds: words.Kinds, Unasked: true, Again: time.Second, Grace: drainGrace, Seed: seed + uint64(i)},
-			sockets.NewPart(4), zerolog.Nop())
+		r := registry.New(registry.Options{Addr: addr, Zones: words.Zones, MachineTypes: words.MachineTypes, AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: drainGrace, Seed: seed + uint64(i)},
+			sockets.NewBudget(4), zerolog.Nop())
 		over.Go(func() {
 			r.Run(follow, func(l *node.List) {
 				now := time.Now()
@@ -70,7 +70,7 @@
 					return
 				}
 				for _, e := range l.Entries {
-					if at, known := changed[int(e.Started)]; known {
+					if at, known := changed[int(e.StartedAt)]; known {
 						took = append(took, now.Sub(at).Seconds()*1000)
 					}
 				}
@@ -108,16 +108,16 @@
 	many := max(1, int(restarts*float64(servers)))
 	step := calm / time.Duration(many)
 	for i := range many {
-		service.Change(func(c *standin.Catalog) {
-			c.Set(standin.Entry{Server: i, Zone: i % zones, Weight: 1, State: policy.Draining})
+		service.Update(func(c *standin.Catalog) {
+			c.SetEntry(standin.Entry{Server: i, Zone: i % zones, Weight: 1, State: policy.Draining})
 		})
 		wait(ctx, step/2)
-		service.Change(func(c *standin.Catalog) {
+		service.Update(func(c *standin.Catalog) {
 			started := policy.Micros(1000 * (i + 1))
 			mu.Lock()
 			changed[int(started)] = time.Now()
 			mu.Unlock()
-			c.Set(standin.Entry{Server: i, Zone: i % zones, Weight: 1, Started: started})
+			c.SetEntry(standin.Entry{Server: i, Zone: i % zones, Weight: 1, StartedAt: started})
 		})
 		wait(ctx, step/2)
 	}
@@ -135,16 +135,16 @@
 	}
 	mu.Unlock()
 	calls, _ = service.Counts()
-	service.Down(true)
+	service.SetDown(true)
 	wait(ctx, 2*time.Second)
 	down, _ := service.Counts()
 	p.Values["down_calls_s"] = round(float64(down-calls) / 2 / float64(nodes))
-	service.Down(false)
+	service.SetDown(false)
 	reopened := until("watches after the registry's return", 30*time.Second, func() bool { return follows() == nodes })
 	p.Values["reopened_s"] = round(reopened.Seconds())
-	late, mean := lag.End()
+	late, mean := lag.Stop()
 	if mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
 	}
 	tell("%d nodes, %d servers listed: opened in %v, a change in force everywhere after %.0f ms at the most, reopened in %v; rig late %v", nodes, servers,
 		opened.Round(time.Millisecond), p.Values["change_most_ms"], reopened.Round(time.Millisecond), late.Round(time.Millisecond))
--- a/internal/lab/scale/list_real.go
+++ b/internal/lab/scale/list_real.go
@@ -18,7 +18,7 @@
 
 // ListReal plays one size of the list with processes of the program, which start without one: what the registry writes to them and how
 // often they call, as hollow nodes are counted. No op comes, so nothing is pushed to the servers listed.
-func ListReal(ctx context.Context, program string, nodes, called int, calm time.Duration, seed uint64, tell Progress) (p Point, err error) {
+func MeasureListReal(ctx context.Context, program string, nodes, called int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
 	p = Point{Nodes: nodes, Values: map[string]float64{}}
 	servers := called * perService
 	addrs := make([]string, servers)
@@ -28,20 +28,20 @@
 		entries = append(entries, standin.Entry{Server: i, Zone: i % zones, Weight: 1})
 	}
 	s, _ := setting(addrs)
-	service := standin.NewService(standin.NewCatalog(entries, false), 0, standin.Words{Zones: s.Zones, Kinds: []string{"m"},
-		Told: func(int, []standin.Entry, bool) {}, Addr: func(i int) string { return addrs[i] }})
+	service := standin.NewService(standin.NewCatalog(entries, false), 0, standin.Options{Zones: s.Zones, MachineTypes: []string{"m"},
+		OnSent: func(int, []standin.Entry, bool) {}, Addr: func(i int) string { return addrs[i] }})
 	defer service.Close()
 	dir, err := os.MkdirTemp("", "canvaslab-")
 	if err != nil {
 		return p, err
 	}
 	defer os.RemoveAll(dir)
-	host, err := Host()
+	host, err := ClaimLoopbackHost()
 	if err != nil {
 		return p, err
 	}
 	defer host.Close()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	all := make([]*process, nodes)
 	errs := make([]error, nodes)
@@ -59,7 +59,7 @@
 		if err != nil {
 			return p, err
 		}
-		one := &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
+		one := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
 		config := s.NodeConfig(scenario.Node{Index: i, NodeCount: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), one.addr, discovery,
 			seed+uint64(i), nil, nil)
 		config = bytes.Replace(config, []byte(`"registry_mode":"ask"`), []byte(`"registry_mode":"push"`), 1) // as hollow nodes follow it
@@ -98,20 +98,20 @@
 	step := calm / time.Duration(many)
 	for i := range many {
 		for _, e := range []standin.Entry{{Server: i, Zone: i % zones, Weight: 1, State: policy.Draining},
-			{Server: i, Zone: i % zones, Weight: 1, Started: policy.Micros(1000 * (i + 1))}} {
-			service.Change(func(c *standin.Catalog) { c.Set(e) })
+			{Server: i, Zone: i % zones, Weight: 1, StartedAt: policy.Micros(1000 * (i + 1))}} {
+			service.Update(func(c *standin.Catalog) { c.SetEntry(e) })
 			wait(ctx, step/2)
 		}
 	}
 	calls, after := service.Counts()
 	p.Values["restart_bytes"] = round(float64(after-before) / float64(nodes) / float64(many))
-	service.Down(true)
+	service.SetDown(true)
 	wait(ctx, 2*time.Second)
 	down, _ := service.Counts()
 	p.Values["down_calls_s"] = round(float64(down-calls) / 2 / float64(nodes))
-	late, mean := lag.End()
+	late, mean := lag.Stop()
 	if mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
 	}
 	tell("%d processes, %d servers listed: first %.0f bytes, calm %.2f bytes a second, %.0f a restart, %.2f calls a second while it is down; rig late %v", nodes, servers,
 		p.Values["first_bytes"], p.Values["calm_bytes"], p.Values["restart_bytes"], p.Values["down_calls_s"], late.Round(time.Millisecond))
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -17,39 +17,39 @@
 )
 
 // RealCluster is processes of the program.
-type RealCluster struct {
+type ProcessCluster struct {
 	*together.Processes
 	nodes int
 }
 
 // NewReal opens the relay for so many processes of a program.
-func NewReal(program string, s *scenario.Scenario, nodes int, seed uint64) (*RealCluster, error) {
+func NewProcessCluster(program string, s *scenario.Scenario, nodes int, seed uint64) (*ProcessCluster, error) {
 	p, err := together.NewProcesses(program, s, nodes, seed)
-	return &RealCluster{p, nodes}, err
+	return &ProcessCluster{p, nodes}, err
 }
 
-func (c *RealCluster) Size() int             { return c.nodes }
-func (c *RealCluster) Wires() *relay.Relay   { return c.Relay }
-func (c *RealCluster) Kill(place int) error  { return c.Signal(place, syscall.SIGKILL) }
-func (c *RealCluster) Start(place int) error { return c.Processes.Start(place) }
-func (c *RealCluster) Slow() int             { return 1 }
+func (c *ProcessCluster) Size() int                  { return c.nodes }
+func (c *ProcessCluster) NetworkRelay() *relay.Relay { return c.Relay }
+func (c *ProcessCluster) Kill(place int) error       { return c.Signal(place, syscall.SIGKILL) }
+func (c *ProcessCluster) Start(place int) error      { return c.Processes.Start(place) }
+func (c *ProcessCluster) SlowdownFactor() int        { return 1 }
 
 // Usage is Cluster's.
-func (c *RealCluster) Usage(place int) (seconds, mb float64) {
-	seconds, mb, _ = c.CPU(place)
+func (c *ProcessCluster) Usage(place int) (seconds, mb float64) {
+	seconds, mb, _ = c.ProcessUsage(place)
 	return seconds, mb
 }
 
 // Progress tells whoever waits.
-type Progress func(format string, args ...any)
+type ProgressFunc func(format string, args ...any)
 
 const (
 	settle    = 12 * time.Second // past the first seconds, in which nodes ask more
 	window    = 10 * time.Second // the worst of a fault is told over so long
 	mostAgree = 120 * time.Second
 	// KeepScaled and cutScaled are an hour's cut against the ten minutes that members are kept, both by one factor of 120.
-	KeepScaled = 5 * time.Second
-	cutScaled  = 30 * time.Second
+	ScaledRetention = 5 * time.Second
+	cutScaled       = 30 * time.Second
 	// calmLeast is the least time over which calm is told: the operators count in a calm minute.
 	calmLeast = time.Minute
 	// cutShare is the smaller of two regions.
@@ -62,7 +62,7 @@
 	relay *relay.Relay
 	nodes int
 	slow  time.Duration
-	lag   *together.Lag
+	lag   *together.TimerLag
 	stop  chan struct{}
 	over  sync.WaitGroup
 	mu    sync.Mutex
@@ -70,7 +70,7 @@
 }
 
 func watch(c Cluster) *traffic {
-	t := &traffic{relay: c.Wires(), nodes: c.Size(), slow: time.Duration(c.Slow()), lag: together.NewLag(), stop: make(chan struct{})}
+	t := &traffic{relay: c.NetworkRelay(), nodes: c.Size(), slow: time.Duration(c.SlowdownFactor()), lag: together.NewTimerLag(), stop: make(chan struct{})}
 	t.over.Go(func() {
 		ticker := time.NewTicker(time.Second * t.slow)
 		defer ticker.Stop()
@@ -89,8 +89,8 @@
 func (t *traffic) sample() {
 	sum := 0.0
 	for i := range t.nodes {
-		c := t.relay.Count(i)
-		sum += float64(c.Bytes())
+		c := t.relay.Traffic(i)
+		sum += float64(c.TotalBytes())
 	}
 	t.mu.Lock()
 	t.bytes = append(t.bytes, sum/float64(t.nodes))
@@ -102,7 +102,7 @@
 	close(t.stop)
 	t.over.Wait()
 	t.sample()
-	late, lateMean = t.lag.End()
+	late, lateMean = t.lag.Stop()
 	late, lateMean = late/t.slow, lateMean/t.slow
 	last := len(t.bytes) - 1
 	mean = (t.bytes[last] - t.bytes[0]) / float64(max(1, last))
@@ -158,22 +158,24 @@
 }
 
 // real is how long a span of the cluster's clock takes.
-func real(c Cluster, span time.Duration) time.Duration { return span * time.Duration(c.Slow()) }
+func real(c Cluster, span time.Duration) time.Duration {
+	return span * time.Duration(c.SlowdownFactor())
+}
 
 // rest waits for a span of the cluster's clock.
 func rest(ctx context.Context, c Cluster, span time.Duration) { wait(ctx, real(c, span)) }
 
 // whole is the least number of whole spans between two exchanges of all that is known, that lasts for a calm minute and for least.
 func whole(nodes int, least time.Duration) time.Duration {
-	every := members.ExchangeEvery(nodes)
+	every := members.ExchangeInterval(nodes)
 	return (max(least, calmLeast) + every - 1) / every * every
 }
 
 // Members plays one size: nodes that come one after another, calm, a tenth killed, a zone lost, a region cut and back, and all killed
 // and started at once. All times are of the cluster's clock.
-func Members(ctx context.Context, c Cluster, calm time.Duration, tell Progress) (p Point, err error) {
+func MeasureMembers(ctx context.Context, c Cluster, calm time.Duration, tell ProgressFunc) (p Point, err error) {
 	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, Slowed: c.Slow()}
+	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
 	all := span(0, n)
 	calm = whole(n, calm)
 	var lateMean time.Duration
@@ -196,7 +198,7 @@
 			return
 		}
 		var took time.Duration
-		if took, err = c.Agree(ctx, places, mostAgree); err == nil && name != "" {
+		if took, err = c.WaitForAgreement(ctx, places, mostAgree); err == nil && name != "" {
 			p.Values[name+"_s"] = round(took.Seconds())
 			tell("%d nodes, %s: %d agree after %v", n, name, len(places), took.Round(10*time.Millisecond))
 		}
@@ -209,7 +211,7 @@
 		}
 		return nil
 	}
-	err = startSpread(ctx, c, all, members.ExchangeEvery(n))
+	err = startSpread(ctx, c, all, members.ExchangeInterval(n))
 	agree("", all)
 	if rest(ctx, c, settle); err != nil {
 		return p, err
@@ -220,7 +222,7 @@
 	}
 	datagrams := func() (sum float64) {
 		for i := range all {
-			sum += float64(c.Wires().Count(i).SentDatagrams)
+			sum += float64(c.NetworkRelay().Traffic(i).SentDatagrams)
 		}
 		return sum / float64(n)
 	}
@@ -256,21 +258,21 @@
 	small := max(1, int(cutShare*float64(n)))
 	var cut int
 	measure("cut", func() error {
-		cut = c.Wires().Begin(func(from, to int) relay.Way { return relay.Way{Cut: (from < small) != (to < small)} })
+		cut = c.NetworkRelay().AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < small) != (to < small)} })
 		begun := time.Now()
 		agree("", all[:small])
 		if err == nil {
-			p.Values["cut_small_s"] = round(time.Since(begun).Seconds() / float64(c.Slow()))
+			p.Values["cut_small_s"] = round(time.Since(begun).Seconds() / float64(c.SlowdownFactor()))
 		}
 		agree("", all[small:])
 		if err == nil {
-			p.Values["cut_large_s"] = round(time.Since(begun).Seconds() / float64(c.Slow()))
+			p.Values["cut_large_s"] = round(time.Since(begun).Seconds() / float64(c.SlowdownFactor()))
 		}
 		wait(ctx, real(c, cutScaled)-time.Since(begun))
 		return err
 	})
 	measure("healed", func() error {
-		c.Wires().End(cut)
+		c.NetworkRelay().RemoveFault(cut)
 		agree("healed", all)
 		rest(ctx, c, window)
 		return err
@@ -287,19 +289,19 @@
 		return err
 	})
 	if late := lateMean; late > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", late.Round(time.Millisecond))
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", late.Round(time.Millisecond))
 	}
 	return p, err
 }
 
 // Judgements plays one size: calls with nothing wrong, then a tenth of all servers silent, for so long each, on the cluster's clock.
-func Judgements(ctx context.Context, c *HollowCluster, calm time.Duration, tell Progress) (p Point, err error) {
+func MeasureServerReports(ctx context.Context, c *InProcessCluster, calm time.Duration, tell ProgressFunc) (p Point, err error) {
 	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, Slowed: c.Slow()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
+	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
+	if err = startSpread(ctx, c, span(0, n), members.ExchangeInterval(n)); err != nil {
 		return p, err
 	}
-	if _, err = c.Agree(ctx, span(0, n), mostAgree); err != nil {
+	if _, err = c.WaitForAgreement(ctx, span(0, n), mostAgree); err != nil {
 		return p, err
 	}
 	rest(ctx, c, settle)
@@ -312,14 +314,14 @@
 		defer mu.Unlock()
 		return faulty && uint64(s)%10 == 3
 	}
-	over.Go(func() { c.Calls(calls, silent) })
+	over.Go(func() { c.SimulateCalls(calls, silent) })
 	defer func() { stop(); over.Wait() }()
 	rest(ctx, c, 2*time.Second)
 	judged := func() (bytes float64) {
 		for i := range n {
 			if f := c.fleetOf(i); f != nil {
-				k := f.Counts()
-				bytes += float64(k.SentKinds.Judgements + k.GotKinds.Judgements)
+				k := f.TransportCounts()
+				bytes += float64(k.SentBytesByKind.ServerReports + k.ReceivedBytesByKind.ServerReports)
 			}
 		}
 		return bytes / float64(n)
@@ -327,7 +329,7 @@
 	phase := func(name string) (worst float64) {
 		t := watch(c)
 		begun, at, seen := time.Now(), judged(), 0.0
-		passed := func() float64 { return time.Since(begun).Seconds() / float64(c.Slow()) }
+		passed := func() float64 { return time.Since(begun).Seconds() / float64(c.SlowdownFactor()) }
 		for passed() < calm.Seconds() && ctx.Err() == nil {
 			rest(ctx, c, 100*time.Millisecond)
 			if share := c.lowered(silent); name == "fault" && seen == 0 && share >= 0.9 {
@@ -341,7 +343,7 @@
 			p.Values["seen_s"] = round(seen)
 		}
 		if lag > mostLate {
-			p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", lag.Round(time.Millisecond))
+			p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", lag.Round(time.Millisecond))
 		}
 		tell("%d nodes, judgements, %s: %.0f bytes a second and node; nine in ten know after %.1f s; rig late %v", n, name, bytes, seen, late.Round(time.Millisecond))
 		return bytes
@@ -355,7 +357,7 @@
 }
 
 // lowered is the share of nodes with a silent server on their list that have lowered one.
-func (c *HollowCluster) lowered(silent func(policy.ServerID) bool) float64 {
+func (c *InProcessCluster) lowered(silent func(policy.ServerID) bool) float64 {
 	with, know := 0.0, 0.0
 	for i, h := range c.nodes {
 		f := c.fleetOf(i)
@@ -365,7 +367,7 @@
 		for _, s := range h.list {
 			if silent(s) {
 				with++
-				if f.Lowered() > 0 {
+				if f.ReducedServers() > 0 {
 					know++
 				}
 				break
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -25,7 +25,7 @@
 )
 
 // HostPorts are addresses of one run's own.
-type HostPorts struct {
+type LoopbackHost struct {
 	claim net.Listener
 	ip    string
 	next  int
@@ -34,28 +34,28 @@
 var hosts atomic.Uint32
 
 // Host claims a loopback address, from which nobody connects, so that a process that starts anew finds its port free.
-func Host() (*HostPorts, error) {
+func ClaimLoopbackHost() (*LoopbackHost, error) {
 	for range 64 {
 		id := uint32(os.Getpid())*11 + hosts.Add(1)
 		ip := fmt.Sprintf("127.%d.%d.%d", 100+id>>16%100, id>>8&255, 1+id%254)
 		if l, err := net.Listen("tcp", ip+":20000"); err == nil {
-			return &HostPorts{claim: l, ip: ip, next: 20000}, nil
+			return &LoopbackHost{claim: l, ip: ip, next: 20000}, nil
 		}
 	}
 	return nil, errors.New("no loopback address is free for this run")
 }
 
 // Addr gives the next address.
-func (h *HostPorts) Addr() string {
+func (h *LoopbackHost) NextAddr() string {
 	h.next++
 	return fmt.Sprintf("%s:%d", h.ip, h.next)
 }
 
 // Close gives the address back.
-func (h *HostPorts) Close() { h.claim.Close() }
+func (h *LoopbackHost) Close() { h.claim.Close() }
 
 // Instant starts servers of this process that answer after a fixed time.
-func Instant(n int, takes time.Duration) (addrs []string, stop func(), err error) {
+func StartFixedDelayServers(n int, takes time.Duration) (addrs []string, stop func(), err error) {
 	return handlers(n, func(int, *http.Request) bool {
 		if takes > 0 {
 			time.Sleep(takes)
@@ -189,7 +189,7 @@
 
 // Path plays a call of so many hops: each hop is a node and the eight servers of a service behind it, which call the next node. The same call without
 // the nodes goes beside it, at the same rate, in the same run.
-func Path(ctx context.Context, program string, hops int, calm time.Duration, seed uint64, tell Progress) (p Point, err error) {
+func MeasureCallPath(ctx context.Context, program string, hops int, calm time.Duration, seed uint64, tell ProgressFunc) (p Point, err error) {
 	if program == "" {
 		return p, errors.New("the call's path is measured with processes: --node names the program")
 	}
@@ -199,7 +199,7 @@
 		return p, err
 	}
 	defer os.RemoveAll(dir)
-	host, err := Host()
+	host, err := ClaimLoopbackHost()
 	if err != nil {
 		return p, err
 	}
@@ -233,7 +233,7 @@
 				continue
 			}
 			s, known := setting(addrs[i*perService : (i+1)*perService])
-			n := &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
+			n := &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
 			if err := os.WriteFile(n.file, s.NodeConfig(scenario.Node{NodeCount: 1, Server: -1}, fmt.Sprintf("n%d", i), n.addr, "127.0.0.1:1", seed, known, nil), 0o600); err != nil {
 				return "", nil, stop, err
 			}
@@ -282,10 +282,10 @@
 		}
 		return sum
 	}
-	before, lag := cpu(), together.NewLag()
+	before, lag := cpu(), together.NewTimerLag()
 	a, b, failed := run(2 * calm)
 	used := cpu() - before
-	late, mean := lag.End()
+	late, mean := lag.Stop()
 	calls := float64(b.TotalCount() * int64(hops))
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
 		without, with := float64(a.ValueAtQuantile(q))/1000, float64(b.ValueAtQuantile(q))/1000
@@ -295,7 +295,7 @@
 	p.Values["core_ms_a_call"] = round(1000 * used / max(1, calls))
 	p.Values["failed"] = float64(failed)
 	if mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
 	}
 	tell("%d hops at %d calls a second: p50 %.2f ms and %.2f direct, p99 %.2f and %.2f, p999 %.2f and %.2f; %.3f ms of a core a call and hop, %d failed; rig late %v",
 		hops, callRate, p.Values["p50_ms"], p.Values["p50_direct_ms"], p.Values["p99_ms"], p.Values["p99_direct_ms"], p.Values["p999_ms"],
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -20,8 +20,8 @@
 
 // Kinds of node that a size was played with.
 const (
-	Real   = "real"   // processes of the program
-	Hollow = "hollow" // the program's own parts without clients' and servers' sockets, many in a process
+	KindReal      = "real"   // processes of the program
+	KindInProcess = "hollow" // the program's own parts without clients' and servers' sockets, many in a process
 )
 
 // Record is what was measured of one role with one kind of node.
@@ -36,18 +36,18 @@
 
 // Point is one play at one size.
 type Point struct {
-	Nodes  int                `json:"nodes"`
-	Play   int                `json:"play"`
-	Values map[string]float64 `json:"values"`
-	Slowed int                `json:"slowed,omitempty"` // all clocks of the play, by this factor; 0 and 1: real time
-	Void   string             `json:"void,omitempty"`   // why it does not count
+	Nodes         int                `json:"nodes"`
+	Run           int                `json:"play"`
+	Values        map[string]float64 `json:"values"`
+	ClockSlowdown int                `json:"slowed,omitempty"` // all clocks of the play, by this factor; 0 and 1: real time
+	VoidReason    string             `json:"void,omitempty"`   // why it does not count
 }
 
 // Prediction is what smaller sizes gave for a larger one, written down before it was played.
 type Prediction struct {
-	Nodes  int                `json:"nodes"`
-	From   []int              `json:"from"` // sizes
-	Values map[string]float64 `json:"values"`
+	Nodes     int                `json:"nodes"`
+	FromSizes []int              `json:"from"` // sizes
+	Values    map[string]float64 `json:"values"`
 }
 
 // file is where a record stands in a directory.
@@ -71,19 +71,19 @@
 	if err := json.Unmarshal(raw, r); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Role == "" || r.Kind != Real && r.Kind != Hollow {
+	if r.Role == "" || r.Kind != KindReal && r.Kind != KindInProcess {
 		return fmt.Errorf("%s: no record: role %q, kind %q", path, r.Role, r.Kind)
 	}
 	for _, p := range r.Points {
-		if p.Nodes < 1 || p.Slowed < 0 || p.Void == "" && len(p.Values) == 0 {
-			return fmt.Errorf("%s: a point of %d nodes, clocks slowed by %d, has no values", path, p.Nodes, p.Slowed)
+		if p.Nodes < 1 || p.ClockSlowdown < 0 || p.VoidReason == "" && len(p.Values) == 0 {
+			return fmt.Errorf("%s: a point of %d nodes, clocks slowed by %d, has no values", path, p.Nodes, p.ClockSlowdown)
 		}
 	}
 	return nil
 }
 
 // All reads the records of a directory, by file name.
-func All(dir string) ([]*Record, error) {
+func LoadAll(dir string) ([]*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 		return err
 	}
 	for _, p := range now.Points {
-		if !slices.ContainsFunc(r.Points, func(own Point) bool { return own.Nodes == p.Nodes && own.Play == p.Play }) {
+		if !slices.ContainsFunc(r.Points, func(own Point) bool { return own.Nodes == p.Nodes && own.Run == p.Run }) {
 			r.Points = append(r.Points, p)
 		}
 	}
@@ -134,7 +134,7 @@
 			r.Predictions = append(r.Predictions, p)
 		}
 	}
-	slices.SortStableFunc(r.Points, func(a, b Point) int { return cmp.Or(cmp.Compare(a.Nodes, b.Nodes), cmp.Compare(a.Play, b.Play)) })
+	slices.SortStableFunc(r.Points, func(a, b Point) int { return cmp.Or(cmp.Compare(a.Nodes, b.Nodes), cmp.Compare(a.Run, b.Run)) })
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 // Add takes a play in. One of the same size and number takes the place of the earlier.
 func (r *Record) Add(p Point) {
 	for i := range r.Points {
-		if r.Points[i].Nodes == p.Nodes && r.Points[i].Play == p.Play {
+		if r.Points[i].Nodes == p.Nodes && r.Points[i].Run == p.Run {
 			r.Points[i] = p
 			return
 		}
@@ -161,13 +161,13 @@
 		}
 	}
 	sizes := r.Sizes(func(n int) bool { return n < nodes })
-	if len(sizes) < 3 || slices.ContainsFunc(r.Points, func(p Point) bool { return p.Nodes == nodes && p.Void == "" }) {
+	if len(sizes) < 3 || slices.ContainsFunc(r.Points, func(p Point) bool { return p.Nodes == nodes && p.VoidReason == "" }) {
 		return nil
 	}
-	p := Prediction{Nodes: nodes, From: sizes, Values: map[string]float64{}}
-	for _, name := range r.Names() {
-		if fit, ok := r.Fit(name, func(n int) bool { return n < nodes }); ok {
-			p.Values[name] = round(fit.At(float64(nodes)))
+	p := Prediction{Nodes: nodes, FromSizes: sizes, Values: map[string]float64{}}
+	for _, name := range r.ValueNames() {
+		if fit, ok := r.FitGrowth(name, func(n int) bool { return n < nodes }); ok {
+			p.Values[name] = round(fit.Value(float64(nodes)))
 		}
 	}
 	r.Predictions = append(r.Predictions, p)
@@ -177,7 +177,7 @@
 // Sizes are those played, in order.
 func (r *Record) Sizes(which func(nodes int) bool) (all []int) {
 	for _, p := range r.Points {
-		if p.Void == "" && which(p.Nodes) && !slices.Contains(all, p.Nodes) {
+		if p.VoidReason == "" && which(p.Nodes) && !slices.Contains(all, p.Nodes) {
 			all = append(all, p.Nodes)
 		}
 	}
@@ -186,7 +186,7 @@
 }
 
 // Names are those of the values, in order.
-func (r *Record) Names() (all []string) {
+func (r *Record) ValueNames() (all []string) {
 	for _, p := range r.Points {
 		for name := range p.Values {
 			if !slices.Contains(all, name) {
@@ -199,10 +199,10 @@
 }
 
 // At is the mean of a value at a size over its plays, and the spread: the least and the most.
-func (r *Record) At(name string, nodes int) (mean, least, most float64, plays int) {
+func (r *Record) Stats(name string, nodes int) (mean, least, most float64, plays int) {
 	least, most = math.Inf(1), math.Inf(-1)
 	for _, p := range r.Points {
-		if v, has := p.Values[name]; has && p.Nodes == nodes && p.Void == "" {
+		if v, has := p.Values[name]; has && p.Nodes == nodes && p.VoidReason == "" {
 			mean += v
 			least, most = min(least, v), max(most, v)
 			plays++
@@ -212,10 +212,10 @@
 }
 
 // Fit is how a value grows with the number of nodes.
-type Fit struct {
-	Form  string  // "constant", "logarithmic", "linear", "quadratic"
-	A, B  float64 // A + B x f(nodes)
-	Worst float64 // largest distance from a size's mean, as a share of it
+type GrowthFit struct {
+	Form             string  // "constant", "logarithmic", "linear", "quadratic"
+	Intercept, Slope float64 // A + B x f(nodes)
+	MaxRelativeError float64 // largest distance from a size's mean, as a share of it
 }
 
 var forms = []struct {
@@ -229,10 +229,10 @@
 }
 
 // At is the value at a size.
-func (f Fit) At(nodes float64) float64 {
+func (f GrowthFit) Value(nodes float64) float64 {
 	for _, form := range forms {
 		if form.name == f.Form {
-			return f.A + f.B*form.of(nodes)
+			return f.Intercept + f.Slope*form.of(nodes)
 		}
 	}
 	return math.NaN()
@@ -242,27 +242,27 @@
 const nearEnough = 0.1
 
 // Fit finds the simplest form that passes near every size's mean, or else the nearest.
-func (r *Record) Fit(name string, which func(nodes int) bool) (best Fit, ok bool) {
+func (r *Record) FitGrowth(name string, which func(nodes int) bool) (best GrowthFit, ok bool) {
 	var xs, ys []float64
 	for _, n := range r.Sizes(which) {
-		if mean, _, _, plays := r.At(name, n); plays > 0 {
+		if mean, _, _, plays := r.Stats(name, n); plays > 0 {
 			xs, ys = append(xs, float64(n)), append(ys, mean)
 		}
 	}
 	if len(xs) < 2 {
 		return best, false
 	}
-	best.Worst = math.Inf(1)
+	best.MaxRelativeError = math.Inf(1)
 	for _, form := range forms {
-		fit := Fit{Form: form.name}
-		fit.A, fit.B = line(xs, ys, form.of)
+		fit := GrowthFit{Form: form.name}
+		fit.Intercept, fit.Slope = line(xs, ys, form.of)
 		for i, x := range xs {
-			fit.Worst = max(fit.Worst, math.Abs(fit.At(x)-ys[i])/max(1e-9, math.Abs(ys[i])))
+			fit.MaxRelativeError = max(fit.MaxRelativeError, math.Abs(fit.Value(x)-ys[i])/max(1e-9, math.Abs(ys[i])))
 		}
-		if fit.Worst < best.Worst {
+		if fit.MaxRelativeError < best.MaxRelativeError {
 			best = fit
 		}
-		if fit.Worst <= nearEnough {
+		if fit.MaxRelativeError <= nearEnough {
 			return fit, true
 		}
 	}
@@ -297,7 +297,7 @@
 }
 
 // ParseSizes reads sizes such as 25,50,100.
-func ParseSizes(sizes []int, most int) error {
+func ValidateSizes(sizes []int, most int) error {
 	for _, n := range sizes {
 		if n < 1 || n > most {
 			return fmt.Errorf("--nodes %d is not from 1 to %d", n, most)
--- a/internal/lab/scale/slowed_test.go
+++ b/internal/lab/scale/slowed_test.go
@@ -19,7 +19,7 @@
 	var both sync.WaitGroup
 	for i, slow := range []int{1, 2} {
 		both.Go(func() {
-			c, err := NewHollow(nodes, 5, 0, slow, 1)
+			c, err := NewInProcessCluster(nodes, 5, 0, slow, 1)
 			if err != nil {
 				t.Error(err)
 				return
@@ -30,7 +30,7 @@
 				return
 			}
 			agree := func(places []int) float64 {
-				took, err := c.Agree(t.Context(), places, mostAgree)
+				took, err := c.WaitForAgreement(t.Context(), places, mostAgree)
 				if err != nil {
 					t.Error(err)
 				}
@@ -39,7 +39,7 @@
 			agree(span(0, nodes))
 			sent := func() (sum float64) {
 				for place := range nodes {
-					sum += float64(c.Wires().Count(place).SentDatagrams)
+					sum += float64(c.NetworkRelay().Traffic(place).SentDatagrams)
 				}
 				return sum / nodes
 			}
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -98,8 +98,8 @@
 	for i := range addrs {
 		entries = append(entries, standin.Entry{Server: i, Zone: i % zones, Weight: 1})
 	}
-	words := standin.Words{Zones: s.Zones, Kinds: []string{"m"}, Addr: func(i int) string { return addrs[i] }}
-	return s, words.Line(1, entries, true)
+	words := standin.Options{Zones: s.Zones, MachineTypes: []string{"m"}, Addr: func(i int) string { return addrs[i] }}
+	return s, words.EncodeList(1, entries, true)
 }
 
 // startWait is the longest that a node may take to be ready.
@@ -107,12 +107,12 @@
 
 // Starts plays one size: so many processes are told to end, and start anew as they have, all at once; with the registry up, answering
 // two seconds late, and down. Each is timed from its new process to its word that it is ready, and to its first op served.
-func Starts(ctx context.Context, program string, nodes int, seed uint64, tell Progress) (p Point, err error) {
+func MeasureStarts(ctx context.Context, program string, nodes int, seed uint64, tell ProgressFunc) (p Point, err error) {
 	if program == "" {
 		return p, errors.New("starts are measured with processes: --node names the program")
 	}
 	p = Point{Nodes: nodes, Values: map[string]float64{}}
-	addrs, stop, err := Instant(4, 0)
+	addrs, stop, err := StartFixedDelayServers(4, 0)
 	if err != nil {
 		return p, err
 	}
@@ -127,12 +127,12 @@
 	for i := range addrs {
 		entries = append(entries, standin.Entry{Server: i, Zone: i % zones, Weight: 1, State: policy.Ready})
 	}
-	service := standin.NewService(standin.NewCatalog(entries, false), 0, standin.Words{Zones: s.Zones, Kinds: []string{"m"},
-		Told: func(int, []standin.Entry, bool) {}, Addr: func(i int) string { return addrs[i] }})
+	service := standin.NewService(standin.NewCatalog(entries, false), 0, standin.Options{Zones: s.Zones, MachineTypes: []string{"m"},
+		OnSent: func(int, []standin.Entry, bool) {}, Addr: func(i int) string { return addrs[i] }})
 	defer service.Close()
 	all := make([]*process, nodes)
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	host, err := Host()
+	host, err := ClaimLoopbackHost()
 	if err != nil {
 		return p, err
 	}
@@ -142,7 +142,7 @@
 		if err != nil {
 			return p, err
 		}
-		all[i] = &process{addr: host.Addr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
+		all[i] = &process{addr: host.NextAddr(), file: filepath.Join(dir, fmt.Sprintf("%d.json", i))}
 		config := s.NodeConfig(scenario.Node{Index: i, NodeCount: nodes, Zone: i % zones, Server: -1}, fmt.Sprintf("n%d", i), all[i].addr, discovery,
 			seed+uint64(i), known, nil)
 		if err := os.WriteFile(all[i].file, config, 0o600); err != nil {
@@ -154,10 +154,10 @@
 			one.kill()
 		}
 	}()
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for _, phase := range []string{"first", "up", "slow", "down"} {
-		service.Down(phase == "down")
-		service.Slow(map[bool]time.Duration{true: 2 * time.Second}[phase == "slow"])
+		service.SetDown(phase == "down")
+		service.SetDelay(map[bool]time.Duration{true: 2 * time.Second}[phase == "slow"])
 		var mu sync.Mutex
 		var readys, serves []float64
 		var over sync.WaitGroup
@@ -195,8 +195,8 @@
 		tell("%d processes, registry %s: ready after %.3f s at half, %.3f at nine in ten, %.3f at the last; serving at %.3f", nodes, phase, readys[nodes/2],
 			readys[nodes*9/10], readys[nodes-1], serves[nodes-1])
 	}
-	if late, mean := lag.End(); mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", late.Round(time.Millisecond), mean.Round(time.Millisecond))
+	if late, mean := lag.Stop(); mean > mostLate {
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late, %v in the mean", late.Round(time.Millisecond), mean.Round(time.Millisecond))
 	}
 	return p, nil
 }
--- a/internal/lab/scale/start_test.go
+++ b/internal/lab/scale/start_test.go
@@ -18,7 +18,7 @@
 // Processes that are told to end and start anew all at once are ready within 10 s, nine in ten of them, and serve, with the registry up, late
 // and down. A node that waited for its registry would not be.
 func TestReadyAtOnce(t *testing.T) {
-	p, err := Starts(t.Context(), os.Args[0], 40, 1, t.Logf)
+	p, err := MeasureStarts(t.Context(), os.Args[0], 40, 1, t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 			t.Errorf("registry %s: the last one serves after %v s", phase, got)
 		}
 	}
-	if _, err := Starts(t.Context(), "", 3, 1, t.Logf); err == nil {
+	if _, err := MeasureStarts(t.Context(), "", 3, 1, t.Logf); err == nil {
 		t.Error("starts without a program")
 	}
 }
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -16,16 +16,16 @@
 
 // Views plays one size of the operators' view: a look at one node after another, how long it takes (for real nodes from the socket to
 // its last byte read) and how much it is.
-func Views(ctx context.Context, c Cluster, tell Progress) (p Point, err error) {
+func MeasureViews(ctx context.Context, c Cluster, tell ProgressFunc) (p Point, err error) {
 	n := c.Size()
-	p = Point{Nodes: n, Values: map[string]float64{}, Slowed: c.Slow()}
-	if err = startSpread(ctx, c, span(0, n), members.ExchangeEvery(n)); err != nil {
+	p = Point{Nodes: n, Values: map[string]float64{}, ClockSlowdown: c.SlowdownFactor()}
+	if err = startSpread(ctx, c, span(0, n), members.ExchangeInterval(n)); err != nil {
 		return p, err
 	}
-	if _, err = c.Agree(ctx, span(0, n), mostAgree); err != nil {
+	if _, err = c.WaitForAgreement(ctx, span(0, n), mostAgree); err != nil {
 		return p, err
 	}
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	bytes, took, most := 0.0, 0.0, 0.0
 	for i := range looks {
 		begun := time.Now()
@@ -43,10 +43,10 @@
 			return p, fmt.Errorf("node %d shows %d others of %d", i*n/looks, len(v.Members), n-1)
 		}
 	}
-	late, mean := lag.End()
+	late, mean := lag.Stop()
 	p.Values["view_bytes"], p.Values["view_ms"], p.Values["view_most_ms"] = round(bytes), round(took), round(most)
 	if mean > mostLate {
-		p.Void = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
+		p.VoidReason = fmt.Sprintf("the rig's own timers were %v late in the mean", mean.Round(time.Millisecond))
 	}
 	tell("%d nodes, a look at one: %.0f bytes, %.2f ms, %.2f at the most; rig late %v", n, bytes, took, most, late.Round(time.Millisecond))
 	return p, ctx.Err()
--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -67,7 +67,7 @@
 	"at_most_once": "at_most_once"}
 
 // DeliveryByName maps the names of the delivery semantics to the values of the policy module.
-var DeliveryByName = map[string]policy.Repeat{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
+var DeliveryByName = map[string]policy.DeliverySemantics{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.AtMostOnce}
 
 // NodeConfig returns a node's configuration in the JSON format of the platform. cachedList is the list of servers that
@@ -126,24 +126,24 @@
 }
 
 // ModelSpec returns the parameters of the machine for the server model.
-func (m Machine) ModelSpec(s *Scenario) fleet.Traits {
+func (m Machine) ModelSpec(s *Scenario) fleet.Spec {
 	t := m.Type
-	return fleet.Traits{
-		Cores:     t.Cores,
-		Speed:     t.Speed,
-		Queue:     t.QueueLimit,
-		JamOver:   t.JamQueuePerCore,
-		JamAfter:  t.JamDelay.Micros(),
-		JamFactor: t.JamSlowdown,
-		JamIdle:   t.JamRecoveryTime.Micros(),
-		CrowdOver: t.CrowdingPerCore,
-		CrowdLoss: t.CrowdingSlowdown,
-		Cold: fleet.Cold{
-			From:   s.Limits.ColdInitialShare,
-			Warm:   s.Limits.ColdWarmUpTime.Micros(),
-			Factor: s.Limits.ColdOverloadFactor,
-			Window: s.Limits.ColdOverloadWindow.Micros(),
-			Mean:   s.MeanWork(),
+	return fleet.Spec{
+		Cores:            t.Cores,
+		Speed:            t.Speed,
+		QueueLimit:       t.QueueLimit,
+		JamQueuePerCore:  t.JamQueuePerCore,
+		JamDelay:         t.JamDelay.Micros(),
+		JamSlowdown:      t.JamSlowdown,
+		JamRecoveryTime:  t.JamRecoveryTime.Micros(),
+		CrowdingPerCore:  t.CrowdingPerCore,
+		CrowdingSlowdown: t.CrowdingSlowdown,
+		ColdStart: fleet.ColdStart{
+			InitialShare:   s.Limits.ColdInitialShare,
+			WarmUpTime:     s.Limits.ColdWarmUpTime.Micros(),
+			OverloadFactor: s.Limits.ColdOverloadFactor,
+			OverloadWindow: s.Limits.ColdOverloadWindow.Micros(),
+			MeanWork:       s.MeanWork(),
 		},
 	}
 }
@@ -172,23 +172,23 @@
 }
 
 // DedupMemories holds the deduplication memories of a run, by category, tier and group.
-type DedupMemories map[[3]int]*fleet.Memory
+type DedupMemories map[[3]int]*fleet.DedupMemory
 
 // Get returns the deduplication memory of a category's group at a machine, or nil where duplicates are not dropped. The
 // memory retains an op for extraRetention longer than the category's window.
-func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.Memory {
+func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.DedupMemory {
 	group, window, deduplicated := m.DedupGroup(s, category)
 	if !deduplicated {
 		return nil
 	}
 	key := [3]int{category, m.Tier, group}
 	if memories[key] == nil {
-		memories[key] = fleet.NewMemory(window + extraRetention)
+		memories[key] = fleet.NewDedupMemory(window + extraRetention)
 	}
 	return memories[key]
 }
 
 // RegistryEntry returns the registry's entry of a machine that started long ago. server is its index in the plan.
 func (m Machine) RegistryEntry(server int) registry.Entry {
-	return registry.Entry{Server: server, Zone: m.Zone, Kind: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
+	return registry.Entry{Server: server, Zone: m.Zone, MachineType: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -79,7 +79,7 @@
 		return
 	}
 	n.answerSlack = trial.AnswerSlack(r.Fault, config.AnswerSlack)
-	n.actor = node.New(node.Options{MostOpen: min(maxPendingOps, config.MostOpen), Slack: n.answerSlack}, decider, n.clock, discardLogger)
+	n.actor = node.New(node.Options{MaxPendingOps: min(maxPendingOps, config.MaxPendingOps), AnswerSlack: n.answerSlack}, decider, n.clock, discardLogger)
 	cachedList := &node.List{Form: policy.ListCached}
 	r.ledger.RecordNodeStart(n.globalIndex)
 	for i, m := range r.plan.Machines[:r.plan.InitialCount] {
@@ -97,7 +97,7 @@
 // runPending runs the actor's due work, processes what it produced and schedules its next timer.
 func (n *simNode) runPending() {
 	n.clock.Set(n.run.now)
-	next, set := n.actor.Turn()
+	next, set := n.actor.RunPending()
 	n.collectResults()
 	if set && (n.wakeAt <= n.run.now || next < n.wakeAt) {
 		n.wakeAt = next
@@ -164,7 +164,7 @@
 	delete(n.byRequest, &req.nodeOp.Request)
 	answer.Body.Release()
 	verdict := map[node.Verdict]ledger.Verdict{node.Acked: ledger.Served, node.Nacked: ledger.Nacked,
-		node.DeadLettered: ledger.Failed, node.Left: ledger.ClientLeft}[answer.Verdict]
+		node.DeadLettered: ledger.Failed, node.ClientLeft: ledger.ClientLeft}[answer.Verdict]
 	if verdict == ledger.ClientLeft {
 		return
 	}
@@ -212,13 +212,13 @@
 	op.Body, _ = node.ReadPayload(strings.NewReader(""), 0)
 	op.Category = policy.CategoryID(req.category)
 	op.Tenant = policy.TenantID(max(0, req.arrival.Tenant))
-	op.NotAfter = r.now + max(0, timeLeft)/policy.Millisecond*policy.Millisecond
-	op.Repeated = req.isRetry
+	op.Deadline = r.now + max(0, timeLeft)/policy.Millisecond*policy.Millisecond
+	op.ClientRetry = req.isRetry
 	req.nodeOp = op
 	n.byRequest[&op.Request] = req
 	n.requests = append(n.requests, req)
 	n.clock.Set(r.now)
-	n.actor.Arrive(op)
+	n.actor.Submit(op)
 	n.runPending()
 }
 
@@ -235,7 +235,7 @@
 func (n *simNode) Push(nodePush *node.Push) {
 	r := n.run
 	req := n.byRequest[nodePush.Request]
-	nodePush.Begin() // simulated connections are established at once
+	nodePush.TryBegin() // simulated connections are established at once
 	serverIndex, known := r.serverIndexByID[nodePush.Server]
 	push := &simPush{from: n, nodePush: nodePush, request: req, id: -1}
 	n.pushes = append(n.pushes, push)
@@ -249,14 +249,14 @@
 	push.arrival = req.arrival
 	push.try = req.try
 	push.work = req.arrival.WorkByTier[n.Tier]
-	push.deadline = r.now + nodePush.For
+	push.deadline = r.now + nodePush.Timeout
 	if extraDelay, lost := r.pathImpairment(n, push.to); !lost {
 		r.schedule(r.now+r.networkDelay()+extraDelay, func() { push.to.arrive(push) })
 	}
 }
 
 // UpdateList implements node.Servers. It does nothing: the simulation keeps no state per listed server here.
-func (n *simNode) Follow(*node.List) {}
+func (n *simNode) UpdateList(*node.List) {}
 
 // CloseIdle does nothing: the ends of simulated connections are always noticed.
 func (n *simNode) CloseIdle(policy.ServerID) {}
@@ -285,7 +285,7 @@
 		push.request.ackedPush = push
 	}
 	n.clock.Set(n.run.now)
-	n.actor.Ended(push.nodePush, node.Result{Outcome: outcome})
+	n.actor.PushEnded(push.nodePush, node.Result{Outcome: outcome})
 	n.runPending()
 }
 
@@ -353,7 +353,7 @@
 func (n *simNode) deliverList(incarnation int, list *node.List) {
 	if n.up && n.incarnation == incarnation {
 		n.clock.Set(n.run.now)
-		n.actor.Listed(list)
+		n.actor.ListReceived(list)
 		n.runPending()
 	}
 }
@@ -373,17 +373,17 @@
 	if catalog.Generation() == n.generation && !first {
 		return
 	}
-	entries, full := catalog.Since(n.generation)
+	entries, full := catalog.ChangesSince(n.generation)
 	n.generation = catalog.Generation()
 	list := &node.List{Form: policy.ListChanges}
 	if full {
-		list.Form = policy.ListWhole
+		list.Form = policy.ListFull
 	}
 	list.Entries, list.Addrs = r.policyEntries(entries...)
 	listed := make(map[int]bool)
 	for _, e := range entries {
 		listed[e.Server] = true
-		r.ledger.RecordServerState(n.globalIndex, e.Server, e.State, e.Started, r.now)
+		r.ledger.RecordServerState(n.globalIndex, e.Server, e.State, e.StartedAt, r.now)
 	}
 	if full {
 		for i := range r.servers {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -36,7 +36,7 @@
 	s.started = s.run.now
 	s.openConnections = 0
 	clear(s.idleConnections)
-	s.model.Start(s.run.now)
+	s.model.RestartCold(s.run.now)
 	if s.nextTierNode != nil && !s.nextTierNode.up {
 		s.nextTierNode.start() // a server's own node starts with it
 	}
@@ -51,7 +51,7 @@
 	s.openConnections = 0
 	clear(s.idleConnections)
 	for _, job := range s.model.Crash() {
-		push := job.Note.(*simPush)
+		push := job.Context.(*simPush)
 		s.recordJob(job, push)
 		if !s.silent {
 			push.answer(policy.Reset)
@@ -151,21 +151,21 @@
 	}
 	key, category := r.ledger.OpOf(push.try)
 	memory := r.dedupMemory(category, s.machine)
-	if memory != nil && memory.Repeat(r.now, dedupKey(key)) {
+	if memory != nil && memory.CheckAndRemember(r.now, dedupKey(key)) {
 		push.answer(policy.Acked)
 		return
 	}
 	push.key = dedupKey(key)
-	push.job = &fleet.Job{Work: push.work + cost, Told: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Note: push}
+	push.job = &fleet.Job{Work: push.work + cost, StartKnown: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Context: push}
 	result := s.model.Arrive(r.now, push.job)
-	r.ledger.RecordPeakLoad(s.model.Pressed())
+	r.ledger.RecordPeakLoad(s.model.PeakLoad())
 	switch result {
-	case fleet.Taken:
+	case fleet.Accepted:
 		if downFor := push.arrival.KillsFor; downFor > 0 && push.arrival.KillTier == s.machine.Tier {
 			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(push.serverStart, downFor) })
 		}
-	case fleet.Tips, fleet.TipsUnseen:
-		r.ledger.RecordCollapse(s.index, result == fleet.Tips)
+	case fleet.CollapsedByInformed, fleet.CollapsedByUninformed:
+		r.ledger.RecordCollapse(s.index, result == fleet.CollapsedByInformed)
 		fallthrough
 	default:
 		if memory != nil {
@@ -179,7 +179,7 @@
 
 // scheduleWake schedules the event at which the next job completes its own work.
 func (s *server) scheduleWake() {
-	next := s.model.Next()
+	next := s.model.NextCompletion()
 	if next == fleet.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
 		return
 	}
@@ -199,7 +199,7 @@
 // recordJob records the effect and the work of a job. A job that never ran is removed from the deduplication memory,
 // because a later duplicate of it must run.
 func (s *server) recordJob(job *fleet.Job, push *simPush) {
-	if job.Begun() {
+	if job.Started() {
 		s.run.ledger.RecordEffect(push.id)
 		s.run.ledger.RecordWork(push.id, job.Work)
 		return
@@ -212,7 +212,7 @@
 
 // jobDone handles the end of a job's own work. Its calls to the next tier follow, one after another.
 func (s *server) jobDone(job *fleet.Job) {
-	push := job.Note.(*simPush)
+	push := job.Context.(*simPush)
 	s.recordJob(job, push)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
@@ -265,7 +265,7 @@
 	if push.job == nil || push.serverStart != s.started || !s.up {
 		return
 	}
-	if s.model.Leave(s.run.now, push.job) {
+	if s.model.Cancel(s.run.now, push.job) {
 		s.recordJob(push.job, push)
 	}
 	s.disconnect(push)
@@ -273,7 +273,7 @@
 }
 
 // dedupMemory returns the deduplication memory of a category's group at a machine, or nil.
-func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.Memory {
+func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.DedupMemory {
 	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -221,11 +221,11 @@
 }
 
 // policyEntries converts entries of a catalog to those of the policy module. Addresses are empty in the simulation.
-func (r *run) policyEntries(entries ...registry.Entry) ([]policy.Entry, []string) {
-	var out []policy.Entry
+func (r *run) policyEntries(entries ...registry.Entry) ([]policy.ListEntry, []string) {
+	var out []policy.ListEntry
 	for _, e := range entries {
-		out = append(out, policy.Entry{Server: serverID(e.Server), Started: e.Started, Weight: e.Weight,
-			Cell: policy.CellID(e.Cell), Kind: policy.KindID(e.Kind), Zone: policy.ZoneID(e.Zone), State: e.State})
+		out = append(out, policy.ListEntry{Server: serverID(e.Server), StartedAt: e.StartedAt, Weight: e.Weight,
+			Cell: policy.CellID(e.Cell), MachineType: policy.MachineTypeID(e.MachineType), Zone: policy.ZoneID(e.Zone), State: e.State})
 	}
 	return out, make([]string, len(out))
 }
@@ -238,7 +238,7 @@
 	target := r.servers[step.Server]
 	switch step.Action {
 	case scenario.ServerSlow:
-		target.model.Slow(step.Factor)
+		target.model.SetSlowdown(step.Factor)
 	case scenario.ServerStall:
 		target.model.Stall(r.now, loadStart+step.Time)
 	case scenario.ServerCrash:
@@ -263,8 +263,8 @@
 		r.registryDelay = step.Time
 	case scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot, scenario.RegistryServeCurrent:
 		for _, catalog := range r.catalogs {
-			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: catalog.Freeze, scenario.RegistryServeSnapshot: catalog.Thaw,
-				scenario.RegistryServeCurrent: catalog.Correct}[step.Action]()
+			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: catalog.SaveSnapshot, scenario.RegistryServeSnapshot: catalog.ServeSnapshot,
+				scenario.RegistryServeCurrent: catalog.ServeCurrent}[step.Action]()
 		}
 		r.publish()
 	case scenario.NodeCrash:
@@ -285,13 +285,13 @@
 // setListed changes a server's state in the catalog of its tier and publishes the change.
 func (r *run) setListed(server int, state policy.ServerState) {
 	m := r.plan.Machines[server]
-	entry, known := r.catalogs[m.Tier].Entry(server)
+	entry, known := r.catalogs[m.Tier].Lookup(server)
 	if !known {
 		entry = m.RegistryEntry(server)
 	}
 	entry.State = state
-	entry.Started = r.servers[server].started
-	r.catalogs[m.Tier].Set(entry)
+	entry.StartedAt = r.servers[server].started
+	r.catalogs[m.Tier].SetEntry(entry)
 	r.publish()
 }
 
@@ -310,7 +310,7 @@
 	if n.module == nil || !n.up {
 		return
 	}
-	n.module.Throttles(func(server policy.ServerID, rate float64, cutoffLevel int) {
+	n.module.VisitThrottles(func(server policy.ServerID, rate float64, cutoffLevel int) {
 		name := "all"
 		if server != 0 {
 			name = fmt.Sprintf("s-%d", r.serverIndexByID[server])
--- a/internal/lab/together/fault.go
+++ b/internal/lab/together/fault.go
@@ -12,7 +12,7 @@
 
 // Ways turns a fault between nodes into the way of each pair. Whom it hits is drawn here, once: nodes from 0. Whoever
 // comes later, as a second process of a name or at another address, goes by the place beside which it stands.
-func Ways(b *scenario.PeerFault, nodes int, rng *rand.Rand) func(from, to int) relay.Way {
+func PairImpairments(b *scenario.PeerFault, nodes int, rng *rand.Rand) func(from, to int) relay.Impairment {
 	all := make([]int, nodes)
 	for i := range all {
 		all[i] = i
@@ -22,9 +22,9 @@
 		if b.Kind == "chain" {
 			last = 1
 		}
-		return func(from, to int) relay.Way {
+		return func(from, to int) relay.Impairment {
 			apart := group[from%nodes] - group[to%nodes]
-			return relay.Way{Cut: max(apart, -apart) > last}
+			return relay.Impairment{Cut: max(apart, -apart) > last}
 		}
 	}
 	hit := make([]bool, nodes)
@@ -32,7 +32,7 @@
 		hit[i] = true
 	}
 	way := shape(b)
-	return func(from, to int) relay.Way {
+	return func(from, to int) relay.Impairment {
 		from, to = from%nodes, to%nodes
 		acts := hit[from] || hit[to]
 		switch b.Kind {
@@ -42,7 +42,7 @@
 			acts = hit[from]
 		}
 		if !acts || from == to {
-			return relay.Way{}
+			return relay.Impairment{}
 		}
 		return way
 	}
@@ -68,23 +68,23 @@
 }
 
 // shape is what a fault does to a way that it acts on.
-func shape(b *scenario.PeerFault) relay.Way {
+func shape(b *scenario.PeerFault) relay.Impairment {
 	switch b.Kind {
 	case "loss":
-		return relay.Way{Loss: b.Factor}
+		return relay.Impairment{Loss: b.Factor}
 	case "slow":
 		later := time.Duration(b.Factor * float64(time.Second))
-		return relay.Way{Delay: later, Jitter: later}
+		return relay.Impairment{Delay: later, Jitter: later}
 	case "double":
-		return relay.Way{Double: b.Factor}
+		return relay.Impairment{Duplicate: b.Factor}
 	case "reorder":
-		return relay.Way{Reorder: b.Factor}
+		return relay.Impairment{Reorder: b.Factor}
 	case "spoil":
-		return relay.Way{Spoil: b.Factor}
+		return relay.Impairment{Corrupt: b.Factor}
 	case "short":
-		return relay.Way{Short: b.Factor}
+		return relay.Impairment{Truncate: b.Factor}
 	case "silent":
-		return relay.Way{Silent: true}
+		return relay.Impairment{UnansweredStreams: true}
 	}
-	return relay.Way{Cut: true}
+	return relay.Impairment{Cut: true}
 }
--- a/internal/lab/together/lag.go
+++ b/internal/lab/together/lag.go
@@ -7,7 +7,7 @@
 
 // Lag measures what the rig itself is late with, on a machine that is too busy: a timer of its own, beside the load's.
 // A run whose judge was late can't say whose fault a late answer is.
-type Lag struct {
+type TimerLag struct {
 	mu   sync.Mutex
 	most time.Duration
 	at   time.Time // of the most
@@ -20,13 +20,13 @@
 const lagEvery = 5 * time.Millisecond
 
 // NewLag starts measuring.
-func NewLag() *Lag {
-	l := &Lag{stop: make(chan struct{})}
+func NewTimerLag() *TimerLag {
+	l := &TimerLag{stop: make(chan struct{})}
 	l.over.Go(l.run)
 	return l
 }
 
-func (l *Lag) run() {
+func (l *TimerLag) run() {
 	timer := time.NewTimer(lagEvery)
 	defer timer.Stop()
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (l *Lag) book(late time.Duration) {
+func (l *TimerLag) book(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.n++
@@ -53,14 +53,14 @@
 }
 
 // Begin forgets what was late before, while the processes were started.
-func (l *Lag) Begin() {
+func (l *TimerLag) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.most, l.sum, l.n = 0, 0, 0
 }
 
 // End stops measuring, and gives the most and the mean that a timer was late.
-func (l *Lag) End() (most, mean time.Duration) {
+func (l *TimerLag) Stop() (most, mean time.Duration) {
 	select {
 	case <-l.stop:
 	default:
--- a/internal/lab/together/processes.go
+++ b/internal/lab/together/processes.go
@@ -100,12 +100,12 @@
 }
 
 // Control is the socket of a place.
-func (p *Processes) Control(place int) string {
+func (p *Processes) ControlSocket(place int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("%d.sock", place))
 }
 
 // File is the configuration of a place.
-func (p *Processes) File(place int) string {
+func (p *Processes) ConfigFile(place int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("%d.json", place))
 }
 
@@ -114,10 +114,10 @@
 func (p *Processes) Configure(place int, change func(fleet map[string]any)) error {
 	join := []string{}
 	for i := range min(3, p.nodes) {
-		join = append(join, relay.Advertised(i, p.Relay.Port()).String())
+		join = append(join, relay.AdvertisedAddr(i, p.Relay.Port()).String())
 	}
-	f := map[string]any{"listen": relay.Bound(place, p.Relay.Port()).String(), "advertise": relay.Advertised(place, p.Relay.Port()).String(),
-		"join": join, "control": p.Control(place)}
+	f := map[string]any{"listen": relay.BindAddr(place, p.Relay.Port()).String(), "advertise": relay.AdvertisedAddr(place, p.Relay.Port()).String(),
+		"join": join, "control": p.ControlSocket(place)}
 	if change != nil {
 		change(f)
 	}
@@ -127,22 +127,22 @@
 	}
 	node := place % p.nodes
 	b := p.scenario.Nodes()[node]
-	host := relay.Bound(place, 0).Addr().String()
+	host := relay.BindAddr(place, 0).Addr().String()
 	front := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientsBelow) // the run's own, too
 	raw := p.scenario.NodeConfig(b, fmt.Sprintf("n%d", node), front, host+":1", uint64(place), nil, key)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
-	return os.WriteFile(p.File(place), raw, 0o600)
+	return os.WriteFile(p.ConfigFile(place), raw, 0o600)
 }
 
 // Start starts a place's process with the configuration that it has, or the plain one.
 func (p *Processes) Start(place int) error {
-	if _, err := os.Stat(p.File(place)); err != nil {
+	if _, err := os.Stat(p.ConfigFile(place)); err != nil {
 		if err := p.Configure(place, nil); err != nil {
 			return err
 		}
 	}
 	cmd := exec.Command(p.program)
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.File(place))
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.ConfigFile(place))
 	run := &process{cmd: cmd, ended: make(chan struct{}), log: &lockedBuffer{}}
 	cmd.Stderr, cmd.Stdout, cmd.WaitDelay = run.log, run.log, time.Second
 	if err := cmd.Start(); err != nil {
@@ -202,7 +202,7 @@
 
 // CPU gives the time that a place's process has used, in clock ticks of 10 ms turned to seconds, its resident memory in MB
 // and its open descriptors.
-func (p *Processes) CPU(place int) (seconds, mb float64, descriptors int) {
+func (p *Processes) ProcessUsage(place int) (seconds, mb float64, descriptors int) {
 	p.mu.Lock()
 	run := p.running[place]
 	p.mu.Unlock()
@@ -224,15 +224,15 @@
 func (p *Processes) View(ctx context.Context, place int) (*fleet.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return fleet.Ask(ctx, p.Control(place))
+	return fleet.FetchView(ctx, p.ControlSocket(place))
 }
 
 // there are the lives that a view has as there, its own among them.
 func there(v *fleet.View) []string {
-	all := []string{v.Own.Name + "/" + v.Own.Life}
+	all := []string{v.Self.Name + "/" + v.Self.Incarnation}
 	for _, m := range v.Members {
 		if m.State == "alive" {
-			all = append(all, m.Name+"/"+m.Life)
+			all = append(all, m.Name+"/"+m.Incarnation)
 		}
 	}
 	slices.Sort(all)
@@ -240,7 +240,7 @@
 }
 
 // Agree waits until each of some places has exactly these places' processes as there, and gives how long that took.
-func (p *Processes) Agree(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
+func (p *Processes) WaitForAgreement(ctx context.Context, places []int, most time.Duration) (time.Duration, error) {
 	begun := time.Now()
 	for last := ""; ; {
 		views := make([]*fleet.View, len(places))
@@ -261,7 +261,7 @@
 				last = errs[i].Error()
 				break
 			}
-			want = append(want, v.Own.Name+"/"+v.Own.Life)
+			want = append(want, v.Self.Name+"/"+v.Self.Incarnation)
 		}
 		slices.Sort(want)
 		agreed := len(want) == len(places)
--- a/internal/lab/together/processes_test.go
+++ b/internal/lab/together/processes_test.go
@@ -63,7 +63,7 @@
 
 func (p *Processes) agree(t *testing.T, what string, places ...int) {
 	t.Helper()
-	if took, err := p.Agree(t.Context(), places, most); err != nil {
+	if took, err := p.WaitForAgreement(t.Context(), places, most); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	} else {
 		t.Logf("%s: %v", what, took.Round(10*time.Millisecond))
@@ -116,8 +116,8 @@
 	p.start(t, 5) // at once, while it counts as alive everywhere
 	p.agree(t, "back under its name", span(0, nodes)...)
 	after, err := p.View(t.Context(), 5)
-	if err != nil || after.Own.Life == before.Own.Life {
-		t.Errorf("%v: the life %s came back", err, after.Own.Life)
+	if err != nil || after.Self.Incarnation == before.Self.Incarnation {
+		t.Errorf("%v: the life %s came back", err, after.Self.Incarnation)
 	}
 	p.signal(t, syscall.SIGKILL, 6, 7)
 	p.agree(t, "two killed", span(0, 6)...)
@@ -137,27 +137,27 @@
 	t.Parallel()
 	const nodes = 9
 	p := processes(t, nodes)
-	bad := p.Relay.Begin(func(from, to int) relay.Way {
-		return relay.Way{Double: 1, Reorder: 0.5, Spoil: 0.1, Short: 0.05, Silent: to == 8}
+	bad := p.Relay.AddFault(func(from, to int) relay.Impairment {
+		return relay.Impairment{Duplicate: 1, Reorder: 0.5, Corrupt: 0.1, Truncate: 0.05, UnansweredStreams: to == 8}
 	})
 	p.start(t, span(0, nodes)...)
 	p.agree(t, "joined on bad ways", span(0, nodes)...)
 	spoilt, doubled := int64(0), int64(0)
 	for _, place := range span(0, nodes) {
 		v, err := p.View(t.Context(), place)
-		if err != nil || v.Ways.Panicked > 0 {
-			t.Fatalf("%v: place %d: %+v", err, place, v.Ways)
+		if err != nil || v.Transport.HandlerPanics > 0 {
+			t.Fatalf("%v: place %d: %+v", err, place, v.Transport)
 		}
-		spoilt, doubled = spoilt+v.Ways.Spoilt, doubled+v.Ways.Doubled
+		spoilt, doubled = spoilt+v.Transport.Malformed, doubled+v.Transport.Duplicates
 	}
 	if spoilt == 0 || doubled == 0 {
 		t.Errorf("%d bad frames and %d doubled ones were counted", spoilt, doubled)
 	}
-	p.Relay.End(bad)
-	cut := p.Relay.Begin(func(from, to int) relay.Way { return relay.Way{Cut: (from < 3) != (to < 3)} })
+	p.Relay.RemoveFault(bad)
+	cut := p.Relay.AddFault(func(from, to int) relay.Impairment { return relay.Impairment{Cut: (from < 3) != (to < 3)} })
 	p.agree(t, "the smaller side", 0, 1, 2)
 	p.agree(t, "the larger side", span(3, nodes)...)
-	p.Relay.End(cut)
+	p.Relay.RemoveFault(cut)
 	p.agree(t, "healed", span(0, nodes)...)
 }
 
@@ -201,8 +201,8 @@
 	p.agree(t, "switched on", span(0, nodes)...)
 
 	for what, change := range map[string]func(map[string]any){
-		"key fleet.listen":  func(f map[string]any) { f["listen"] = relay.Bound(2, p.Relay.Port()).String() },
-		"key fleet.control": func(f map[string]any) { f["control"] = p.Control(0) },
+		"key fleet.listen":  func(f map[string]any) { f["listen"] = relay.BindAddr(2, p.Relay.Port()).String() },
+		"key fleet.control": func(f map[string]any) { f["control"] = p.ControlSocket(0) },
 	} {
 		place := nodes // a second process of node 0
 		if err := p.Configure(place, change); err != nil {
@@ -210,14 +210,14 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), most)
 		cmd := exec.CommandContext(ctx, program)
-		cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.File(place))
+		cmd.Env = append(os.Environ(), "NODE_CONFIG="+p.ConfigFile(place))
 		out, err := cmd.CombinedOutput()
 		cancel()
 		if err == nil || cmd.ProcessState.ExitCode() <= 0 || strings.Count(string(out), what) != 1 {
 			t.Errorf("%s: %v: %s", what, err, out)
 		}
 	}
-	if info, err := os.Stat(p.Control(0)); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(p.ControlSocket(0)); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("control socket: %v, %v", info.Mode(), err)
 	}
 }
--- a/internal/lab/together/together.go
+++ b/internal/lab/together/together.go
@@ -13,11 +13,11 @@
 )
 
 // Rig is what stands between the nodes of one run.
-type Rig struct {
+type Network struct {
 	Relay   *relay.Relay
 	nodes   int
 	dir     string
-	ways    []func(from, to int) relay.Way // of each fault of the experiment
+	ways    []func(from, to int) relay.Impairment // of each fault of the experiment
 	mu      sync.Mutex
 	acts    map[int]int // numbers of the faults that act, by their place in the experiment
 	further map[int]int // places beyond its own that a node's processes have had
@@ -26,10 +26,10 @@
 
 // New opens the rig of a run: a relay with a place for each node and for each process that the plan starts at another
 // address. Sockets that a node's own user may open go into dir.
-func New(s *scenario.Scenario, plan *scenario.Plan, dir string, seed uint64, rng *rand.Rand) (*Rig, error) {
+func NewNetwork(s *scenario.Scenario, plan *scenario.Plan, dir string, seed uint64, rng *rand.Rand) (*Network, error) {
 	nodes := s.Tiers[0].NodeCount
 	if s.Fleet == nil {
-		return &Rig{nodes: nodes, dir: dir}, nil // nobody says anything
+		return &Network{nodes: nodes, dir: dir}, nil // nobody says anything
 	}
 	// A place beyond the nodes' own stands beside a node for the faults: nodes are counted on from 0 again.
 	further, most := make(map[int]int), 0
@@ -45,22 +45,22 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Rig{Relay: r, nodes: nodes, dir: dir, acts: make(map[int]int), further: make(map[int]int), last: places}
+	g := &Network{Relay: r, nodes: nodes, dir: dir, acts: make(map[int]int), further: make(map[int]int), last: places}
 	for i := range s.PeerFaults {
-		g.ways = append(g.ways, Ways(&s.PeerFaults[i], nodes, rng))
+		g.ways = append(g.ways, PairImpairments(&s.PeerFaults[i], nodes, rng))
 	}
 	return g, nil
 }
 
 // Close ends the rig.
-func (g *Rig) Close() {
+func (g *Network) Close() {
 	if g != nil && g.Relay != nil {
 		g.Relay.Close()
 	}
 }
 
 // Further is the next place for a process of a node that stands at another one already. None is given twice.
-func (g *Rig) Further(place int) (next int, err error) {
+func (g *Network) NextSlot(place int) (next int, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	node := place % g.nodes
@@ -72,35 +72,35 @@
 }
 
 // Late is the most that the rig was late with what it passed on.
-func (g *Rig) Late() time.Duration {
+func (g *Network) MaxLateness() time.Duration {
 	if g.Relay == nil {
 		return 0
 	}
-	return g.Relay.Late()
+	return g.Relay.MaxLateness()
 }
 
 // Carry begins or ends a fault of the experiment. Beginning it twice is beginning it once.
-func (g *Rig) Carry(step *scenario.Step) {
+func (g *Network) ApplyStep(step *scenario.Step) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	number, acts := g.acts[step.PeerFault]
 	switch {
 	case step.Action == scenario.PeerFaultStart && !acts:
-		g.acts[step.PeerFault] = g.Relay.Begin(g.ways[step.PeerFault])
+		g.acts[step.PeerFault] = g.Relay.AddFault(g.ways[step.PeerFault])
 	case step.Action == scenario.PeerFaultEnd && acts:
-		g.Relay.End(number)
+		g.Relay.RemoveFault(number)
 		delete(g.acts, step.PeerFault)
 	}
 }
 
 // Place is a node's address, the one that others know, and where its own user asks it.
-type Place struct {
+type NodeAddresses struct {
 	Listen, Advertise netip.AddrPort
-	Control           string
+	ControlSocket     string
 }
 
 // Place gives the addresses of a place.
-func (g *Rig) Place(n int) Place {
-	return Place{Listen: relay.Bound(n, g.Relay.Port()), Advertise: relay.Advertised(n, g.Relay.Port()),
-		Control: filepath.Join(g.dir, fmt.Sprintf("fleet-%d.sock", n))}
+func (g *Network) Addresses(n int) NodeAddresses {
+	return NodeAddresses{Listen: relay.BindAddr(n, g.Relay.Port()), Advertise: relay.AdvertisedAddr(n, g.Relay.Port()),
+		ControlSocket: filepath.Join(g.dir, fmt.Sprintf("fleet-%d.sock", n))}
 }
--- a/internal/lab/together/together_test.go
+++ b/internal/lab/together/together_test.go
@@ -13,11 +13,11 @@
 func TestWays(t *testing.T) {
 	const nodes = 30
 	count := func(b scenario.PeerFault) (cut int) {
-		ways := Ways(&b, nodes, rand.New(rand.NewPCG(1, 2)))
+		ways := PairImpairments(&b, nodes, rand.New(rand.NewPCG(1, 2)))
 		for from := range nodes {
 			for to := range nodes {
 				w := ways(from, to)
-				if w != (relay.Way{}) {
+				if w != (relay.Impairment{}) {
 					cut++
 				}
 				if w != ways(from+nodes, to) || w != ways(from, to+nodes) {
@@ -44,7 +44,7 @@
 			t.Errorf("%+v: acts on %d pairs, not %d", c.fault, got, c.want)
 		}
 	}
-	slow := Ways(&scenario.PeerFault{Kind: "slow", Factor: 0.2}, 2, rand.New(rand.NewPCG(1, 2)))(0, 1)
+	slow := PairImpairments(&scenario.PeerFault{Kind: "slow", Factor: 0.2}, 2, rand.New(rand.NewPCG(1, 2)))(0, 1)
 	if slow.Delay != 200*time.Millisecond || slow.Jitter != slow.Delay {
 		t.Errorf("slow: %+v", slow)
 	}
@@ -52,11 +52,11 @@
 
 // What the rig is late with is seen.
 func TestLag(t *testing.T) {
-	l := NewLag()
+	l := NewTimerLag()
 	l.book(40 * time.Millisecond)
-	l.Begin()
+	l.Reset()
 	l.book(70 * time.Millisecond)
-	if most, _ := l.End(); most != 70*time.Millisecond {
+	if most, _ := l.Stop(); most != 70*time.Millisecond {
 		t.Errorf("most %v", most)
 	}
 }
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -45,12 +45,12 @@
 	ops        map[policy.OpID]*baselineOp
 	nextTurn   int
 	effects    []policy.Effect
-	timerToken policy.Token
+	timerToken policy.TimerToken
 }
 
 // baselineServer is a listed server and the number of pushes in flight to it.
 type baselineServer struct {
-	policy.Entry
+	policy.ListEntry
 	inFlight int
 }
 
@@ -62,9 +62,9 @@
 	inFlight    int
 	mayHaveRun  bool // a push may have run
 	settled     bool
-	lastServer  policy.Entry  // of the last push, as listed at that time; it may have left the list since
-	firstServer policy.Entry  // of the first push that may have run
-	firstSentAt policy.Micros // when the push to firstServer was sent
+	lastServer  policy.ListEntry // of the last push, as listed at that time; it may have left the list since
+	firstServer policy.ListEntry // of the first push that may have run
+	firstSentAt policy.Micros    // when the push to firstServer was sent
 }
 
 // listRetryDelay is the delay after a failed watch of the list before the next one.
@@ -88,7 +88,7 @@
 	b.effects = b.effects[:0]
 	switch in.Kind {
 	case policy.OpArrived:
-		op := &baselineOp{category: in.Category, deadline: in.NotAfter}
+		op := &baselineOp{category: in.Category, deadline: in.Deadline}
 		b.ops[in.Op] = op
 		b.push(now, in.Op, op)
 	case policy.PushEnded:
@@ -104,11 +104,11 @@
 			op.settled = true
 			b.forget(in.Op, op)
 		}
-	case policy.Woken:
+	case policy.TimerFired:
 		if in.Token == b.timerToken {
-			b.emit(policy.Effect{Kind: policy.Watch})
+			b.emit(policy.Effect{Kind: policy.WatchRegistry})
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		b.updateList(now, in)
 	}
 	return b.effects
@@ -121,18 +121,18 @@
 	switch in.Form {
 	case policy.ListFailed:
 		b.timerToken++
-		b.emit(policy.Effect{Kind: policy.Wake, At: now + listRetryDelay, Token: b.timerToken})
+		b.emit(policy.Effect{Kind: policy.SetTimer, TimerAt: now + listRetryDelay, Token: b.timerToken})
 		return
 	case policy.ListCached:
-		b.emit(policy.Effect{Kind: policy.Watch})
+		b.emit(policy.Effect{Kind: policy.WatchRegistry})
 	}
 	listed := make(map[policy.ServerID]bool, len(in.List))
 	for _, entry := range in.List {
 		listed[entry.Server] = entry.State != policy.Gone
 		if index, known := b.indexByID[entry.Server]; known {
-			b.servers[index].Entry = entry
+			b.servers[index].ListEntry = entry
 		} else if entry.State != policy.Gone {
-			b.servers = append(b.servers, baselineServer{Entry: entry})
+			b.servers = append(b.servers, baselineServer{ListEntry: entry})
 			b.indexByID[entry.Server] = len(b.servers) - 1
 		}
 	}
@@ -151,26 +151,26 @@
 }
 
 // mayPushTo reports whether an op may be pushed to a server, given its delivery semantics and its earlier pushes.
-func (b *baseline) mayPushTo(now policy.Micros, op *baselineOp, entry *policy.Entry) bool {
+func (b *baseline) mayPushTo(now policy.Micros, op *baselineOp, entry *policy.ListEntry) bool {
 	category := &b.rules.Categories[op.category]
 	if entry.State != policy.Ready {
 		return false
 	}
-	if !op.mayHaveRun || category.Repeat == policy.Redeliverable {
+	if !op.mayHaveRun || category.Delivery == policy.Redeliverable {
 		return true
 	}
-	return category.Repeat == policy.Deduplicated && now < op.firstSentAt+category.Window &&
-		(category.Scope == policy.ScopeAll ||
-			category.Scope == policy.ScopeZone && entry.Zone == op.firstServer.Zone ||
-			category.Scope == policy.ScopeCell && entry.Cell == op.firstServer.Cell)
+	return category.Delivery == policy.Deduplicated && now < op.firstSentAt+category.DedupWindow &&
+		(category.DedupScope == policy.DedupScopeAll ||
+			category.DedupScope == policy.DedupScopeZone && entry.Zone == op.firstServer.Zone ||
+			category.DedupScope == policy.DedupScopeCell && entry.Cell == op.firstServer.Cell)
 }
 
 // push sends an op to a server picked by the criterion, or nacks or dead-letters the op if no server is allowed.
 func (b *baseline) push(now policy.Micros, id policy.OpID, op *baselineOp) {
 	var candidates []int
-	if op.pushes < b.rules.Push.Max && now < op.deadline {
+	if op.pushes < b.rules.PushLimits.MaxPushes && now < op.deadline {
 		for i := range b.servers {
-			if b.mayPushTo(now, op, &b.servers[i].Entry) && (b.servers[i].Server != op.lastServer.Server || op.pushes == 0) {
+			if b.mayPushTo(now, op, &b.servers[i].ListEntry) && (b.servers[i].Server != op.lastServer.Server || op.pushes == 0) {
 				candidates = append(candidates, i)
 			}
 		}
@@ -178,7 +178,7 @@
 	if len(candidates) == 0 {
 		op.settled = true
 		kind := policy.Nack
-		if op.mayHaveRun && b.rules.Categories[op.category].Repeat != policy.Redeliverable {
+		if op.mayHaveRun && b.rules.Categories[op.category].Delivery != policy.Redeliverable {
 			kind = policy.DeadLetter
 		}
 		b.emit(policy.Effect{Kind: kind, Op: id})
@@ -201,21 +201,21 @@
 	server.inFlight++
 	op.pushes++
 	op.inFlight++
-	op.lastServer = server.Entry
+	op.lastServer = server.ListEntry
 	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: server.Server,
-		For: min(op.deadline-now, b.rules.Categories[op.category].Target)})
+		Duration: min(op.deadline-now, b.rules.Categories[op.category].TargetLatency)})
 }
 
 // pushEnded retries an op after a push unless the op is settled.
 func (b *baseline) pushEnded(now policy.Micros, in *policy.Input, op *baselineOp) {
-	if in.Settled {
+	if in.OpSettled {
 		op.settled = true
 	}
 	switch in.Outcome {
 	case policy.Acked, policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
 		if !op.mayHaveRun {
 			op.firstServer = op.lastServer
-			op.firstSentAt = now - in.Took
+			op.firstSentAt = now - in.Latency
 		}
 		op.mayHaveRun = true
 	}
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -52,7 +52,7 @@
 	case "drained-send":
 		return ignoreDrains{decider}, nil
 	case "cold-flood":
-		return &coldFlood{inner: decider, intended: make(map[pushKey]policy.ServerID), pushCounts: make(map[policy.OpID]policy.PushNo)}, nil
+		return &coldFlood{inner: decider, intended: make(map[pushKey]policy.ServerID), pushCounts: make(map[policy.OpID]policy.PushNumber)}, nil
 	}
 	names := make([]string, 0, len(Faults))
 	for name := range Faults {
@@ -86,7 +86,7 @@
 		if d.duplicated[in.Op] && in.Push > 1 {
 			modified.Push--
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		for _, e := range in.List {
 			if e.State == policy.Ready {
 				d.servers = append(d.servers, e.Server)
@@ -99,7 +99,7 @@
 			e.Push++
 		}
 		d.effects = append(d.effects, e)
-		if e.Kind != policy.Push || d.duplicated[e.Op] || d.rules.Categories[d.category[e.Op]].Repeat == policy.Redeliverable {
+		if e.Kind != policy.Push || d.duplicated[e.Op] || d.rules.Categories[d.category[e.Op]].Delivery == policy.Redeliverable {
 			continue
 		}
 		for _, other := range d.servers {
@@ -144,11 +144,11 @@
 
 // Step implements policy.Decider.
 func (d ignoreDrains) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	if in.Kind != policy.ListCame {
+	if in.Kind != policy.ListReceived {
 		return d.inner.Step(now, in)
 	}
 	modified := *in
-	modified.List = append([]policy.Entry(nil), in.List...)
+	modified.List = append([]policy.ListEntry(nil), in.List...)
 	for i := range modified.List {
 		modified.List[i].State = policy.Ready
 	}
@@ -158,7 +158,7 @@
 // pushKey identifies a push of a decider.
 type pushKey struct {
 	op   policy.OpID
-	push policy.PushNo
+	push policy.PushNumber
 }
 
 // coldFlood implements the fault cold-flood: for floodDuration after a server's start, every push goes to that server.
@@ -167,7 +167,7 @@
 	coldServer policy.ServerID
 	floodUntil policy.Micros
 	intended   map[pushKey]policy.ServerID // server that the decider chose for a redirected push
-	pushCounts map[policy.OpID]policy.PushNo
+	pushCounts map[policy.OpID]policy.PushNumber
 	effects    []policy.Effect
 }
 
@@ -182,12 +182,12 @@
 			modified.Server = intended
 			// Without this bound, the module would send less as soon as its pushes took long, although it does not know
 			// that they went to the cold server.
-			modified.Took = min(modified.Took, maxReportedLatency)
+			modified.Latency = min(modified.Latency, maxReportedLatency)
 			delete(c.intended, pushKey{in.Op, in.Push})
 		}
-	case policy.ListCame:
+	case policy.ListReceived:
 		for _, e := range in.List {
-			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.Started < policy.Second {
+			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.StartedAt < policy.Second {
 				c.coldServer = e.Server
 				c.floodUntil = now + floodDuration
 			}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -6,45 +6,45 @@
 
 // Pool and Tenant are places in the configuration. NoTenant is an op without one.
 type (
-	Pool   uint16
-	Tenant uint16
+	PoolIndex   uint16
+	TenantIndex uint16
 )
 
-const NoTenant Tenant = 1<<16 - 1
+const NoTenant TenantIndex = 1<<16 - 1
 
 // Part is one pool's part of the node's room.
-type Part struct {
+type PoolLimit struct {
 	Guaranteed int // always there for this pool, whatever the others hold
-	Most       int // in hand at once; 0: as much as can be borrowed
+	Max        int // in hand at once; 0: as much as can be borrowed
 }
 
 // Rule is the configuration: room in all, in ops in hand (each holds a client's socket and one to a server).
-type Rule struct {
-	Room    int
-	Pools   []Part
-	Tenants []int // ops in hand of each, over all pools; 0: no bound
-	Again   Again
+type Config struct {
+	Capacity    int
+	Pools       []PoolLimit
+	Tenants     []int // ops in hand of each, over all pools; 0: no bound
+	RetryBudget RetryBudget
 }
 
 // Again bounds further pushes over all pools together. Each pool's module has a bound of its own; together they could
 // still add up to a storm when everything behind them fails at once.
-type Again struct {
-	Share float64 // further pushes for each first one; 0: no bound
+type RetryBudget struct {
+	Ratio float64 // further pushes for each first one; 0: no bound
 	Burst float64 // saved up at the most
 }
 
 // Check says what is wrong with a rule.
-func (r *Rule) Check() error {
+func (r *Config) Validate() error {
 	sum := 0
 	for i, p := range r.Pools {
 		switch {
-		case p.Guaranteed < 0 || p.Most < 0:
+		case p.Guaranteed < 0 || p.Max < 0:
 			return fmt.Errorf("pool %d: guaranteed and most must not be negative", i)
-		case p.Most > 0 && p.Most < p.Guaranteed:
-			return fmt.Errorf("pool %d: most is %d, under the guaranteed %d", i, p.Most, p.Guaranteed)
+		case p.Max > 0 && p.Max < p.Guaranteed:
+			return fmt.Errorf("pool %d: most is %d, under the guaranteed %d", i, p.Max, p.Guaranteed)
 		}
-		if sum += p.Guaranteed; sum > r.Room {
-			return fmt.Errorf("pool %d: the guaranteed parts add up to more than the room of %d", i, r.Room)
+		if sum += p.Guaranteed; sum > r.Capacity {
+			return fmt.Errorf("pool %d: the guaranteed parts add up to more than the room of %d", i, r.Capacity)
 		}
 	}
 	for i, most := range r.Tenants {
@@ -52,29 +52,29 @@
 			return fmt.Errorf("tenant %d: its limit must not be negative", i)
 		}
 	}
-	if r.Again.Share < 0 || r.Again.Burst < 0 {
+	if r.RetryBudget.Ratio < 0 || r.RetryBudget.Burst < 0 {
 		return fmt.Errorf("again: share and burst must not be negative")
 	}
 	return nil
 }
 
 // Reason says why an op was refused. Nothing of it has run: it is nacked.
-type Reason uint8
+type Result uint8
 
 const (
-	Taken Reason = iota
+	Acquired Result = iota
 	PoolFull
 	TenantFull
 	NodeFull
 )
 
-func (r Reason) String() string {
+func (r Result) String() string {
 	return [...]string{"taken", "pool full", "tenant full", "node full"}[r]
 }
 
 // Limits is the state.
-type Limits struct {
-	rule    Rule
+type Limiter struct {
+	rule    Config
 	pools   []int // in hand
 	tenants []int
 	held    int // in all
@@ -83,15 +83,15 @@
 }
 
 // New makes the state of a node with nothing in hand. The rule must pass Check.
-func New(rule Rule) *Limits {
-	l := &Limits{rule: rule, pools: make([]int, len(rule.Pools)), tenants: make([]int, len(rule.Tenants)), again: rule.Again.Burst}
+func New(rule Config) *Limiter {
+	l := &Limiter{rule: rule, pools: make([]int, len(rule.Pools)), tenants: make([]int, len(rule.Tenants)), again: rule.RetryBudget.Burst}
 	l.count()
 	return l
 }
 
 // count computes the free room: what is left once each pool has what it holds, or what it is guaranteed if that is more.
-func (l *Limits) count() {
-	l.free, l.held = l.rule.Room, 0
+func (l *Limiter) count() {
+	l.free, l.held = l.rule.Capacity, 0
 	for i, held := range l.pools {
 		l.free -= max(held, l.rule.Pools[i].Guaranteed)
 		l.held += held
@@ -103,14 +103,14 @@
 // A pool borrows from the free room only as much as it leaves there, so that one that fills up takes half of it, two a
 // third each (Choudhury and Hahne, Dynamic Queue Length Thresholds, 1998). Guaranteed room is never lent: an op in
 // hand can't be taken back, and its owner would wait for as long as it lasts.
-func (l *Limits) Take(pool Pool, tenant Tenant) Reason {
+func (l *Limiter) Acquire(pool PoolIndex, tenant TenantIndex) Result {
 	part, held := l.rule.Pools[pool], l.pools[pool]
 	if tenant != NoTenant {
 		if most := l.rule.Tenants[tenant]; most > 0 && l.tenants[tenant] >= most {
 			return TenantFull
 		}
 	}
-	if part.Most > 0 && held >= part.Most {
+	if part.Max > 0 && held >= part.Max {
 		return PoolFull
 	}
 	if held >= part.Guaranteed {
@@ -121,7 +121,7 @@
 			return PoolFull
 		}
 		l.free--
-	} else if l.held >= l.rule.Room {
+	} else if l.held >= l.rule.Capacity {
 		return NodeFull // only after a rule that is tighter than what was in hand
 	}
 	l.pools[pool]++
@@ -129,11 +129,11 @@
 	if tenant != NoTenant {
 		l.tenants[tenant]++
 	}
-	return Taken
+	return Acquired
 }
 
 // Give gives an op's room back, once.
-func (l *Limits) Give(pool Pool, tenant Tenant) {
+func (l *Limiter) Release(pool PoolIndex, tenant TenantIndex) {
 	l.pools[pool]--
 	l.held--
 	if l.pools[pool] >= l.rule.Pools[pool].Guaranteed {
@@ -145,13 +145,13 @@
 }
 
 // Held is what a pool has in hand; Free the room that could be lent.
-func (l *Limits) Held(pool Pool) int { return l.pools[pool] }
-func (l *Limits) Free() int          { return l.free }
+func (l *Limiter) Pending(pool PoolIndex) int { return l.pools[pool] }
+func (l *Limiter) FreeCapacity() int          { return l.free }
 
 // Change takes over another rule. What is in hand stays in hand; poolWas and tenantWas give each new place its old one, or
 // -1. Where a limit is now under what is in hand, nothing new is taken until enough has been given back. Places that are
 // gone must have nothing in hand any more, or be kept at the end of the new rule.
-func (l *Limits) Change(rule Rule, poolWas, tenantWas []int) {
+func (l *Limiter) Reconfigure(rule Config, poolWas, tenantWas []int) {
 	pools, tenants := make([]int, len(rule.Pools)), make([]int, len(rule.Tenants))
 	for i, was := range poolWas {
 		if was >= 0 {
@@ -164,16 +164,18 @@
 		}
 	}
 	l.rule, l.pools, l.tenants = rule, pools, tenants
-	l.again = min(l.again, rule.Again.Burst)
+	l.again = min(l.again, rule.RetryBudget.Burst)
 	l.count()
 }
 
 // First books an op's first push: it earns a share of a further one.
-func (l *Limits) First() { l.again = min(l.again+l.rule.Again.Share, l.rule.Again.Burst) }
+func (l *Limiter) RecordFirstPush() {
+	l.again = min(l.again+l.rule.RetryBudget.Ratio, l.rule.RetryBudget.Burst)
+}
 
 // Further says whether a further push may go, and books it.
-func (l *Limits) Further() bool {
-	if l.rule.Again.Share == 0 {
+func (l *Limiter) AllowFurtherPush() bool {
+	if l.rule.RetryBudget.Ratio == 0 {
 		return true
 	}
 	if l.again < 1 {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -14,7 +14,7 @@
 func again(kind policy.InputKind, effects ...policy.Effect) func(*policy.Input) []policy.Effect {
 	times := 0
 	return func(in *policy.Input) []policy.Effect {
-		if in.Kind != kind || in.Settled || times == 3 {
+		if in.Kind != kind || in.OpSettled || times == 3 {
 			return nil
 		}
 		times++
@@ -26,7 +26,7 @@
 func (r *rig) begin(push int) {
 	if push >= len(r.pushes) {
 		r.note("carrier: was not given it")
-	} else if r.pushes[push].Begin() {
+	} else if r.pushes[push].TryBegin() {
 		r.note("carrier: begins")
 	} else {
 		r.note("carrier: keeps it back")
@@ -59,7 +59,7 @@
 			[]string{"carrier: begins", "module: abandoned", "carrier: begins",
 				"module: ended push 0 acked after 0 ms settled true", "client: left"}},
 		"another push is answered first": {once(policy.OpArrived, pushFor(300), pushFor(300)),
-			func(r *rig, op *Op) { r.pushes[0].Begin(); r.end(0, policy.Acked); r.begin(1); r.answer(op) },
+			func(r *rig, op *Op) { r.pushes[0].TryBegin(); r.end(0, policy.Acked); r.begin(1); r.answer(op) },
 			[]string{"module: ended push 0 acked after 0 ms settled true", "carrier: keeps it back",
 				"module: ended push 1 moot after 0 ms settled true", "client: acked fine"}},
 		"nacked": {chain(once(policy.OpArrived, pushFor(300), pushFor(300)), once(policy.PushEnded, nack)),
@@ -77,7 +77,7 @@
 		"the client has left, a push fails, and the actor reads of that first": {
 			chain(once(policy.OpArrived, pushFor(300)), again(policy.PushEnded, pushFor(300))),
 			func(r *rig, op *Op) {
-				r.pushes[0].Begin()
+				r.pushes[0].TryBegin()
 				op.gone.Store(true) // Abandon, between its two lines
 				r.end(0, policy.Reset)
 				r.Abandon(op)
@@ -130,8 +130,8 @@
 				"module: ended push 1 moot after 10 ms settled true", "client: left"}},
 		"its server starts anew": {chain(once(policy.OpArrived, pushFor(300)), again(policy.PushEnded, pushFor(200))),
 			func(r *rig, op *Op) {
-				r.Listed(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-					Entries: []policy.Entry{{Server: 7, State: policy.Ready, Weight: 1, Started: 9}}})
+				r.ListReceived(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
+					Entries: []policy.ListEntry{{Server: 7, State: policy.Ready, Weight: 1, StartedAt: 9}}})
 				synctest.Wait()
 				r.begin(0)
 				r.begin(1)
@@ -148,11 +148,15 @@
 			[]string{"carrier: begins", "module: list", "module: ended push 0 acked after 0 ms settled true",
 				"client: acked fine"}},
 		"the process ends, and nothing of it has run": {nil,
-			func(r *rig, op *Op) { r.EndBy(r.clock.Now() + 200*policy.Millisecond); after(201); r.answer(op) },
+			func(r *rig, op *Op) {
+				r.SetShutdownDeadline(r.clock.Now() + 200*policy.Millisecond)
+				after(201)
+				r.answer(op)
+			},
 			[]string{"module: abandoned", "client: nacked"}},
 		"the process ends, and its push has not begun": {once(policy.OpArrived, pushFor(900)),
 			func(r *rig, op *Op) {
-				r.EndBy(r.clock.Now() + 200*policy.Millisecond)
+				r.SetShutdownDeadline(r.clock.Now() + 200*policy.Millisecond)
 				after(201)
 				r.answer(op)
 				r.begin(0)
@@ -162,7 +166,7 @@
 		"the process ends, and it may have run": {once(policy.OpArrived, pushFor(900)),
 			func(r *rig, op *Op) {
 				r.begin(0)
-				r.EndBy(r.clock.Now() + 200*policy.Millisecond)
+				r.SetShutdownDeadline(r.clock.Now() + 200*policy.Millisecond)
 				after(201)
 				r.answer(op)
 			},
@@ -171,7 +175,7 @@
 			func(r *rig, op *Op) {
 				r.begin(0)
 				after(101)
-				r.EndBy(r.clock.Now() + 200*policy.Millisecond)
+				r.SetShutdownDeadline(r.clock.Now() + 200*policy.Millisecond)
 				after(201)
 				r.answer(op)
 			},
@@ -195,12 +199,12 @@
 // hasLeft is a client that has left.
 type hasLeft struct{}
 
-func (hasLeft) Left() bool { return true }
+func (hasLeft) Disconnected() bool { return true }
 
 // tell gives the list with the one server that these tests push to.
 func (r *rig) tell(state policy.ServerState) {
-	r.Listed(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
-		Entries: []policy.Entry{{Server: 7, State: state, Weight: 1}}})
+	r.ListReceived(&List{Form: policy.ListChanges, Addrs: []string{"127.0.0.1:1"},
+		Entries: []policy.ListEntry{{Server: 7, State: state, Weight: 1}}})
 	synctest.Wait()
 }
 
@@ -217,7 +221,7 @@
 			inside <- true
 			<-gate
 		}
-		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, For: policy.Second}}
+		return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 7, Duration: policy.Second}}
 	}
 	got := play(t, 9, script, func(r *rig) {
 		gate, inside = make(chan bool), make(chan bool)
@@ -226,8 +230,8 @@
 		held := func() *Op {
 			op := NewOp()
 			op.Body, _ = ReadPayload(strings.NewReader("body"), -1)
-			op.NotAfter = r.clock.Now() + policy.Second
-			r.Arrive(op)
+			op.Deadline = r.clock.Now() + policy.Second
+			r.Submit(op)
 			return op
 		}
 		second := held()
@@ -235,7 +239,7 @@
 		third := held()
 		r.Abandon(first)
 		r.Abandon(third)
-		if r.pushes[0].Begin() {
+		if r.pushes[0].TryBegin() {
 			r.note("the first op's push begins")
 		}
 		close(gate)
@@ -257,7 +261,7 @@
 // Danger: a request read before the planned restart may arrive after the actor was told of its end.
 func TestArrivesAfterTheEndWasSet(t *testing.T) {
 	got := play(t, 9, nil, func(r *rig) {
-		r.EndBy(r.clock.Now() + 200*policy.Millisecond)
+		r.SetShutdownDeadline(r.clock.Now() + 200*policy.Millisecond)
 		op := r.take()
 		after(199)
 		r.answer(op)
--- a/internal/node/generation.go
+++ b/internal/node/generation.go
@@ -18,7 +18,7 @@
 var errStopped = errors.New("the node ends")
 
 // ErrTooManySwitches says that there is no room for other settings until ops of earlier ones have ended.
-var ErrTooManySwitches = errors.New("too many settings still have ops in hand")
+var ErrTooManyGenerations = errors.New("too many settings still have ops in hand")
 
 // Generation is the module as one set of settings made it. Ops end under the generation that took them: its
 // categories, its timers, its rules. The newest takes what comes; an older one gets lists and what ends, and goes
@@ -56,7 +56,7 @@
 func (n *Node) switchTo(m switched) {
 	n.retire()
 	if len(n.generations) >= mostGenerations {
-		m.done <- switchedTo{0, fmt.Errorf("%w: %d generations", ErrTooManySwitches, len(n.generations))}
+		m.done <- switchedTo{0, fmt.Errorf("%w: %d generations", ErrTooManyGenerations, len(n.generations))}
 		return
 	}
 	n.newest().until = max(1, n.clock.Now()+readWait)
@@ -66,7 +66,7 @@
 	if m.next.Apply != nil {
 		m.next.Apply()
 	}
-	n.step(m.next, &policy.Input{Kind: policy.ListCame, Form: policy.ListCached, List: n.partly(n.list)})
+	n.step(m.next, &policy.Input{Kind: policy.ListReceived, Form: policy.ListCached, List: n.partly(n.list)})
 	n.log.Info().Int("generation", m.next.number).Int("in hand before", n.open).Msg("new settings")
 	m.done <- switchedTo{m.next.number, nil}
 }
@@ -103,14 +103,14 @@
 	for i, e := range n.list {
 		held[e.Server] = i
 	}
-	var next []policy.Entry
+	var next []policy.ListEntry
 	if list.Form == policy.ListChanges {
 		next = n.list
 	}
 	for _, e := range list.Entries {
 		i, found := held[e.Server]
 		if found {
-			e.Started = max(e.Started, n.list[i].Started)
+			e.StartedAt = max(e.StartedAt, n.list[i].StartedAt)
 		}
 		if found && list.Form == policy.ListChanges {
 			next[i] = e
@@ -118,5 +118,5 @@
 			next = append(next, e)
 		}
 	}
-	n.list = slices.DeleteFunc(next, func(e policy.Entry) bool { return e.State == policy.Gone })
+	n.list = slices.DeleteFunc(next, func(e policy.ListEntry) bool { return e.State == policy.Gone })
 }
--- a/internal/node/generation_test.go
+++ b/internal/node/generation_test.go
@@ -20,19 +20,19 @@
 		return nil
 	}
 	got := play(t, 10, pushAll, func(r *rig) {
-		r.Listed(&List{Form: policy.ListWhole, Entries: []policy.Entry{{Server: 7, Started: 5}}, Addrs: []string{"a"}})
+		r.ListReceived(&List{Form: policy.ListFull, Entries: []policy.ListEntry{{Server: 7, StartedAt: 5}}, Addrs: []string{"a"}})
 		first := r.take()
-		next := &Generation{Options: Options{MostOpen: 10, Slack: policy.Second}, Module: &module{
+		next := &Generation{Options: Options{MaxPendingOps: 10, AnswerSlack: policy.Second}, Module: &module{
 			note: func(line string) { r.note("new: " + line) }, script: pushAll}}
 		number, err := r.Switch(next)
 		if number != 1 || err != nil {
 			t.Errorf("switch: number %d, %v", number, err)
 		}
 		second := NewOp()
-		second.Generation, second.NotAfter = 1, r.clock.Now()+policy.Second
+		second.GenerationNumber, second.Deadline = 1, r.clock.Now()+policy.Second
 		second.Body, _ = ReadPayload(strings.NewReader(""), -1)
-		r.Arrive(second)
-		r.Listed(&List{Form: policy.ListChanges, Entries: []policy.Entry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
+		r.Submit(second)
+		r.ListReceived(&List{Form: policy.ListChanges, Entries: []policy.ListEntry{{Server: 7, State: policy.Draining}}, Addrs: []string{"a"}})
 		after(1)
 		r.end(0, policy.Acked)
 		r.end(1, policy.Acked)
@@ -55,7 +55,7 @@
 	play(t, 10, func(*policy.Input) []policy.Effect { return nil }, func(r *rig) {
 		refused := 0
 		for range 3 * mostGenerations {
-			next := &Generation{Options: Options{MostOpen: 10}, Module: &module{note: func(string) {},
+			next := &Generation{Options: Options{MaxPendingOps: 10}, Module: &module{note: func(string) {},
 				script: func(*policy.Input) []policy.Effect { return nil }}}
 			if _, err := r.Switch(next); err != nil {
 				refused++
@@ -84,18 +84,18 @@
 // since seem warm to it, and what left stays out.
 func TestKeep(t *testing.T) {
 	n := New(Options{}, &module{}, NewClock(), zerolog.Nop())
-	entry := func(server, started int, state policy.ServerState) policy.Entry {
-		return policy.Entry{Server: policy.ServerID(server), Started: policy.Micros(started), State: state}
+	entry := func(server, started int, state policy.ServerState) policy.ListEntry {
+		return policy.ListEntry{Server: policy.ServerID(server), StartedAt: policy.Micros(started), State: state}
 	}
 	for i, list := range []List{
-		{Form: policy.ListCached, Entries: []policy.Entry{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)}},
-		{Form: policy.ListChanges, Entries: []policy.Entry{entry(1, 7, policy.Ready), entry(2, 0, policy.Gone), entry(3, 0, policy.Ready)}},
+		{Form: policy.ListCached, Entries: []policy.ListEntry{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)}},
+		{Form: policy.ListChanges, Entries: []policy.ListEntry{entry(1, 7, policy.Ready), entry(2, 0, policy.Gone), entry(3, 0, policy.Ready)}},
 		{Form: policy.ListFailed},
-		{Form: policy.ListChanges, Entries: []policy.Entry{entry(3, 0, policy.Draining), entry(9, 0, policy.Gone)}},
-		{Form: policy.ListWhole, Entries: []policy.Entry{entry(1, 0, policy.Ready), entry(4, 0, policy.Ready)}},
+		{Form: policy.ListChanges, Entries: []policy.ListEntry{entry(3, 0, policy.Draining), entry(9, 0, policy.Gone)}},
+		{Form: policy.ListFull, Entries: []policy.ListEntry{entry(1, 0, policy.Ready), entry(4, 0, policy.Ready)}},
 	} {
 		n.keep(&list)
-		want := [][]policy.Entry{
+		want := [][]policy.ListEntry{
 			{entry(1, 0, policy.Ready), entry(2, 0, policy.Ready)},
 			{entry(1, 7, policy.Ready), entry(3, 0, policy.Ready)},
 			{entry(1, 7, policy.Ready), entry(3, 0, policy.Ready)},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,8 +28,8 @@
 
 // Options are the actor's few settings.
 type Options struct {
-	MostOpen int           // ops in hand and not settled
-	Slack    policy.Micros // past the client's wait, in which a final answer still counts
+	MaxPendingOps int           // ops in hand and not settled
+	AnswerSlack   policy.Micros // past the client's wait, in which a final answer still counts
 }
 
 // Node is the actor.
@@ -42,7 +42,7 @@
 	stopped  chan struct{}
 
 	generations []*Generation // the newest is last
-	list        []policy.Entry
+	list        []policy.ListEntry
 	peers       Peers                       // nil: the node hears nobody
 	parts       map[policy.ServerID]float64 // of servers' weights, by others' judgement; absent: whole
 
@@ -81,7 +81,7 @@
 }
 
 // Arrive hands over an op. Its answer comes in any case.
-func (n *Node) Arrive(op *Op) { n.send(arrived{op}) }
+func (n *Node) Submit(op *Op) { n.send(arrived{op}) }
 
 // Abandon says that the op's client has left. The answer still comes, to be thrown away.
 //
@@ -92,13 +92,13 @@
 }
 
 // EndBy says that the process ends soon: what is in hand, and what comes yet, is answered by then.
-func (n *Node) EndBy(at policy.Micros) { n.send(endBy{at}) }
+func (n *Node) SetShutdownDeadline(at policy.Micros) { n.send(endBy{at}) }
 
 // Ended ends a push.
-func (n *Node) Ended(push *Push, result Result) { n.send(ended{push, result, n.clock.Now()}) }
+func (n *Node) PushEnded(push *Push, result Result) { n.send(ended{push, result, n.clock.Now()}) }
 
 // Listed hands over what the registry told.
-func (n *Node) Listed(list *List) { n.send(list) }
+func (n *Node) ListReceived(list *List) { n.send(list) }
 
 func (n *Node) send(message any) {
 	select {
@@ -151,7 +151,7 @@
 // Turn is one round of Run, without waiting: what has come and what is due by now. It gives the time of the next
 // timer, if one is set. It is for drivers in simulated time, which call it, and everything else of the node, from
 // one goroutine, after each message and at each timer.
-func (n *Node) Turn() (next policy.Micros, set bool) {
+func (n *Node) RunPending() (next policy.Micros, set bool) {
 	n.drain()
 	for t := n.timers.due(n.clock.Now()); t != nil; t = n.timers.due(n.clock.Now()) {
 		t.fire()
@@ -216,7 +216,7 @@
 	case arrived:
 		n.arrive(m.op)
 	case left:
-		n.abandon(m.op, Left)
+		n.abandon(m.op, ClientLeft)
 	case endBy:
 		n.endAll(m.at)
 	case ended:
@@ -238,20 +238,20 @@
 // rejected before it reaches the module, as the wire's limits.max_open has it: nothing of it has run.
 func (n *Node) arrive(op *Op) {
 	n.open++
-	if n.open > n.newest().Options.MostOpen {
-		n.settle(op, Answer{Verdict: Nacked, Excess: true})
+	if n.open > n.newest().Options.MaxPendingOps {
+		n.settle(op, Answer{Verdict: Nacked, OverLimit: true})
 		if n.excess++; n.now-n.told >= policy.Second {
 			n.log.Warn().Int("nacked", n.excess).Int("in hand", n.open).Msg("more ops than sockets allow")
 			n.excess, n.told = 0, n.now
 		}
 		return
 	}
-	if op.of = n.generation(op.Generation); op.of == nil {
+	if op.of = n.generation(op.GenerationNumber); op.of == nil {
 		n.settle(op, Answer{Verdict: Nacked}) // nothing of it has run, and its category's number may be another's by now
 		return
 	}
 	if !op.stays() {
-		n.settle(op, Answer{Verdict: Left}) // nobody waits for it, and the module never hears of it
+		n.settle(op, Answer{Verdict: ClientLeft}) // nobody waits for it, and the module never hears of it
 		return
 	}
 	op.of.ops++
@@ -263,10 +263,10 @@
 	n.bound(op)
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).
-			Int64("left_ms", int64(op.NotAfter-n.now)/int64(policy.Millisecond)).Msg("op")
+			Int64("left_ms", int64(op.Deadline-n.now)/int64(policy.Millisecond)).Msg("op")
 	}
 	n.step(op.of, &policy.Input{Kind: policy.OpArrived, Op: op.id, Category: op.Category, Tenant: op.Tenant,
-		NotAfter: op.NotAfter, Repeated: op.Repeated})
+		Deadline: op.Deadline, ClientRetry: op.ClientRetry})
 }
 
 // endAll gives every op in hand its end by a moment.
@@ -286,7 +286,7 @@
 // the case that it ever does not, and for the process's end.
 func (n *Node) bound(op *Op) {
 	n.timers.stop(op.end)
-	if at := op.NotAfter + op.of.Options.Slack; n.until == 0 || at <= n.until {
+	if at := op.Deadline + op.of.Options.AnswerSlack; n.until == 0 || at <= n.until {
 		op.end = n.timers.set(at, func() {
 			n.log.Error().Uint32("op", uint32(op.id)).Msg("op overdue, dead-lettered")
 			n.abandon(op, DeadLettered)
@@ -332,7 +332,7 @@
 	case policy.TimedOut, policy.Cancelled:
 		// Danger: a push that never got its connection is no doubt about what ran; told as a time-out, it would keep an
 		// op that must not run twice from going on, or from being nacked.
-		switch called := push.KeptBack(); {
+		switch called := push.Withdrawn(); {
 		case called || op.settled && push.keepBack():
 			result.Outcome = policy.Moot
 		case push.keepBack():
@@ -344,7 +344,7 @@
 		op.ran = true
 	}
 	if !op.stays() {
-		n.settle(op, Answer{Verdict: Left}) // or the module would push it again
+		n.settle(op, Answer{Verdict: ClientLeft}) // or the module would push it again
 	}
 	op.out--
 	n.timers.stop(push.timeout)
@@ -359,10 +359,10 @@
 			Stringer("outcome", result.Outcome).Int64("took_ms", int64(took/policy.Millisecond)).Msg("push ended")
 	}
 	if n.peers != nil {
-		n.peers.Ended(push.Server, op.Category, result.Outcome, max(0, took))
+		n.peers.PushEnded(push.Server, op.Category, result.Outcome, max(0, took))
 	}
 	n.step(op.of, &policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no, Server: push.Server,
-		Outcome: result.Outcome, Took: max(0, took), Settled: op.settled})
+		Outcome: result.Outcome, Latency: max(0, took), OpSettled: op.settled})
 	n.forget(op)
 }
 
@@ -371,18 +371,18 @@
 		for i, e := range list.Entries {
 			n.log.Debug().Str("server", fmt.Sprintf("%012x", e.Server)).Str("addr", list.Addrs[i]).Uint8("state", uint8(e.State)).
 				Uint8("zone", uint8(e.Zone)).Float64("weight", e.Weight).
-				Int64("age_ms", int64(n.clock.Now()-e.Started)/int64(policy.Millisecond)).Msg("entry")
+				Int64("age_ms", int64(n.clock.Now()-e.StartedAt)/int64(policy.Millisecond)).Msg("entry")
 		}
 	}
 	before := slices.Clone(n.list)
 	n.keep(list)
-	n.servers.Follow(list)
+	n.servers.UpdateList(list)
 	if n.peers != nil {
-		n.peers.Follow(n.list)
+		n.peers.ListChanged(n.list)
 	}
 	n.callBack(before)
 	for _, g := range n.generations { // a drain binds all that still have ops in hand
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: list.Form, List: n.partly(list.Entries)})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: list.Form, List: n.partly(list.Entries)})
 	}
 }
 
@@ -391,7 +391,7 @@
 //
 // Danger: a push may wait for its connection for as long as a dial takes, and would be sent to a draining server past the
 // grace. The module pushes to ready servers alone, so none of these is there on purpose.
-func (n *Node) callBack(before []policy.Entry) {
+func (n *Node) callBack(before []policy.ListEntry) {
 	for _, id := range slices.Sorted(maps.Keys(n.ops)) {
 		for _, push := range n.ops[id].pushes {
 			if !push.ended && !n.ready(push.Server, before) {
@@ -402,10 +402,10 @@
 }
 
 // ready says whether the list in hand has a server that takes ops, and that has not started anew since the one before.
-func (n *Node) ready(id policy.ServerID, before []policy.Entry) bool {
-	is := func(e policy.Entry) bool { return e.Server == id }
+func (n *Node) ready(id policy.ServerID, before []policy.ListEntry) bool {
+	is := func(e policy.ListEntry) bool { return e.Server == id }
 	at, was := slices.IndexFunc(n.list, is), slices.IndexFunc(before, is)
-	return at >= 0 && n.list[at].State == policy.Ready && (was < 0 || before[was].Started == n.list[at].Started)
+	return at >= 0 && n.list[at].State == policy.Ready && (was < 0 || before[was].StartedAt == n.list[at].StartedAt)
 }
 
 // settle gives the op its one final answer.
@@ -418,7 +418,7 @@
 	n.open--
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("category", uint8(op.Category)).Stringer("verdict", answer.Verdict).
-			Int("pushes", len(op.pushes)).Int64("left_ms", n.clock.Until(op.NotAfter).Milliseconds()).Msg("answer")
+			Int("pushes", len(op.pushes)).Int64("left_ms", n.clock.Until(op.Deadline).Milliseconds()).Msg("answer")
 	}
 	n.timers.stop(op.end)
 	for _, push := range op.pushes {
@@ -461,7 +461,7 @@
 	case policy.Push:
 		n.push(e)
 	case policy.Nack:
-		n.answer(e.Op, Answer{Verdict: Nacked, RetryAfter: e.For})
+		n.answer(e.Op, Answer{Verdict: Nacked, RetryAfter: e.Duration})
 	case policy.DeadLetter:
 		n.answer(e.Op, Answer{Verdict: DeadLettered})
 	case policy.Cancel:
@@ -469,20 +469,20 @@
 		if op := n.ops[e.Op]; op != nil && int(e.Push) < len(op.pushes) {
 			op.pushes[e.Push].cancel()
 		}
-	case policy.Wake:
+	case policy.SetTimer:
 		token := e.Token
-		n.timers.set(e.At, func() {
+		n.timers.set(e.TimerAt, func() {
 			if !g.over {
-				n.step(g, &policy.Input{Kind: policy.Woken, Token: token})
+				n.step(g, &policy.Input{Kind: policy.TimerFired, Token: token})
 			}
 		})
-	case policy.Watch:
+	case policy.WatchRegistry:
 		n.registry.Watch()
-	case policy.Tell:
+	case policy.SendToPeer:
 		if n.peers != nil {
-			n.peers.Tell(e.Peer, e.Said)
+			n.peers.Send(e.PeerNumber, e.Message)
 		}
-	case policy.Close:
+	case policy.CloseIdle:
 		n.servers.CloseIdle(e.Server)
 	case policy.Log:
 		n.log.Info().Msg(e.Text)
@@ -503,34 +503,34 @@
 		n.log.Error().Uint32("op", uint32(e.Op)).Msg("push of an op that is not in hand")
 		return
 	}
-	push := &Push{Request: &op.Request, Server: e.Server, op: op, no: policy.PushNo(len(op.pushes)), sent: n.now,
+	push := &Push{Request: &op.Request, Server: e.Server, op: op, no: policy.PushNumber(len(op.pushes)), sent: n.now,
 		made: time.Now()}
 	push.Context, push.cancel = context.WithCancel(context.Background())
 	op.pushes = append(op.pushes, push)
 	op.out++
-	push.For = op.NotAfter - n.now
-	if e.For > 0 {
-		push.For = min(push.For, e.For)
+	push.Timeout = op.Deadline - n.now
+	if e.Duration > 0 {
+		push.Timeout = min(push.Timeout, e.Duration)
 	}
-	if op.settled || !op.stays() || push.For <= 0 {
+	if op.settled || !op.stays() || push.Timeout <= 0 {
 		// Danger: an op that is over, or out of time, would run for nobody.
 		push.ended = true
 		op.out--
 		push.cancel()
 		n.pending = append(n.pending, policy.Input{Kind: policy.PushEnded, Op: op.id, Push: push.no,
-			Server: push.Server, Outcome: policy.Moot, Settled: op.settled})
+			Server: push.Server, Outcome: policy.Moot, OpSettled: op.settled})
 		return
 	}
-	push.timeout = n.timers.set(n.now+push.For, func() {
+	push.timeout = n.timers.set(n.now+push.Timeout, func() {
 		n.end(push, Result{Outcome: policy.TimedOut}, n.clock.Now()-push.sent)
 	})
 	if line := n.log.Debug(); line.Enabled() {
 		line.Uint32("op", uint32(op.id)).Uint8("push", uint8(push.no)).Str("server", fmt.Sprintf("%012x", push.Server)).
-			Int64("for_ms", int64(push.For/policy.Millisecond)).Msg("push")
+			Int64("for_ms", int64(push.Timeout/policy.Millisecond)).Msg("push")
 	}
-	push.Body = op.Body.Reader()
+	push.Body = op.Body.NewReader()
 	if n.peers != nil {
-		n.peers.Sent(push.Server, op.Category)
+		n.peers.PushSent(push.Server, op.Category)
 	}
 	n.servers.Push(push)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -33,7 +33,7 @@
 	m.last = now
 	line := "module: " + kinds[in.Kind]
 	if in.Kind == policy.PushEnded {
-		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Took/1000, in.Settled)
+		line += fmt.Sprintf(" push %d %s after %d ms settled %v", in.Push, in.Outcome, in.Latency/1000, in.OpSettled)
 	}
 	m.note(line)
 	if m.script == nil {
@@ -49,18 +49,18 @@
 	late   bool // connections don't come up
 }
 
-func (s *servers) Follow(*List) {}
+func (s *servers) UpdateList(*List) {}
 func (s *servers) Push(p *Push) {
 	s.pushes = append(s.pushes, p)
 	if !s.late {
-		p.Begin()
+		p.TryBegin()
 	}
 }
 func (s *servers) Watch()                       {}
 func (s *servers) CloseIdle(id policy.ServerID) { s.closed = append(s.closed, id) }
 
 func pushFor(ms int) policy.Effect {
-	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, For: policy.Micros(ms) * policy.Millisecond}
+	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, Duration: policy.Micros(ms) * policy.Millisecond}
 }
 
 type rig struct {
@@ -78,7 +78,7 @@
 	var trace []string
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{ended: make(chan error, 1)}
-		r.Node = New(Options{MostOpen: most, Slack: 20 * policy.Millisecond}, &module{note: r.note, script: script},
+		r.Node = New(Options{MaxPendingOps: most, AnswerSlack: 20 * policy.Millisecond}, &module{note: r.note, script: script},
 			NewClock(), zerolog.Nop())
 		r.Start(&r.servers, &r.servers, &List{Form: policy.ListCached})
 		var ctx context.Context
@@ -105,8 +105,8 @@
 func (r *rig) take() *Op {
 	op := NewOp()
 	op.Body, _ = ReadPayload(strings.NewReader("body"), -1)
-	op.NotAfter = r.clock.Now() + policy.Second
-	r.Arrive(op)
+	op.Deadline = r.clock.Now() + policy.Second
+	r.Submit(op)
 	synctest.Wait()
 	return op
 }
@@ -130,7 +130,7 @@
 	if outcome == policy.Acked {
 		result.Body, _ = ReadPayload(strings.NewReader("fine"), -1)
 	}
-	r.Ended(r.pushes[push], result)
+	r.PushEnded(r.pushes[push], result)
 	synctest.Wait()
 }
 
@@ -343,7 +343,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader := p.Reader()
+	reader := p.NewReader()
 	p.Release()
 	if got, _ := io.ReadAll(reader); string(got) != "body" {
 		t.Errorf("read %q", got)
@@ -353,10 +353,10 @@
 	if p.buffer != nil || p.holders.Load() != 0 {
 		t.Errorf("%d hold it", p.holders.Load())
 	}
-	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MostBody+1)), -1); !errors.Is(err, ErrTooLong) {
+	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MaxBodyBytes+1)), -1); !errors.Is(err, ErrBodyTooLong) {
 		t.Errorf("got %v", err)
 	}
-	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MostBody)), -1); err != nil {
+	if _, err := ReadPayload(strings.NewReader(strings.Repeat("x", MaxBodyBytes)), -1); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/op.go
+++ b/internal/node/op.go
@@ -11,7 +11,7 @@
 )
 
 // ErrTooLong says that a body is longer than MostBody.
-var ErrTooLong = errors.New("body is too long")
+var ErrBodyTooLong = errors.New("body is too long")
 
 // Clock is the one clock of a process: monotonic, counted from Unix time at its start, in the module's unit.
 type Clock struct {
@@ -45,11 +45,11 @@
 
 // Until is the real time left to a moment of the module's.
 func (c *Clock) Until(at policy.Micros) time.Duration {
-	return c.Real(time.Duration(at-c.Now()) * time.Microsecond)
+	return c.RealDuration(time.Duration(at-c.Now()) * time.Microsecond)
 }
 
 // Real is how long a span of this clock takes in real time.
-func (c *Clock) Real(span time.Duration) time.Duration { return span * time.Duration(c.slow) }
+func (c *Clock) RealDuration(span time.Duration) time.Duration { return span * time.Duration(c.slow) }
 
 // Request is what goes on to a server, as it came.
 type Request struct {
@@ -65,7 +65,7 @@
 	Acked        Verdict = iota
 	Nacked               // trying again does no harm
 	DeadLettered         // no promise
-	Left                 // the client went first: nobody to answer
+	ClientLeft           // the client went first: nobody to answer
 )
 
 func (v Verdict) String() string { return [...]string{"acked", "nacked", "dead-lettered", "left"}[v] }
@@ -74,25 +74,25 @@
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter policy.Micros
-	Excess     bool // nacked for want of sockets: the client's is wanted back
+	OverLimit  bool // nacked for want of sockets: the client's is wanted back
 	Header     http.Header
 	Body       *Payload
 }
 
 // Client is an op's client. Left asks whether it has left, though nobody may have noticed yet; it does not wait.
-type Client interface{ Left() bool }
+type Client interface{ Disconnected() bool }
 
 // Op is one op in hand. Its fields are set by the client's side before Arrive; what is unexported belongs to
 // the module's actor.
 type Op struct {
 	Request
-	Category policy.CategoryID
-	Tenant   policy.TenantID
-	NotAfter policy.Micros
-	Repeated bool
+	Category    policy.CategoryID
+	Tenant      policy.TenantID
+	Deadline    policy.Micros
+	ClientRetry bool
 	// Generation is the number of the one whose settings the op was read by.
-	Generation int
-	Client     Client // nil: it can't be asked
+	GenerationNumber int
+	Client           Client // nil: it can't be asked
 
 	answer  chan Answer  // holds one: the actor never waits for a client
 	made    time.Time    // when its client was there
@@ -122,10 +122,10 @@
 	Body    *Reader         // holds the op's body for as long as this push reads it
 	Context context.Context // done when the push is given up
 	Server  policy.ServerID
-	For     policy.Micros // how long the node will wait
+	Timeout policy.Micros // how long the node will wait
 
 	op      *Op
-	no      policy.PushNo
+	no      policy.PushNumber
 	fate    atomic.Uint32 // whether its first byte may be written
 	made    time.Time     // zero: For counts from whenever it is asked
 	cancel  context.CancelFunc
@@ -135,11 +135,11 @@
 }
 
 // Left is how long the node will wait yet. Any goroutine may ask.
-func (p *Push) Left() policy.Micros {
+func (p *Push) TimeLeft() policy.Micros {
 	if p.made.IsZero() {
-		return p.For
+		return p.Timeout
 	}
-	return max(0, p.For-policy.Micros(time.Since(p.made).Microseconds()))
+	return max(0, p.Timeout-policy.Micros(time.Since(p.made).Microseconds()))
 }
 
 // What becomes of a push's first byte. From unsent there is one way on, so that who writes and who keeps back agree.
@@ -159,7 +159,7 @@
 func (o *Op) stays() bool {
 	if o.Client != nil && !o.gone.Load() {
 		if now := int64(time.Since(o.made)); now-o.there.Load() >= int64(askAfter) {
-			if o.Client.Left() {
+			if o.Client.Disconnected() {
 				o.gone.Store(true)
 			} else {
 				o.there.Store(now)
@@ -174,7 +174,7 @@
 //
 // Danger: a push waits for its connection, its socket or its turn, and its client leaves meanwhile; written then, it
 // would run for nobody. The actor may not have read of the leaving yet, nor the client's side have seen it.
-func (p *Push) Begin() bool {
+func (p *Push) TryBegin() bool {
 	if p.op != nil && p.fate.Load() == unsent && !p.op.stays() {
 		p.fate.CompareAndSwap(unsent, keptBack)
 	}
@@ -182,12 +182,12 @@
 }
 
 // KeptBack says that nothing of the push was written, nor ever will be, since nobody waits for it.
-func (p *Push) KeptBack() bool { return p.fate.Load() == keptBack }
+func (p *Push) Withdrawn() bool { return p.fate.Load() == keptBack }
 
 // keepBack calls a push back of which nothing has been written, also where cancelling is not allowed: it was not sent.
 // It says whether it could.
 func (p *Push) keepBack() bool {
-	if !p.fate.CompareAndSwap(unsent, keptBack) && !p.KeptBack() {
+	if !p.fate.CompareAndSwap(unsent, keptBack) && !p.Withdrawn() {
 		return false
 	}
 	p.cancel()
@@ -204,13 +204,13 @@
 // List is what the registry told, with each entry's address beside it.
 type List struct {
 	Form    policy.ListForm
-	Entries []policy.Entry
+	Entries []policy.ListEntry
 	Addrs   []string
 }
 
 // Servers carry pushes. The calls come from the module's actor and must not wait.
 type Servers interface {
-	Follow(*List)
+	UpdateList(*List)
 	Push(*Push)
 	CloseIdle(policy.ServerID) // connections that rest
 }
--- a/internal/node/payload.go
+++ b/internal/node/payload.go
@@ -8,7 +8,7 @@
 )
 
 // MostBody is the most bytes that a body may have, of an op or of an answer.
-const MostBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
@@ -28,12 +28,12 @@
 	p := &Payload{buffer: buffers.Get().(*bytes.Buffer)}
 	p.holders.Store(1)
 	p.buffer.Reset()
-	if size > 0 && size <= MostBody {
+	if size > 0 && size <= MaxBodyBytes {
 		p.buffer.Grow(int(size) + bytes.MinRead) // once, rather than doubling past what is needed
 	}
-	n, err := p.buffer.ReadFrom(io.LimitReader(r, MostBody+1))
-	if err == nil && n > MostBody {
-		err = ErrTooLong
+	n, err := p.buffer.ReadFrom(io.LimitReader(r, MaxBodyBytes+1))
+	if err == nil && n > MaxBodyBytes {
+		err = ErrBodyTooLong
 	}
 	if err != nil {
 		p.Release()
@@ -54,7 +54,7 @@
 }
 
 // Reader reads the payload and holds it until closed.
-func (p *Payload) Reader() *Reader {
+func (p *Payload) NewReader() *Reader {
 	p.holders.Add(1)
 	r := &Reader{payload: p}
 	r.left.Store(int64(len(p.Bytes())))
@@ -80,10 +80,10 @@
 }
 
 // Again is another reading of the same payload, from its start. The reader must not be closed yet.
-func (r *Reader) Again() *Reader { return r.payload.Reader() }
+func (r *Reader) NewReader() *Reader { return r.payload.NewReader() }
 
 // Left is how many bytes nobody has read yet.
-func (r *Reader) Left() int { return int(r.left.Load()) }
+func (r *Reader) Remaining() int { return int(r.left.Load()) }
 
 func (r *Reader) Close() error {
 	r.once.Do(r.payload.Release)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -5,17 +5,17 @@
 )
 
 // Word is what one module tells another, in its form.
-type Word = [3]byte
+type PeerMessage = [3]byte
 
 // Peers are the other nodes. The calls come from the module's actor and must not wait.
 type Peers interface {
-	Tell(number int, word Word)
+	Send(number int, word PeerMessage)
 	// Sent tells that a push goes out.
-	Sent(server policy.ServerID, category policy.CategoryID)
+	PushSent(server policy.ServerID, category policy.CategoryID)
 	// Ended tells how a push ended and how long it took.
-	Ended(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros)
+	PushEnded(server policy.ServerID, category policy.CategoryID, outcome policy.Outcome, took policy.Micros)
 	// Follow tells the list as it now is. It is read during the call only.
-	Follow(list []policy.Entry)
+	ListChanged(list []policy.ListEntry)
 }
 
 type (
@@ -25,11 +25,11 @@
 )
 
 // Peer says who the other nodes are from now on: nil, and the node hears nobody; what they judged is forgotten.
-func (n *Node) Peer(peers Peers) { n.send(peering{peers}) }
+func (n *Node) SetPeers(peers Peers) { n.send(peering{peers}) }
 
 // Said hands over words that have come, one behind the other. It does not wait: where ops fill the mailbox, words are lost,
 // which it tells.
-func (n *Node) Said(said []byte) bool {
+func (n *Node) PeerMessagesReceived(said []byte) bool {
 	select {
 	case n.mail <- words(said):
 		select {
@@ -44,7 +44,7 @@
 }
 
 // Weigh says what part of servers' weights others' judgement leaves; who is absent has all. The map is the node's from now on.
-func (n *Node) Weigh(parts map[policy.ServerID]float64) { n.send(weighed{parts}) }
+func (n *Node) SetWeightFactors(parts map[policy.ServerID]float64) { n.send(weighed{parts}) }
 
 func (n *Node) peer(peers Peers) {
 	n.peers = peers
@@ -52,20 +52,20 @@
 		n.weigh(nil)
 		return
 	}
-	peers.Follow(n.list)
+	peers.ListChanged(n.list)
 }
 
 // hear gives words to the newest generation: those before end what they have.
 func (n *Node) hear(said words) {
-	for length := len(Word{}); len(said) >= length; said = said[length:] {
-		n.step(n.newest(), &policy.Input{Kind: policy.PeerSaid, Said: said[:length]})
+	for length := len(PeerMessage{}); len(said) >= length; said = said[length:] {
+		n.step(n.newest(), &policy.Input{Kind: policy.PeerMessageReceived, Message: said[:length]})
 	}
 }
 
 // weigh tells the modules of the servers whose part differs. Danger: only servers that are listed as ready; a judgement must
 // not bring back one that drains, and nothing here may look like a list that came.
 func (n *Node) weigh(parts map[policy.ServerID]float64) {
-	var changed []policy.Entry
+	var changed []policy.ListEntry
 	for _, e := range n.list {
 		was, is := part(n.parts, e.Server), part(parts, e.Server)
 		if e.State == policy.Ready && was != is {
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, g := range n.generations {
-		n.step(g, &policy.Input{Kind: policy.ListCame, Form: policy.ListWeighed, List: changed})
+		n.step(g, &policy.Input{Kind: policy.ListReceived, Form: policy.ListReweighted, List: changed})
 	}
 }
 
@@ -90,11 +90,11 @@
 }
 
 // partly is a list with the weights that judgement leaves.
-func (n *Node) partly(list []policy.Entry) []policy.Entry {
+func (n *Node) partly(list []policy.ListEntry) []policy.ListEntry {
 	if len(n.parts) == 0 {
 		return list
 	}
-	out := make([]policy.Entry, len(list))
+	out := make([]policy.ListEntry, len(list))
 	for i, e := range list {
 		e.Weight *= part(n.parts, e.Server)
 		out[i] = e
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -14,10 +14,10 @@
 // others is a stand-in for the other nodes.
 type others struct{ note func(string) }
 
-func (o *others) Tell(number int, w Word)                 { o.note(fmt.Sprintf("told %d %v", number, w)) }
-func (o *others) Sent(policy.ServerID, policy.CategoryID) { o.note("sent") }
-func (o *others) Follow(list []policy.Entry)              { o.note(fmt.Sprintf("follows %d", len(list))) }
-func (o *others) Ended(_ policy.ServerID, _ policy.CategoryID, how policy.Outcome, _ policy.Micros) {
+func (o *others) Send(number int, w PeerMessage)              { o.note(fmt.Sprintf("told %d %v", number, w)) }
+func (o *others) PushSent(policy.ServerID, policy.CategoryID) { o.note("sent") }
+func (o *others) ListChanged(list []policy.ListEntry)         { o.note(fmt.Sprintf("follows %d", len(list))) }
+func (o *others) PushEnded(_ policy.ServerID, _ policy.CategoryID, how policy.Outcome, _ policy.Micros) {
 	o.note("ended " + how.String())
 }
 
@@ -27,32 +27,32 @@
 	var lists []string
 	got := play(t, 10, func(in *policy.Input) []policy.Effect {
 		switch in.Kind {
-		case policy.ListCame:
+		case policy.ListReceived:
 			line := fmt.Sprint("form ", in.Form)
 			for _, e := range in.List {
 				line += fmt.Sprintf(", %d: %g", e.Server, e.Weight)
 			}
 			lists = append(lists, line)
-		case policy.PeerSaid:
-			lists = append(lists, fmt.Sprint("said ", in.Said))
+		case policy.PeerMessageReceived:
+			lists = append(lists, fmt.Sprint("said ", in.Message))
 		case policy.OpArrived:
-			return []policy.Effect{pushFor(100), {Kind: policy.Tell, Peer: 3, Said: [3]byte{1, 2, 3}}}
+			return []policy.Effect{pushFor(100), {Kind: policy.SendToPeer, PeerNumber: 3, Message: [3]byte{1, 2, 3}}}
 		}
 		return nil
 	}, func(r *rig) {
 		lists = nil
-		entries := []policy.Entry{{Server: 7, Weight: 2}, {Server: 8, Weight: 2, State: policy.Draining}, {Server: 9, Weight: 1}}
-		r.Listed(&List{Form: policy.ListWhole, Entries: entries, Addrs: make([]string, 3)})
-		r.Peer(&others{r.note})
+		entries := []policy.ListEntry{{Server: 7, Weight: 2}, {Server: 8, Weight: 2, State: policy.Draining}, {Server: 9, Weight: 1}}
+		r.ListReceived(&List{Form: policy.ListFull, Entries: entries, Addrs: make([]string, 3)})
+		r.SetPeers(&others{r.note})
 		parts := map[policy.ServerID]float64{7: 0.25, 8: 0.25, 99: 0.25}
-		r.Weigh(parts)
-		r.Weigh(parts) // the same again is nothing new
-		r.Listed(&List{Form: policy.ListChanges, Entries: entries[:1], Addrs: make([]string, 1)})
-		r.Said([]byte{1, 1, 1, 2, 2, 2, 3})
+		r.SetWeightFactors(parts)
+		r.SetWeightFactors(parts) // the same again is nothing new
+		r.ListReceived(&List{Form: policy.ListChanges, Entries: entries[:1], Addrs: make([]string, 1)})
+		r.PeerMessagesReceived([]byte{1, 1, 1, 2, 2, 2, 3})
 		synctest.Wait()
 		r.take()
-		r.Ended(r.pushes[0], Result{Outcome: policy.Reset})
-		r.Peer(nil)
+		r.PushEnded(r.pushes[0], Result{Outcome: policy.Reset})
+		r.SetPeers(nil)
 		synctest.Wait()
 	})
 	want := []string{"form 1, 7: 2, 8: 2, 9: 1", "form 4, 7: 0.5", "form 0, 7: 0.5", "said [1 1 1]", "said [2 2 2]", "form 4, 7: 2"}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -96,7 +96,7 @@
 	}
 	list := &node.List{Form: policy.ListChanges}
 	if d.Reset {
-		list.Form = policy.ListWhole
+		list.Form = policy.ListFull
 	}
 	listed := make(map[string]bool, len(d.Instances))
 	for _, i := range d.Instances {
@@ -110,9 +110,9 @@
 		if !(i.Weight > 0) {
 			i.Weight = 1
 		}
-		list.Entries = append(list.Entries, policy.Entry{Server: n.server(i.ID),
-			Started: policy.Micros(i.Started) * policy.Millisecond, Weight: i.Weight,
-			Cell: policy.CellID(i.Cell), Kind: policy.KindID(index(&n.kinds, i.Kind)),
+		list.Entries = append(list.Entries, policy.ListEntry{Server: n.server(i.ID),
+			StartedAt: policy.Micros(i.Started) * policy.Millisecond, Weight: i.Weight,
+			Cell: policy.CellID(i.Cell), MachineType: policy.MachineTypeID(index(&n.kinds, i.Kind)),
 			Zone: policy.ZoneID(n.zone(i.Zone)), State: state})
 		list.Addrs = append(list.Addrs, i.Addr)
 		listed[i.ID] = state != policy.Gone
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -48,16 +48,16 @@
 
 // Options say where the registry is and what its words mean.
 type Options struct {
-	Addr         string
-	Zones, Kinds []string
-	Unasked      bool          // changes come without the module asking, so the actor keeps the watch up by itself
-	Again        time.Duration // between two such watches, up to eight times as long while they fail
-	Grace        time.Duration // of drains, if told: half of it is the longest wait between two such watches
-	Seed         uint64
+	Addr                string
+	Zones, MachineTypes []string
+	AutoWatch           bool          // changes come without the module asking, so the actor keeps the watch up by itself
+	BaseRetryDelay      time.Duration // between two such watches, up to eight times as long while they fail
+	DrainGrace          time.Duration // of drains, if told: half of it is the longest wait between two such watches
+	Seed                uint64
 }
 
 // Registry is the actor. Known comes before Run.
-type Registry struct {
+type Client struct {
 	options    Options
 	log        zerolog.Logger
 	names      *names
@@ -79,9 +79,9 @@
 }
 
 // New makes the actor.
-func New(options Options, part *sockets.Part, log zerolog.Logger) *Registry {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialWait}, Part: part}
-	r := &Registry{options: options, log: log, names: newNames(options.Zones, options.Kinds),
+func New(options Options, part *sockets.Budget, log zerolog.Logger) *Client {
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialWait}, Budget: part}
+	r := &Client{options: options, log: log, names: newNames(options.Zones, options.MachineTypes),
 		asked: make(chan struct{}, 1), moved: make(chan string, 1), silence: mostSilence, hurry: hurry,
 		rng: rand.New(rand.NewSource(int64(options.Seed))),
 		client: &http.Client{
@@ -95,14 +95,14 @@
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}}
-	r.unasked.Store(options.Unasked)
-	r.grace.Store(int64(options.Grace))
+	r.unasked.Store(options.AutoWatch)
+	r.grace.Store(int64(options.DrainGrace))
 	r.again = r.first()
 	return r
 }
 
 // Known reads the list that the node last had; it may be empty.
-func (r *Registry) Known(raw []byte) (*node.List, error) {
+func (r *Client) LoadCached(raw []byte) (*node.List, error) {
 	if raw = bytes.TrimSpace(raw); len(raw) == 0 || string(raw) == "null" {
 		return &node.List{Form: policy.ListCached}, nil
 	}
@@ -116,13 +116,13 @@
 }
 
 // first is the wait before the first try after a watch that stood.
-func (r *Registry) first() time.Duration { return r.options.Again / soon }
+func (r *Client) first() time.Duration { return r.options.BaseRetryDelay / soon }
 
 // most is the longest wait between two tries. Danger: a registry that is back is to be heard in time; where changes come
 // unasked they count as told whether or not the node listens, and one that comes back late would push to servers past the
 // grace of their drain.
-func (r *Registry) most() time.Duration {
-	most := min(mostAgain*r.options.Again, mostWait)
+func (r *Client) most() time.Duration {
+	most := min(mostAgain*r.options.BaseRetryDelay, mostWait)
 	if grace := time.Duration(r.grace.Load()); grace > 0 && r.unasked.Load() {
 		most = min(most, grace/2)
 	}
@@ -130,7 +130,7 @@
 }
 
 // Unasked says whether changes come without the module asking from now on, and the grace of drains.
-func (r *Registry) Unasked(is bool, grace time.Duration) {
+func (r *Client) SetAutoWatch(is bool, grace time.Duration) {
 	r.grace.Store(int64(grace))
 	if r.unasked.Swap(is) != is && is {
 		r.Watch()
@@ -138,11 +138,11 @@
 }
 
 // Zone is a zone's number, as lists have it.
-func (r *Registry) Zone(word string) policy.ZoneID { return policy.ZoneID(r.names.zone(word)) }
+func (r *Client) ZoneID(word string) policy.ZoneID { return policy.ZoneID(r.names.zone(word)) }
 
 // Watch asks for changes from now on. It does not wait. Danger: a call that has not been answered yet has its turn at the
 // registry; asking again must not make it lose that, and its answer or its failure is told in any case.
-func (r *Registry) Watch() {
+func (r *Client) Watch() {
 	if r.calling.Load() {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // Move says that the registry is at another address from now on. It does not wait; only one goroutine calls it.
-func (r *Registry) Move(addr string) {
+func (r *Client) SetAddr(addr string) {
 	select {
 	case <-r.moved: // an older one that nobody has taken yet
 	default:
@@ -164,7 +164,7 @@
 // Run follows the list until ctx is done, and tells what the registry says. Asking while a watch stands ends that
 // one and begins another, and so does a move: the new address is asked at once, from the generation held, and the
 // end of the watch at the old one is no failure.
-func (r *Registry) Run(ctx context.Context, tell func(*node.List)) {
+func (r *Client) Run(ctx context.Context, tell func(*node.List)) {
 	r.tell = tell
 	ended := make(chan struct{})
 	close(ended)
@@ -198,7 +198,7 @@
 }
 
 // follow holds one watch. Unless it was replaced, its end is told.
-func (r *Registry) follow(ctx context.Context) {
+func (r *Client) follow(ctx context.Context) {
 	err := r.watch(ctx)
 	// Danger: what a silent watch misses counts as told soon after; the wait that spares a registry that is down would
 	// use that time up. So a watch that stood and fell silent is opened anew by itself: the first time, and again if it has
@@ -234,7 +234,7 @@
 }
 
 // draw is a time of at least half of most, at random.
-func (r *Registry) draw(most time.Duration) time.Duration {
+func (r *Client) draw(most time.Duration) time.Duration {
 	return most/2 + time.Duration(r.rng.Int63n(int64(most)/2+1))
 }
 
@@ -248,7 +248,7 @@
 
 // open makes a call, and another beside it for as long as nothing comes, two at the most; the first that brings a line is the
 // watch. Silence of all is told as a failure, and the calls go on.
-func (r *Registry) open(ctx context.Context, query string) (*stream, error) {
+func (r *Client) open(ctx context.Context, query string) (*stream, error) {
 	r.calling.Store(true)
 	defer r.calling.Store(false)
 	type result struct {
@@ -303,7 +303,7 @@
 }
 
 // firstLine makes one call and waits for its first line. Over ends the wait, and no watch that stands.
-func (r *Registry) firstLine(ctx, over context.Context, query string) (*stream, error) {
+func (r *Client) firstLine(ctx, over context.Context, query string) (*stream, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	end := func() { cancel(nil) }
 	stop := context.AfterFunc(over, end)
@@ -332,7 +332,7 @@
 	s.body.Close()
 }
 
-func (r *Registry) watch(ctx context.Context) error {
+func (r *Client) watch(ctx context.Context) error {
 	query := "?watch=1"
 	if r.held {
 		query = fmt.Sprintf("?watch=1&from=%d", r.generation)
@@ -390,15 +390,15 @@
 	}
 }
 
-func (r *Registry) take(list *node.List, generation uint64) {
+func (r *Client) take(list *node.List, generation uint64) {
 	r.generation, r.held = generation, true
 	r.log.Info().Uint64("generation", generation).Int("entries", len(list.Entries)).
-		Bool("whole", list.Form == policy.ListWhole).Msg("list")
+		Bool("whole", list.Form == policy.ListFull).Msg("list")
 	r.tell(list)
 }
 
 // whole asks for the whole list once.
-func (r *Registry) whole(ctx context.Context) (*node.List, uint64, error) {
+func (r *Client) whole(ctx context.Context) (*node.List, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, wholeWait)
 	defer cancel()
 	r.called = time.Now()
@@ -415,11 +415,11 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("whole list: %w", err)
 	}
-	list.Form = policy.ListWhole
+	list.Form = policy.ListFull
 	return list, generation, nil
 }
 
-func (r *Registry) call(ctx context.Context, query string) (*http.Response, error) {
+func (r *Client) call(ctx context.Context, query string) (*http.Response, error) {
 	r.log.Debug().Str("query", query).Msg("call")
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.options.Addr+path+query, nil)
 	if err != nil {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -60,12 +60,12 @@
 	}))
 	defer stand.Close()
 	defer close(release)
-	part := sockets.NewPart(4)
+	part := sockets.NewBudget(4)
 	r := New(Options{Addr: strings.TrimPrefix(stand.URL, "http://"), Zones: []string{"a", "b"}}, part, zerolog.Nop())
 	if hold {
 		r.silence = 100 * time.Millisecond
 	}
-	known, err := r.Known([]byte(line(41, true, entry("s-1", "active", "127.0.0.1:1", 0))))
+	known, err := r.LoadCached([]byte(line(41, true, entry("s-1", "active", "127.0.0.1:1", 0))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	out := [...]string{"changes", "whole", "cached", "failed"}[l.Form]
 	for i, e := range l.Entries {
 		out += fmt.Sprintf(" %s %s zone %d started %d", [...]string{"ready", "draining", "gone"}[e.State], l.Addrs[i],
-			e.Zone, e.Started/policy.Millisecond)
+			e.Zone, e.StartedAt/policy.Millisecond)
 	}
 	return out
 }
@@ -182,19 +182,19 @@
 	down := httptest.NewServer(nil)
 	down.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	r := New(Options{Addr: "127.0.0.1:1"}, sockets.NewPart(4), zerolog.Nop())
+	r := New(Options{Addr: "127.0.0.1:1"}, sockets.NewBudget(4), zerolog.Nop())
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
-	r.Move(addr(down))
-	r.Move(addr(first))
+	r.SetAddr(addr(down))
+	r.SetAddr(addr(first))
 	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
 	got := []string{<-asked, describe(<-told)}
-	r.Move(addr(down))
+	r.SetAddr(addr(down))
 	got = append(got, describe(<-told))
 	r.Watch()
 	got = append(got, describe(<-told))
-	r.Move(addr(second))
+	r.SetAddr(addr(second))
 	got = append(got, <-asked, describe(<-told))
 	cancel()
 	<-ended
@@ -212,8 +212,8 @@
 		fmt.Fprintln(w, line(7, true))
 	}))
 	defer stand.Close()
-	part := sockets.NewPart(4)
-	r := New(Options{Addr: strings.TrimPrefix(stand.URL, "http://"), Unasked: true, Again: time.Millisecond}, part,
+	part := sockets.NewBudget(4)
+	r := New(Options{Addr: strings.TrimPrefix(stand.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, part,
 		zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -242,7 +242,7 @@
 		starts := map[uint64][]time.Duration{}
 		for seed := range uint64(2) {
 			begun, watched := time.Now(), 0
-			r := New(Options{Unasked: true, Again: time.Second, Grace: grace, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+			r := New(Options{AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace, Seed: seed}, sockets.NewBudget(4), zerolog.Nop())
 			r.client.Transport = roundTrip(func(*http.Request) (*http.Response, error) {
 				starts[seed] = append(starts[seed], time.Since(begun))
 				if watched++; watched == answered {
@@ -282,14 +282,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	r := New(Options{Addr: l.Addr().String(), Unasked: true, Again: time.Second, Grace: grace}, sockets.NewPart(4), zerolog.Nop())
+	r := New(Options{Addr: l.Addr().String(), AutoWatch: true, BaseRetryDelay: time.Second, DrainGrace: grace}, sockets.NewBudget(4), zerolog.Nop())
 	told := make(chan *node.List, 64)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() { r.Run(ctx, func(l *node.List) { told <- l }); close(ended) }()
 	var back time.Time // right after the last call that failed: the drain is told from here on
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	for range 8 {
 		c, err := l.Accept()
 		if err != nil {
@@ -318,7 +318,7 @@
 		}
 	}
 	took := time.Since(back)
-	if late, _ := lag.End(); took > grace+late {
+	if late, _ := lag.Stop(); took > grace+late {
 		t.Errorf("the drain was heard after %v", took)
 	}
 	cancel()
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -136,7 +136,7 @@
 func returns(t *testing.T, way func(*http.Request) (*http.Response, error), unasked bool, down time.Duration, seed uint64) (took time.Duration, calls int) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		r := New(Options{Unasked: unasked, Again: time.Second, Seed: seed}, sockets.NewPart(4), zerolog.Nop())
+		r := New(Options{AutoWatch: unasked, BaseRetryDelay: time.Second, Seed: seed}, sockets.NewBudget(4), zerolog.Nop())
 		var mu sync.Mutex
 		r.client.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
 			mu.Lock()
@@ -178,7 +178,7 @@
 func TestToldOnceBackOnSockets(t *testing.T) {
 	const nodes, down = 50, 4 * time.Second
 	var all sync.WaitGroup
-	lag := together.NewLag()
+	lag := together.NewTimerLag()
 	var mu sync.Mutex
 	worst := map[string]time.Duration{}
 	for _, name := range []string{"silent", "503", "reset", "half an answer", "silent watch"} {
@@ -202,7 +202,7 @@
 		time.AfterFunc(down, func() { back.Store(true) })
 		for i := range nodes {
 			all.Go(func() {
-				r := New(Options{Addr: l.Addr().String(), Unasked: i%2 == 0, Again: time.Second, Seed: uint64(i)}, sockets.NewPart(4), zerolog.Nop())
+				r := New(Options{Addr: l.Addr().String(), AutoWatch: i%2 == 0, BaseRetryDelay: time.Second, Seed: uint64(i)}, sockets.NewBudget(4), zerolog.Nop())
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				defer cancel()
 				ended, told := make(chan struct{}), make(chan bool, 1)
@@ -229,7 +229,7 @@
 		defer close(hung)
 	}
 	all.Wait()
-	late, _ := lag.End()
+	late, _ := lag.Stop()
 	for name, took := range worst {
 		most := toldBy
 		if name == "silent watch" { // from when it fell silent, at the beginning
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -17,42 +17,42 @@
 )
 
 // Pool is a pool's place in the configuration.
-type Pool uint16
+type PoolIndex uint16
 
 // Kind says how a route's path is compared.
-type Kind uint8
+type PathType uint8
 
 const (
-	Exact    Kind = iota // the whole path
-	Template             // as many segments, {name} for any one
-	Prefix               // whole segments at the front; "/" is every path
+	Exact    PathType = iota // the whole path
+	Template                 // as many segments, {name} for any one
+	Prefix                   // whole segments at the front; "/" is every path
 )
 
-func (k Kind) String() string { return [...]string{"exact", "template", "prefix"}[k] }
+func (k PathType) String() string { return [...]string{"exact", "template", "prefix"}[k] }
 
 // Header is a condition on one header.
-type Header struct {
-	Name  string // in canonical form
-	Value string // equal to the one value; of a header that is given twice neither counts
-	Any   bool   // it is enough that it is there
+type HeaderMatch struct {
+	Name     string // in canonical form
+	Value    string // equal to the one value; of a header that is given twice neither counts
+	AnyValue bool   // it is enough that it is there
 }
 
 // Share is a pool's part of a route.
-type Share struct {
-	Pool   Pool
+type WeightedPool struct {
+	Pool   PoolIndex
 	Weight uint32 // of the sum of the route's weights
 }
 
 // Route is one line of the configuration.
 type Route struct {
-	Name    string
-	Host    string // lower case, no port; "*.example.org" is any host below; "" is any
-	Kind    Kind
-	Path    string
-	Methods []string // none: any
-	Headers []Header
-	Shares  []Share // in the order in which callers fill them; at least one
-	Mirror  *Pool   // gets a copy of reads, whose answer is thrown away
+	Name     string
+	Host     string // lower case, no port; "*.example.org" is any host below; "" is any
+	PathType PathType
+	Path     string
+	Methods  []string // none: any
+	Headers  []HeaderMatch
+	Pools    []WeightedPool // in the order in which callers fill them; at least one
+	Mirror   *PoolIndex     // gets a copy of reads, whose answer is thrown away
 }
 
 // Request is what is matched.
@@ -102,7 +102,7 @@
 		names[r.Name] = true
 		t.escaped = t.escaped || strings.Contains(r.Path, "%")
 		sum := uint32(0)
-		for _, s := range r.Shares {
+		for _, s := range r.Pools {
 			sum += s.Weight
 		}
 		t.sums = append(t.sums, sum)
@@ -137,18 +137,18 @@
 		return errors.New("has no name")
 	case strings.ToLower(host) != host || strings.ContainsAny(host, ":/*"):
 		return fmt.Errorf("host %q is not in lower case, or has a port or a star inside", r.Host)
-	case len(r.Shares) == 0:
+	case len(r.Pools) == 0:
 		return errors.New("names no pool")
 	}
 	whole := uint64(0)
-	for _, s := range r.Shares {
+	for _, s := range r.Pools {
 		whole += uint64(s.Weight)
 	}
 	if whole == 0 || whole > 1<<31 {
 		return fmt.Errorf("its weights add up to %d", whole)
 	}
 	path := r.Path
-	if r.Kind == Template {
+	if r.PathType == Template {
 		params := 0
 		for segment := range strings.SplitSeq(path, "/") {
 			switch {
@@ -163,7 +163,7 @@
 		}
 		path = strings.NewReplacer("{", "", "}", "").Replace(path)
 	}
-	if err := Plain(path); err != nil {
+	if err := ValidatePath(path); err != nil {
 		return fmt.Errorf("path %q: %w", r.Path, err)
 	}
 	if strings.Contains(path, "%") && lowerEscape(path) {
@@ -191,12 +191,12 @@
 		at = of[name]
 	}
 	path := r.Path[1:]
-	if r.Kind == Prefix {
+	if r.PathType == Prefix {
 		path = strings.TrimSuffix(path, "/")
 	}
-	if path != "" || r.Kind != Prefix {
+	if path != "" || r.PathType != Prefix {
 		for segment := range strings.SplitSeq(path, "/") {
-			if r.Kind == Template && strings.HasPrefix(segment, "{") {
+			if r.PathType == Template && strings.HasPrefix(segment, "{") {
 				if at.param == nil {
 					at.param = &branch{}
 				}
@@ -212,7 +212,7 @@
 			at = at.next[segment]
 		}
 	}
-	if r.Kind == Prefix {
+	if r.PathType == Prefix {
 		at.prefix = append(at.prefix, number)
 	} else {
 		at.exact = append(at.exact, number)
@@ -269,7 +269,7 @@
 		}
 	}
 	for _, h := range r.Headers {
-		if !slices.ContainsFunc(other.Headers, func(o Header) bool { return o == h || h.Any && o.Name == h.Name }) {
+		if !slices.ContainsFunc(other.Headers, func(o HeaderMatch) bool { return o == h || h.AnyValue && o.Name == h.Name }) {
 			return false
 		}
 	}
@@ -284,23 +284,23 @@
 
 // ErrPath says that a path is not matched, since a server may read it otherwise.
 var (
-	ErrRelative = errors.New("the path does not begin with a slash")
-	ErrDots     = errors.New("the path has a dot segment")
-	ErrEmpty    = errors.New("the path has an empty segment")
-	ErrEscape   = errors.New("the path has an escape that is broken, or of a character that needs none or may not be there")
-	ErrByte     = errors.New("the path has a byte that has no place in one")
-	ErrLong     = errors.New("the path has too many segments")
-	ErrCase     = errors.New("the path has an escape in small letters")
+	ErrNotAbsolute     = errors.New("the path does not begin with a slash")
+	ErrDotSegment      = errors.New("the path has a dot segment")
+	ErrEmptySegment    = errors.New("the path has an empty segment")
+	ErrBadEscape       = errors.New("the path has an escape that is broken, or of a character that needs none or may not be there")
+	ErrBadByte         = errors.New("the path has a byte that has no place in one")
+	ErrTooManySegments = errors.New("the path has too many segments")
+	ErrLowercaseEscape = errors.New("the path has an escape in small letters")
 )
 
 // Lookup finds the route of a request. found is false if none fits; err says why the request can't be matched at all,
 // and is to be answered with a 400.
 func (t *Table) Lookup(q *Request) (number int, found bool, err error) {
-	if err := Plain(q.Path); err != nil {
+	if err := ValidatePath(q.Path); err != nil {
 		return 0, false, err
 	}
 	if t.escaped && lowerEscape(q.Path) {
-		return 0, false, ErrCase // Danger: it would pass by the route that is written with capitals
+		return 0, false, ErrLowercaseEscape // Danger: it would pass by the route that is written with capitals
 	}
 	var buffer [maxHost]byte
 	host := bare(q.Host, &buffer)
@@ -391,7 +391,7 @@
 	for i := range r.Headers {
 		h := &r.Headers[i]
 		// Danger: of a header that is given twice a server may take either.
-		if values := header[h.Name]; len(values) != 1 || !h.Any && values[0] != h.Value {
+		if values := header[h.Name]; len(values) != 1 || !h.AnyValue && values[0] != h.Value {
 			return false
 		}
 	}
@@ -400,10 +400,10 @@
 
 // Pick gives the pool of a caller. One caller stays with one pool while shares move: as the first pool's share shrinks,
 // callers only leave it, and as it grows they only come back.
-func (t *Table) Pick(number int, caller string) Pool {
+func (t *Table) PickPool(number int, caller string) PoolIndex {
 	r := &t.routes[number]
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Pool
+	if len(r.Pools) == 1 {
+		return r.Pools[0].Pool
 	}
 	// The route's name counts too, so that it is not the same callers who try out each new thing.
 	d := xxhash.Digest{}
@@ -412,19 +412,19 @@
 	d.WriteString("\x00")
 	d.WriteString(caller)
 	at := uint64(uint32(d.Sum64()>>32)) * uint64(t.sums[number]) >> 32
-	for _, s := range r.Shares {
+	for _, s := range r.Pools {
 		if at < uint64(s.Weight) {
 			return s.Pool
 		}
 		at -= uint64(s.Weight)
 	}
-	return r.Shares[len(r.Shares)-1].Pool
+	return r.Pools[len(r.Pools)-1].Pool
 }
 
 // Plain says whether a path means the same to whoever reads it.
-func Plain(path string) error {
+func ValidatePath(path string) error {
 	if path == "" || path[0] != '/' {
-		return ErrRelative
+		return ErrNotAbsolute
 	}
 	segments, begin := 0, 1
 	for i := 1; i <= len(path); i++ {
@@ -432,11 +432,11 @@
 			switch c := path[i]; {
 			case c == '%':
 				if !fitEscape(path[i:]) {
-					return ErrEscape
+					return ErrBadEscape
 				}
 				continue
 			case c <= ' ' || c >= 0x7f || c == '\\' || c == '?' || c == '#':
-				return ErrByte
+				return ErrBadByte
 			case c != '/':
 				continue
 			}
@@ -444,12 +444,12 @@
 		segment := path[begin:i]
 		switch {
 		case segment == "." || segment == "..":
-			return ErrDots
+			return ErrDotSegment
 		case segment == "" && i < len(path):
-			return ErrEmpty
+			return ErrEmptySegment
 		}
 		if segments++; segments > mostSegments {
-			return ErrLong
+			return ErrTooManySegments
 		}
 		begin = i + 1
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func one(pool Pool) []Share { return []Share{{pool, 1}} }
+func one(pool PoolIndex) []WeightedPool { return []WeightedPool{{pool, 1}} }
 
 func compile(t testing.TB, routes []Route) *Table {
 	t.Helper()
@@ -21,18 +21,18 @@
 }
 
 var sample = []Route{
-	{Name: "all", Kind: Prefix, Path: "/", Shares: one(0)},
-	{Name: "book", Kind: Exact, Path: "/book", Shares: one(1)},
-	{Name: "book tree", Kind: Prefix, Path: "/book", Shares: one(2)},
-	{Name: "slot", Kind: Template, Path: "/book/{day}/slots", Shares: one(3)},
-	{Name: "today", Kind: Template, Path: "/book/today/{what}", Shares: one(4)},
-	{Name: "post", Kind: Exact, Path: "/book", Methods: []string{"POST"}, Shares: one(5)},
-	{Name: "beta", Kind: Exact, Path: "/book", Headers: []Header{{Name: "X-Beta", Value: "1"}}, Shares: one(6)},
-	{Name: "host", Host: "a.example.org", Kind: Prefix, Path: "/book", Shares: one(7)},
-	{Name: "below", Host: "*.example.org", Kind: Prefix, Path: "/", Shares: one(8)},
-	{Name: "deeper", Host: "*.eu.example.org", Kind: Prefix, Path: "/", Shares: one(9)},
-	{Name: "escape", Kind: Exact, Path: "/caf%C3%A9", Shares: one(10)},
-	{Name: "slash", Kind: Exact, Path: "/end/", Shares: one(11)},
+	{Name: "all", PathType: Prefix, Path: "/", Pools: one(0)},
+	{Name: "book", PathType: Exact, Path: "/book", Pools: one(1)},
+	{Name: "book tree", PathType: Prefix, Path: "/book", Pools: one(2)},
+	{Name: "slot", PathType: Template, Path: "/book/{day}/slots", Pools: one(3)},
+	{Name: "today", PathType: Template, Path: "/book/today/{what}", Pools: one(4)},
+	{Name: "post", PathType: Exact, Path: "/book", Methods: []string{"POST"}, Pools: one(5)},
+	{Name: "beta", PathType: Exact, Path: "/book", Headers: []HeaderMatch{{Name: "X-Beta", Value: "1"}}, Pools: one(6)},
+	{Name: "host", Host: "a.example.org", PathType: Prefix, Path: "/book", Pools: one(7)},
+	{Name: "below", Host: "*.example.org", PathType: Prefix, Path: "/", Pools: one(8)},
+	{Name: "deeper", Host: "*.eu.example.org", PathType: Prefix, Path: "/", Pools: one(9)},
+	{Name: "escape", PathType: Exact, Path: "/caf%C3%A9", Pools: one(10)},
+	{Name: "slash", PathType: Exact, Path: "/end/", Pools: one(11)},
 }
 
 // The most specific route first: host, then path, then method, then headers.
@@ -83,36 +83,36 @@
 func TestNoWayRound(t *testing.T) {
 	table := compile(t, sample)
 	for path, want := range map[string]error{
-		"":                                   ErrRelative,
-		"book":                               ErrRelative,
-		"*":                                  ErrRelative,
-		"/x/../book":                         ErrDots,
-		"/./book":                            ErrDots,
-		"/book/..":                           ErrDots,
-		"//book":                             ErrEmpty,
-		"/book//x":                           ErrEmpty,
-		"/%62ook":                            ErrEscape,
-		"/%2e%2e/book":                       ErrEscape,
-		"/x%2Fbook":                          ErrEscape,
-		"/x%5Cbook":                          ErrEscape,
-		"/book%00":                           ErrEscape,
-		"/book%0a":                           ErrEscape,
-		"/book%":                             ErrEscape,
-		"/book%2":                            ErrEscape,
-		"/book%zz":                           ErrEscape,
-		`/x\book`:                            ErrByte,
-		"/book\x00":                          ErrByte,
-		"/caf\xc3\xa9":                       ErrByte,
-		"/book?x":                            ErrByte,
-		"/caf%c3%a9":                         ErrCase,
-		strings.Repeat("/x", mostSegments+1): ErrLong,
+		"":                                   ErrNotAbsolute,
+		"book":                               ErrNotAbsolute,
+		"*":                                  ErrNotAbsolute,
+		"/x/../book":                         ErrDotSegment,
+		"/./book":                            ErrDotSegment,
+		"/book/..":                           ErrDotSegment,
+		"//book":                             ErrEmptySegment,
+		"/book//x":                           ErrEmptySegment,
+		"/%62ook":                            ErrBadEscape,
+		"/%2e%2e/book":                       ErrBadEscape,
+		"/x%2Fbook":                          ErrBadEscape,
+		"/x%5Cbook":                          ErrBadEscape,
+		"/book%00":                           ErrBadEscape,
+		"/book%0a":                           ErrBadEscape,
+		"/book%":                             ErrBadEscape,
+		"/book%2":                            ErrBadEscape,
+		"/book%zz":                           ErrBadEscape,
+		`/x\book`:                            ErrBadByte,
+		"/book\x00":                          ErrBadByte,
+		"/caf\xc3\xa9":                       ErrBadByte,
+		"/book?x":                            ErrBadByte,
+		"/caf%c3%a9":                         ErrLowercaseEscape,
+		strings.Repeat("/x", mostSegments+1): ErrTooManySegments,
 	} {
 		if _, _, err := table.Lookup(&Request{Path: path, Method: "GET"}); !errors.Is(err, want) {
 			t.Errorf("%q: %v, want %v", path, err, want)
 		}
 	}
 	for _, path := range []string{"/a%20b", "/a;b=1", "/...", "/.well-known", "/a/b.", "/%25"} {
-		if err := Plain(path); err != nil {
+		if err := ValidatePath(path); err != nil {
 			t.Errorf("%q: %v", path, err)
 		}
 	}
@@ -120,18 +120,18 @@
 
 func TestCompileErrors(t *testing.T) {
 	for want, r := range map[string]Route{
-		`route "": has no name`:      {Kind: Prefix, Path: "/", Shares: one(0)},
+		`route "": has no name`:      {PathType: Prefix, Path: "/", Pools: one(0)},
 		"names no pool":              {Name: "x", Path: "/"},
-		"weights add up to 0":        {Name: "x", Path: "/", Shares: []Share{{0, 0}}},
-		`host "A"`:                   {Name: "x", Host: "A", Path: "/", Shares: one(0)},
-		`host "a:80"`:                {Name: "x", Host: "a:80", Path: "/", Shares: one(0)},
-		"begin with a slash":         {Name: "x", Path: "a", Shares: one(0)},
-		"dot segment":                {Name: "x", Path: "/a/..", Shares: one(0)},
-		"capital letters":            {Name: "x", Path: "/%c3", Shares: one(0)},
-		`"{b" is neither`:            {Name: "x", Kind: Template, Path: "/a/{b", Shares: one(0)},
-		"more than 8 names":          {Name: "x", Kind: Template, Path: strings.Repeat("/{a}", 9), Shares: one(0)},
-		`header "x-beta" is not in`:  {Name: "x", Path: "/", Headers: []Header{{Name: "x-beta"}}, Shares: one(0)},
-		"there are two of that name": {Name: "all", Path: "/", Shares: one(0)},
+		"weights add up to 0":        {Name: "x", Path: "/", Pools: []WeightedPool{{0, 0}}},
+		`host "A"`:                   {Name: "x", Host: "A", Path: "/", Pools: one(0)},
+		`host "a:80"`:                {Name: "x", Host: "a:80", Path: "/", Pools: one(0)},
+		"begin with a slash":         {Name: "x", Path: "a", Pools: one(0)},
+		"dot segment":                {Name: "x", Path: "/a/..", Pools: one(0)},
+		"capital letters":            {Name: "x", Path: "/%c3", Pools: one(0)},
+		`"{b" is neither`:            {Name: "x", PathType: Template, Path: "/a/{b", Pools: one(0)},
+		"more than 8 names":          {Name: "x", PathType: Template, Path: strings.Repeat("/{a}", 9), Pools: one(0)},
+		`header "x-beta" is not in`:  {Name: "x", Path: "/", Headers: []HeaderMatch{{Name: "x-beta"}}, Pools: one(0)},
+		"there are two of that name": {Name: "all", Path: "/", Pools: one(0)},
 	} {
 		if _, _, err := Compile([]Route{sample[0], r}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -140,14 +140,14 @@
 }
 
 func TestShadows(t *testing.T) {
-	beta := []Header{{Name: "X-Beta", Value: "1"}}
+	beta := []HeaderMatch{{Name: "X-Beta", Value: "1"}}
 	_, warnings, err := Compile([]Route{
-		{Name: "a", Path: "/a", Methods: []string{"GET", "POST"}, Shares: one(0)},
-		{Name: "b", Path: "/a", Methods: []string{"GET"}, Shares: one(0)},
-		{Name: "c", Path: "/a", Headers: beta, Shares: one(0)},
-		{Name: "d", Path: "/a", Shares: one(0)},
-		{Name: "e", Path: "/a", Shares: one(0)},
-		{Name: "f", Path: "/a", Host: "h", Shares: one(0)},
+		{Name: "a", Path: "/a", Methods: []string{"GET", "POST"}, Pools: one(0)},
+		{Name: "b", Path: "/a", Methods: []string{"GET"}, Pools: one(0)},
+		{Name: "c", Path: "/a", Headers: beta, Pools: one(0)},
+		{Name: "d", Path: "/a", Pools: one(0)},
+		{Name: "e", Path: "/a", Pools: one(0)},
+		{Name: "f", Path: "/a", Host: "h", Pools: one(0)},
 	})
 	if err != nil || len(warnings) != 2 || !strings.Contains(string(warnings[0]), `"b" is never reached: "a"`) ||
 		!strings.Contains(string(warnings[1]), `"e" is never reached: "d"`) {
@@ -160,10 +160,10 @@
 	const callers = 20000
 	moved := make([]bool, callers)
 	for percent := uint32(0); percent <= 100; percent += 5 {
-		table := compile(t, []Route{{Name: "canary", Path: "/", Kind: Prefix, Shares: []Share{{1, 100 - percent}, {2, percent}}}})
+		table := compile(t, []Route{{Name: "canary", Path: "/", PathType: Prefix, Pools: []WeightedPool{{1, 100 - percent}, {2, percent}}}})
 		n := 0
 		for i := range callers {
-			there := table.Pick(0, fmt.Sprint("caller ", i)) == 2
+			there := table.PickPool(0, fmt.Sprint("caller ", i)) == 2
 			if moved[i] && !there {
 				t.Fatalf("at %d%% caller %d goes back", percent, i)
 			}
@@ -180,15 +180,15 @@
 // many makes routes of all kinds, and requests that hit them.
 func many(n int) (routes []Route, requests []Request) {
 	for i := range n {
-		r := Route{Name: fmt.Sprint("r", i), Shares: one(Pool(i)), Host: []string{"", "api.example.org", "*.example.net"}[i%3]}
+		r := Route{Name: fmt.Sprint("r", i), Pools: one(PoolIndex(i)), Host: []string{"", "api.example.org", "*.example.net"}[i%3]}
 		q := Request{Host: []string{"x", "api.example.org:443", "a.example.net"}[i%3], Method: "GET", Header: http.Header{}}
 		switch i % 4 {
 		case 0:
-			r.Kind, r.Path, q.Path = Exact, fmt.Sprintf("/service-%d/list", i), fmt.Sprintf("/service-%d/list", i)
+			r.PathType, r.Path, q.Path = Exact, fmt.Sprintf("/service-%d/list", i), fmt.Sprintf("/service-%d/list", i)
 		case 1:
-			r.Kind, r.Path, q.Path = Template, fmt.Sprintf("/service-%d/{id}/slots", i), fmt.Sprintf("/service-%d/77/slots", i)
+			r.PathType, r.Path, q.Path = Template, fmt.Sprintf("/service-%d/{id}/slots", i), fmt.Sprintf("/service-%d/77/slots", i)
 		default:
-			r.Kind, r.Path, q.Path = Prefix, fmt.Sprintf("/service-%d", i), fmt.Sprintf("/service-%d/a/b", i)
+			r.PathType, r.Path, q.Path = Prefix, fmt.Sprintf("/service-%d", i), fmt.Sprintf("/service-%d/a/b", i)
 		}
 		routes, requests = append(routes, r), append(requests, q)
 	}
@@ -206,7 +206,7 @@
 	i := 0
 	if got := testing.AllocsPerRun(1000, func() {
 		n, _, _ := table.Lookup(&requests[i%1000])
-		table.Pick(n, "caller")
+		table.PickPool(n, "caller")
 		i++
 	}); got != 0 {
 		t.Errorf("%v allocations a look-up", got)
@@ -241,7 +241,7 @@
 			return
 		}
 		r := table.Route(n)
-		switch r.Kind {
+		switch r.PathType {
 		case Exact:
 			if path != r.Path {
 				t.Errorf("%q matched as %q", path, r.Path)
