--- a/internal/serve/changes.go
+++ b/internal/serve/changes.go
@@ -22,10 +22,10 @@
 	if c.Store == nil {
 		return func() {}
 	}
-	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Check: Check, Lock: &r.mu, Life: fmt.Sprintf("%016x", rand.Uint64()),
+	r.store.Applier = apply.New(apply.Options{Config: c, Getenv: r.Getenv, Validate: CheckConfig, InstallLock: &r.mu, Incarnation: fmt.Sprintf("%016x", rand.Uint64()),
 		Seed: rand.Uint64(), Log: r.log.With().Str("part", "store").Logger(), Install: func(c *config.Config) error {
 			err := r.install(c)
-			if errors.Is(err, node.ErrTooManySwitches) {
+			if errors.Is(err, node.ErrTooManyGenerations) {
 				err = errors.Join(apply.ErrBusy, err)
 			}
 			return err
@@ -44,19 +44,19 @@
 	if s.Applier == nil {
 		return file, nil
 	}
-	return s.Over(file)
+	return s.WithChanges(file)
 }
 
 func (s *changes) reread(file *config.Config) {
 	if s.Applier != nil {
-		s.Reread(file.Raw)
+		s.SetFile(file.Raw)
 	}
 }
 
 // look is what is known of the store.
-func (s *changes) look() *store.Look {
+func (s *changes) look() *store.View {
 	if s.Applier == nil {
 		return nil
 	}
-	return s.Look()
+	return s.View()
 }
--- a/internal/serve/others.go
+++ b/internal/serve/others.go
@@ -17,7 +17,7 @@
 }
 
 // canHear says whether modules have a way to tell each other.
-func canHear(c *config.Config) bool { return c.Fleet != nil && c.Fleet.Words }
+func canHear(c *config.Config) bool { return c.Fleet != nil && c.Fleet.PeerMessages }
 
 // hearOthers begins to hear others, if the configuration says so.
 func (r *running) hearOthers(c *config.Config) (err error) {
@@ -28,7 +28,7 @@
 	}
 	r.others.fleet, err = fleet.Start(c, r.actor, r.clock, r.log.With().Str("part", "fleet").Logger())
 	if err == nil {
-		r.others.fleet.Show(r.store.look)
+		r.others.fleet.SetStoreView(r.store.look)
 	}
 	return err
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -35,9 +35,9 @@
 
 // Options are what a program other than the node itself may set. The zero value is the node.
 type Options struct {
-	Getenv  func(string) string                          // in place of the environment
-	Decider func(*config.Config) (policy.Decider, error) // in the module's place
-	Slack   func(settings policy.Micros) policy.Micros   // in place of the settings' answer slack
+	Getenv            func(string) string                          // in place of the environment
+	NewDecider        func(*config.Config) (policy.Decider, error) // in the module's place
+	AdjustAnswerSlack func(settings policy.Micros) policy.Micros   // in place of the settings' answer slack
 }
 
 // Main runs the node until it is told to end, and gives its exit code: 0 after a planned restart, 1 if it failed,
@@ -93,14 +93,14 @@
 		return err
 	}
 	actor := node.New(first.Options, first.Module, clock, log.With().Str("part", "node").Logger())
-	list := registry.New(registry.Options{Addr: c.Discovery, Zones: c.Names.Zones, Kinds: c.Names.Kinds,
-		Unasked: !c.Rules.Registry.Ask, Again: time.Second, Grace: config.Duration(c.Rules.Grace), Seed: c.Seed}, forRegistry,
+	list := registry.New(registry.Options{Addr: c.RegistryAddr, Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes,
+		AutoWatch: !c.Rules.Registry.MustSubscribe, BaseRetryDelay: time.Second, DrainGrace: config.Duration(c.Rules.DrainGrace), Seed: c.Seed}, forRegistry,
 		log.With().Str("part", "registry").Logger())
-	known, err := list.Known(c.Known)
+	known, err := list.LoadCached(c.CachedList)
 	if err != nil {
 		return err
 	}
-	pool := servers.New(r.toServers(c), forServers, log.With().Str("part", "servers").Logger(), actor.Ended)
+	pool := servers.New(r.toServers(c), forServers, log.With().Str("part", "servers").Logger(), actor.PushEnded)
 	front, err := clients.Listen(c.Listen, toClients(c, 0), forClients, actor, clock,
 		log.With().Str("part", "clients").Logger())
 	if err != nil {
@@ -113,7 +113,7 @@
 	actor.Start(pool, list, known)
 	worked := make(chan error, 1)
 	go func() { worked <- actor.Run(working) }()
-	go list.Run(working, actor.Listed)
+	go list.Run(working, actor.ListReceived)
 	if err := r.hearOthers(c); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -127,7 +127,7 @@
 	}()
 	served := make(chan error, 1)
 	go func() { served <- front.Serve() }()
-	log.Info().Str("listen", c.Listen).Int("tier", c.Rules.Place.Tier).Int("servers", len(known.Entries)).
+	log.Info().Str("listen", c.Listen).Int("tier", c.Rules.Topology.Tier).Int("servers", len(known.Entries)).
 		Int("sockets", c.Sockets).Msg("node starts")
 
 	select {
@@ -152,7 +152,7 @@
 	mostOpen, mostOut int // ops in hand that sockets allow, and ops that can have pushes out
 	log               zerolog.Logger
 	actor             *node.Node
-	list              *registry.Registry
+	list              *registry.Client
 	pool              *servers.Pool
 	front             *clients.Server
 	clock             *node.Clock
@@ -164,35 +164,35 @@
 
 // generation is the module, unless something else stands in its place, as these settings make it.
 func (r *running) generation(c *config.Config) (*node.Generation, error) {
-	for _, key := range c.Unheeded {
+	for _, key := range c.IgnoredSettings {
 		r.log.Warn().Str("key", key).Msg("setting is no longer heeded")
 	}
-	if c.Rules.Place.Peers && !canHear(c) {
+	if c.Rules.Topology.PeerMessaging && !canHear(c) {
 		r.log.Warn().Str("key", "limits.peers").Msg("nodes have no way to tell each other; the module decides without")
-		c.Rules.Place.Peers = false
+		c.Rules.Topology.PeerMessaging = false
 	}
-	g := &node.Generation{Options: node.Options{MostOpen: min(r.mostOpen, c.MostOpen), Slack: c.AnswerSlack}}
-	if r.Slack != nil {
-		g.Options.Slack = r.Slack(g.Options.Slack)
+	g := &node.Generation{Options: node.Options{MaxPendingOps: min(r.mostOpen, c.MaxPendingOps), AnswerSlack: c.AnswerSlack}}
+	if r.AdjustAnswerSlack != nil {
+		g.Options.AnswerSlack = r.AdjustAnswerSlack(g.Options.AnswerSlack)
 	}
-	if r.Decider == nil {
+	if r.NewDecider == nil {
 		g.Module = c.Rules.NewNode(c.Seed)
 		return g, nil
 	}
 	var err error
-	g.Module, err = r.Decider(c)
+	g.Module, err = r.NewDecider(c)
 	return g, err
 }
 
 func (r *running) toServers(c *config.Config) servers.Options {
-	return servers.Options{Dial: config.Duration(c.Rules.Push.Dial), IdleClose: c.IdleClose, MostOut: r.mostOut * c.Rules.Push.Max}
+	return servers.Options{DialTimeout: config.Duration(c.Rules.PushLimits.DialTimeout), ServerIdleTimeout: c.ServerIdleTimeout, MaxInFlight: r.mostOut * c.Rules.PushLimits.MaxPushes}
 }
 
 func toClients(c *config.Config, generation int) clients.Options {
-	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, Generation: generation}
+	o := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
 	for _, category := range c.Rules.Categories {
-		o.Repeats = append(o.Repeats, category.Repeat)
-		o.Longest = max(o.Longest, config.Duration(category.TTL))
+		o.DeliverySemantics = append(o.DeliverySemantics, category.Delivery)
+		o.MaxTTL = max(o.MaxTTL, config.Duration(category.TTL))
 	}
 	return o
 }
@@ -220,18 +220,18 @@
 // install lets the node go by what was read, whole, or leaves it as it is. The lock is held.
 func (r *running) install(file *config.Config) error {
 	c := r.config
-	next := file.Running(c)
+	next := file.WithFixedKeysOf(c)
 	if err := r.takeOver(c, next); err != nil {
 		return err
 	}
-	if keys := c.Fixed(file); len(keys) > 0 {
+	if keys := c.RestartRequiredKeys(file); len(keys) > 0 {
 		r.log.Warn().Strs("keys", keys).Msg("configuration: these keys change with a restart only")
 	}
 	zerolog.SetGlobalLevel(next.LogLevel)
-	if next.Discovery != c.Discovery {
-		r.list.Move(next.Discovery)
+	if next.RegistryAddr != c.RegistryAddr {
+		r.list.SetAddr(next.RegistryAddr)
 	}
-	r.log.Info().Str("discovery", next.Discovery).Msg("configuration taken over")
+	r.log.Info().Str("discovery", next.RegistryAddr).Msg("configuration taken over")
 	r.config = next
 	return nil
 }
@@ -243,7 +243,7 @@
 		if err := r.hearOthers(next); err != nil {
 			return errors.Join(err, r.hearOthers(c)) // what ran before runs again
 		}
-		if c.SameSettings(next) && !next.Rules.Place.Peers {
+		if c.SameSettings(next) && !next.Rules.Topology.PeerMessaging {
 			return nil
 		}
 	} else if c.SameSettings(next) {
@@ -255,26 +255,26 @@
 // change lets ops that come from now on go by the next settings. Danger: requests must not be read by categories that
 // no module has yet, so the front comes last.
 func (r *running) change(next *config.Config) error {
-	if az := int(next.Rules.Place.Zone); az < len(next.Names.Zones) {
-		next.Rules.Place.Zone = r.list.Zone(next.Names.Zones[az]) // lists keep the numbers they have
+	if az := int(next.Rules.Topology.Zone); az < len(next.Names.Zones) {
+		next.Rules.Topology.Zone = r.list.ZoneID(next.Names.Zones[az]) // lists keep the numbers they have
 	}
 	g, err := r.generation(next)
 	if err != nil {
 		return err
 	}
-	g.Apply = func() { r.pool.Use(r.toServers(next)) }
+	g.Apply = func() { r.pool.SetOptions(r.toServers(next)) }
 	number, err := r.actor.Switch(g)
 	if err != nil {
 		return err
 	}
-	r.list.Unasked(!next.Rules.Registry.Ask, config.Duration(next.Rules.Grace))
-	r.front.Use(toClients(next, number))
+	r.list.SetAutoWatch(!next.Rules.Registry.MustSubscribe, config.Duration(next.Rules.DrainGrace))
+	r.front.SetOptions(toClients(next, number))
 	return nil
 }
 
 // Check says what is wrong with a configuration beyond what reading it shows: the list that it starts with.
-func Check(c *config.Config) error {
-	list := registry.New(registry.Options{Zones: c.Names.Zones, Kinds: c.Names.Kinds}, sockets.NewPart(1), zerolog.Nop())
-	_, err := list.Known(c.Known)
+func CheckConfig(c *config.Config) error {
+	list := registry.New(registry.Options{Zones: c.Names.Zones, MachineTypes: c.Names.MachineTypes}, sockets.NewBudget(1), zerolog.Nop())
+	_, err := list.LoadCached(c.CachedList)
 	return err
 }
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -163,7 +163,7 @@
 		return false
 	}
 	// Danger: the wait for a connection, or for it to have rested, may have been long.
-	if c.push != nil && !c.push.Begin() {
+	if c.push != nil && !c.push.TryBegin() {
 		c.at = spent
 		return false
 	}
@@ -285,7 +285,7 @@
 // Danger: the transport counts a connection as idle before it has handed on an answer without a body; its own
 // CloseIdleConnections would cut that answer off. So a connection is only closed here once it has rested.
 type keep struct {
-	part  *sockets.Part
+	part  *sockets.Budget
 	mu    sync.Mutex
 	conns map[*conn]bool
 }
@@ -348,7 +348,7 @@
 	case most >= rest:
 		oldest.closeRested()
 	case oldest != nil:
-		time.AfterFunc(rest, k.part.Idle)
+		time.AfterFunc(rest, k.part.NotifyIdle)
 	}
 }
 
--- a/internal/servers/crossing_test.go
+++ b/internal/servers/crossing_test.go
@@ -30,7 +30,7 @@
 	if in.Kind != policy.OpArrived {
 		return nil
 	}
-	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, For: 0}}
+	return []policy.Effect{{Kind: policy.Push, Op: in.Op, Server: 1, Duration: 0}}
 }
 
 type quietRegistry struct{}
@@ -40,7 +40,7 @@
 // actor runs a node's actor over a pool with one server.
 type actor struct {
 	*node.Node
-	part  *sockets.Part
+	part  *sockets.Budget
 	clock *node.Clock
 	addrs []string
 }
@@ -52,21 +52,21 @@
 
 func newActorOf(t *testing.T, module policy.Decider, dial time.Duration, room int, addrs ...string) *actor {
 	t.Helper()
-	a := &actor{part: sockets.NewPart(room), clock: node.NewClock(), addrs: addrs}
-	a.Node = node.New(node.Options{MostOpen: 9, Slack: 20 * policy.Millisecond}, module, a.clock, zerolog.Nop())
-	pool := New(Options{Dial: dial, IdleClose: 5 * time.Second, MostOut: 32}, a.part, zerolog.Nop(), a.Ended)
+	a := &actor{part: sockets.NewBudget(room), clock: node.NewClock(), addrs: addrs}
+	a.Node = node.New(node.Options{MaxPendingOps: 9, AnswerSlack: 20 * policy.Millisecond}, module, a.clock, zerolog.Nop())
+	pool := New(Options{DialTimeout: dial, ServerIdleTimeout: 5 * time.Second, MaxInFlight: 32}, a.part, zerolog.Nop(), a.PushEnded)
 	a.Start(pool, quietRegistry{}, a.list(policy.Ready))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-ended; pool.Follow(&node.List{Form: policy.ListWhole}) })
+	t.Cleanup(func() { stop(); <-ended; pool.UpdateList(&node.List{Form: policy.ListFull}) })
 	return a
 }
 
 func (a *actor) list(state policy.ServerState) *node.List {
-	l := &node.List{Form: policy.ListWhole, Addrs: a.addrs}
+	l := &node.List{Form: policy.ListFull, Addrs: a.addrs}
 	for i := range a.addrs {
-		l.Entries = append(l.Entries, policy.Entry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
+		l.Entries = append(l.Entries, policy.ListEntry{Server: policy.ServerID(i + 1), State: state, Weight: 1})
 	}
 	return l
 }
@@ -80,8 +80,8 @@
 	p.Body.Close()
 	op.Request = *p.Request
 	op.Body, _ = node.ReadPayload(strings.NewReader(body), -1)
-	op.NotAfter = a.clock.Now() + wait
-	a.Arrive(op)
+	op.Deadline = a.clock.Now() + wait
+	a.Submit(op)
 	return op
 }
 
@@ -124,25 +124,25 @@
 // is room the connection comes up, and brings nothing of it: what comes first is the next op.
 func TestWaitsForASocket(t *testing.T) {
 	for name, meanwhile := range map[string]func(*actor, *node.Op) node.Verdict{
-		"the client leaves": func(a *actor, op *node.Op) node.Verdict { a.Abandon(op); return node.Left },
+		"the client leaves": func(a *actor, op *node.Op) node.Verdict { a.Abandon(op); return node.ClientLeft },
 		"the server drains": func(a *actor, op *node.Op) node.Verdict {
-			a.Listed(a.list(policy.Draining))
+			a.ListReceived(a.list(policy.Draining))
 			return node.DeadLettered // in the end: the module here does not push again
 		},
-		"the process ends": func(a *actor, op *node.Op) node.Verdict { a.EndBy(a.clock.Now()); return node.Nacked },
+		"the process ends": func(a *actor, op *node.Op) node.Verdict { a.SetShutdownDeadline(a.clock.Now()); return node.Nacked },
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, got := ids(t)
 			a := newActor(t, addr, bound)
 			for range a.part.Size() { // spent: the wait is certain
-				a.part.Take(t.Context())
+				a.part.Acquire(t.Context())
 			}
 			wait := bound // of a machine that stands still for a while
 			if name == "the server drains" {
 				wait = time.Second
 			}
 			first := a.opOf("first", "body", policy.Micros(wait/time.Microsecond))
-			for a.part.Waiting() == 0 { // its push stands at the budget
+			for a.part.Waiters() == 0 { // its push stands at the budget
 				time.Sleep(time.Millisecond)
 			}
 			want := meanwhile(a, first)
@@ -152,7 +152,7 @@
 				}
 			}
 			if want == node.DeadLettered { // it stays in hand: the actor has read of the drain when it has read of this
-				if _, err := a.Switch(&node.Generation{Options: node.Options{MostOpen: 9}, Module: eager{}}); err != nil {
+				if _, err := a.Switch(&node.Generation{Options: node.Options{MaxPendingOps: 9}, Module: eager{}}); err != nil {
 					t.Fatal(err)
 				}
 				defer answered()
@@ -160,10 +160,10 @@
 				answered()
 			}
 			for range a.part.Size() {
-				a.part.Give()
+				a.part.Release()
 			}
-			a.EndBy(a.clock.Now() + policy.Micros(bound/time.Microsecond)) // the process goes on, for the second op
-			a.Listed(a.list(policy.Ready))
+			a.SetShutdownDeadline(a.clock.Now() + policy.Micros(bound/time.Microsecond)) // the process goes on, for the second op
+			a.ListReceived(a.list(policy.Ready))
 			if v := verdict(t, a.op("second")); v != node.Acked {
 				t.Errorf("the second op: %v", v)
 			}
@@ -182,9 +182,9 @@
 	go io.Copy(io.Discard, far)
 	k := &keep{conns: make(map[*conn]bool)}
 	p := push(t.Context(), "GET", "/a", "")
-	c := k.add(&conn{Conn: (&sockets.Part{}).Own(near), of: &peer{}, in: k, stall: time.Second})
+	c := k.add(&conn{Conn: (&sockets.Budget{}).Wrap(near), of: &peer{}, in: k, stall: time.Second})
 	c.begin(p)
-	if !p.Begin() || !c.fit() {
+	if !p.TryBegin() || !c.fit() {
 		t.Fatal("a push that nobody called back may not begin")
 	}
 	addr, got := ids(t)
@@ -193,17 +193,17 @@
 	a.Start(catch{gate}, quietRegistry{}, a.list(policy.Ready))
 	op := a.op("first")
 	caught := <-gate
-	held := k.add(&conn{Conn: (&sockets.Part{}).Own(near), of: &peer{}, in: k, stall: time.Second})
+	held := k.add(&conn{Conn: (&sockets.Budget{}).Wrap(near), of: &peer{}, in: k, stall: time.Second})
 	held.begin(caught)
 	a.Abandon(op)
 	if n, err := held.Write([]byte("GET / HTTP/1.1\r\n")); n != 0 || err == nil {
 		t.Errorf("%d bytes written for nobody, %v", n, err)
 	}
-	if held.wrote.Load() != nothing || !caught.KeptBack() {
+	if held.wrote.Load() != nothing || !caught.Withdrawn() {
 		t.Error("the push counts as begun")
 	}
 	caught.Body.Close()
-	a.Ended(caught, node.Result{Outcome: policy.Moot})
+	a.PushEnded(caught, node.Result{Outcome: policy.Moot})
 	verdict(t, op)
 	if len(got) > 0 {
 		t.Error("the server got something")
@@ -213,7 +213,7 @@
 // catch hands pushes to the test.
 type catch struct{ gate chan *node.Push }
 
-func (c catch) Follow(*node.List)         {}
+func (c catch) UpdateList(*node.List)     {}
 func (c catch) Push(p *node.Push)         { c.gate <- p }
 func (c catch) CloseIdle(policy.ServerID) {}
 
@@ -231,9 +231,9 @@
 			near, far := net.Pipe()
 			defer far.Close()
 			k := &keep{conns: make(map[*conn]bool)}
-			c := k.add(&conn{Conn: (&sockets.Part{}).Own(near), of: &peer{}, in: k, stall: bound})
+			c := k.add(&conn{Conn: (&sockets.Budget{}).Wrap(near), of: &peer{}, in: k, stall: bound})
 			p := push(t.Context(), "POST", "/a", long)
-			w := &passage{push: p, body: p.Body.Again()}
+			w := &passage{push: p, body: p.Body.NewReader()}
 			io.CopyN(io.Discard, w.body, int64(len(long)-1))
 			c.begin(p)
 			w.with(c)
@@ -396,7 +396,7 @@
 		}
 	}
 	a.Abandon(first)
-	if v := verdict(t, first); v != node.Left {
+	if v := verdict(t, first); v != node.ClientLeft {
 		t.Errorf("the first op: %v", v)
 	}
 	empty()
@@ -577,10 +577,10 @@
 					io.WriteString(conn, answer("200 OK", "fine"))
 				}
 			}
-			module := policy.New(1, policy.Place{Tiers: 1, Nodes: 1, Tick: policy.Millisecond},
-				[]policy.Category{{Benefit: 1, Target: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Repeat: policy.AtMostOnce}},
-				policy.PushRule{Max: 3, Dial: 100 * policy.Millisecond, Cancel: true},
-				policy.ColdRule{From: 1, Factor: 3, Window: policy.Second}, policy.RegistryRule{})
+			module := policy.New(1, policy.Topology{TierCount: 1, NodeCount: 1, ClockTick: policy.Millisecond},
+				[]policy.Category{{Benefit: 1, TargetLatency: 400 * policy.Millisecond, TTL: 500 * policy.Millisecond, Delivery: policy.AtMostOnce}},
+				policy.PushLimits{MaxPushes: 3, DialTimeout: 100 * policy.Millisecond, MayCancel: true},
+				policy.ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: policy.Second}, policy.RegistryRule{})
 			a := newActorOf(t, module, 100*time.Millisecond, 9, server(t, serve), server(t, serve))
 			op := a.opOf("only", long, 500*policy.Millisecond)
 			want, pushes := node.DeadLettered, int32(1)
@@ -617,9 +617,9 @@
 				t.Fatal(err)
 			}
 			k := &keep{conns: make(map[*conn]bool)}
-			c := k.add(&conn{Conn: (&sockets.Part{}).Own(near), of: &peer{}, in: k, stall: bound})
+			c := k.add(&conn{Conn: (&sockets.Budget{}).Wrap(near), of: &peer{}, in: k, stall: bound})
 			p := push(t.Context(), "POST", "/a", "body")
-			w := &passage{push: p, body: p.Body.Again()}
+			w := &passage{push: p, body: p.Body.NewReader()}
 			c.begin(p)
 			w.with(c)
 			if _, err := c.Write([]byte("part")); err != nil {
--- a/internal/servers/peer.go
+++ b/internal/servers/peer.go
@@ -44,15 +44,15 @@
 	started   policy.Micros
 	mail      chan *node.Push
 	transport *http.Transport
-	part      *sockets.Part
+	part      *sockets.Budget
 	kept      *keep
 	end       func(*node.Push, node.Result)
 }
 
-func newPeer(addr string, started policy.Micros, options Options, part *sockets.Part, kept *keep,
+func newPeer(addr string, started policy.Micros, options Options, part *sockets.Budget, kept *keep,
 	log zerolog.Logger, end func(*node.Push, node.Result)) *peer {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: options.Dial}, Part: part}
-	p := &peer{log: log, addr: addr, started: started, mail: make(chan *node.Push, options.MostOut), part: part, kept: kept, end: end}
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: options.DialTimeout}, Budget: part}
+	p := &peer{log: log, addr: addr, started: started, mail: make(chan *node.Push, options.MaxInFlight), part: part, kept: kept, end: end}
 	p.transport = &http.Transport{
 		Proxy: nil, // none from the environment either
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -62,12 +62,12 @@
 			if err != nil {
 				return nil, err
 			}
-			return kept.add(&conn{Conn: opened, of: p, in: kept, stall: stallDials * options.Dial}), nil
+			return kept.add(&conn{Conn: opened, of: p, in: kept, stall: stallDials * options.DialTimeout}), nil
 		},
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: part.Size(),
 		// Danger: a push written as the server closes its idle connection ends as a reset.
-		IdleConnTimeout:        options.IdleClose * 9 / 10,
+		IdleConnTimeout:        options.ServerIdleTimeout * 9 / 10,
 		MaxResponseHeaderBytes: mostHead,
 	}
 	return p
@@ -106,10 +106,10 @@
 // Danger: once an answer has come the connection may be another push's, which has written nothing on it yet. What it
 // has written is then no word on this push: looked at so late, it sent a push again that had run.
 func (p *peer) attempt(push *node.Push) (result node.Result, passedOver bool) {
-	way := &passage{push: push, body: push.Body.Again()}
+	way := &passage{push: push, body: push.Body.NewReader()}
 	response, err := p.transport.RoundTrip(p.request(push, way))
 	switch {
-	case err != nil && push.KeptBack():
+	case err != nil && push.Withdrawn():
 		return node.Result{Outcome: policy.Moot}, false
 	case err != nil:
 		return node.Result{Outcome: way.failure(push.Context)}, way.passedOver() && push.Context.Err() == nil
@@ -145,7 +145,7 @@
 		}
 	}
 	dropHopByHop(header)
-	tell := func() { header.Set(remainingHeader, strconv.FormatInt(int64(push.Left()/policy.Millisecond), 10)) }
+	tell := func() { header.Set(remainingHeader, strconv.FormatInt(int64(push.TimeLeft()/policy.Millisecond), 10)) }
 	tell()
 	if _, told := header["User-Agent"]; !told {
 		header["User-Agent"] = []string{""} // none, rather than the library's
@@ -156,7 +156,7 @@
 		Host:          push.Host,
 		Header:        header,
 		Body:          way.body,
-		ContentLength: int64(way.body.Left()),
+		ContentLength: int64(way.body.Remaining()),
 	}
 	if request.ContentLength == 0 && (push.Method == http.MethodGet || push.Method == http.MethodHead) {
 		// No length and no chunks: without this the library waits to see whether a body comes.
@@ -169,7 +169,7 @@
 			tell()
 			way.begin(info)
 		},
-		PutIdleConn: func(error) { p.part.Idle() },
+		PutIdleConn: func(error) { p.part.NotifyIdle() },
 	}))
 }
 
@@ -205,7 +205,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return policy.Cancelled
-	case c == nil || !c.replied() && (c.wrote.Load() != whole || w.body.Left() > 0):
+	case c == nil || !c.replied() && (c.wrote.Load() != whole || w.body.Remaining() > 0):
 		return policy.ConnectFailed
 	case c.spoilt():
 		return policy.Errored
@@ -216,7 +216,7 @@
 // acked reads a 200 answer. One that ends early, or does not say where it ends, can't be told from a broken one.
 func (w *passage) acked(ctx context.Context, response *http.Response) node.Result {
 	chunked := len(response.TransferEncoding) > 0
-	if response.ContentLength > node.MostBody { // it may say 3 GB, and keep coming
+	if response.ContentLength > node.MaxBodyBytes { // it may say 3 GB, and keep coming
 		return node.Result{Outcome: policy.Errored}
 	}
 	body, err := node.ReadPayload(response.Body, response.ContentLength)
@@ -226,7 +226,7 @@
 		return node.Result{Outcome: policy.Acked, Header: response.Header, Body: body}
 	}
 	body.Release()
-	if errors.Is(err, node.ErrTooLong) {
+	if errors.Is(err, node.ErrBodyTooLong) {
 		return node.Result{Outcome: policy.Errored}
 	}
 	return node.Result{Outcome: w.failure(ctx)}
@@ -240,5 +240,5 @@
 func discard(response *http.Response) {
 	enough := time.AfterFunc(discardWait, func() { response.Body.Close() })
 	defer enough.Stop()
-	io.CopyN(io.Discard, response.Body, node.MostBody)
+	io.CopyN(io.Discard, response.Body, node.MaxBodyBytes)
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -14,16 +14,16 @@
 
 // Options are what the settings say of connections to servers.
 type Options struct {
-	Dial      time.Duration // a connection not open within this has failed
-	IdleClose time.Duration // a server closes a connection that was idle for this long; 0: not told
-	MostOut   int           // pushes that can be out together
+	DialTimeout       time.Duration // a connection not open within this has failed
+	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long; 0: not told
+	MaxInFlight       int           // pushes that can be out together
 }
 
 // Pool holds the actors of the servers on the list. Its methods are for the module's actor alone; they never
 // wait.
 type Pool struct {
 	options Options
-	part    *sockets.Part
+	part    *sockets.Budget
 	log     zerolog.Logger
 	end     func(*node.Push, node.Result)
 	peers   map[policy.ServerID]*peer
@@ -31,15 +31,15 @@
 }
 
 // New makes a pool that ends each push it was given with end, once.
-func New(options Options, part *sockets.Part, log zerolog.Logger, end func(*node.Push, node.Result)) *Pool {
+func New(options Options, part *sockets.Budget, log zerolog.Logger, end func(*node.Push, node.Result)) *Pool {
 	p := &Pool{options: options, part: part, log: log, end: end, peers: make(map[policy.ServerID]*peer),
 		kept: &keep{part: part, conns: make(map[*conn]bool)}}
-	part.OnShort(p.kept.shed)
+	part.OnExhausted(p.kept.shed)
 	return p
 }
 
 // Follow takes over a list: new servers get an actor, those that left give theirs back after their last push.
-func (p *Pool) Follow(list *node.List) {
+func (p *Pool) UpdateList(list *node.List) {
 	if list.Form == policy.ListFailed {
 		return
 	}
@@ -53,12 +53,12 @@
 		if old := p.peers[e.Server]; old != nil {
 			// Danger: a server that has started again, or elsewhere, knows nothing of the connections kept to
 			// it; a write on one would be a reset.
-			if old.addr == list.Addrs[i] && old.started == e.Started {
+			if old.addr == list.Addrs[i] && old.started == e.StartedAt {
 				continue
 			}
 			p.retire(e.Server)
 		}
-		p.peers[e.Server] = p.start(e.Server, list.Addrs[i], e.Started)
+		p.peers[e.Server] = p.start(e.Server, list.Addrs[i], e.StartedAt)
 	}
 	if list.Form == policy.ListChanges {
 		return
@@ -72,7 +72,7 @@
 
 // Use lets pushes from now on go by other options. Connections kept under the old ones close; what is out ends on its
 // own.
-func (p *Pool) Use(options Options) {
+func (p *Pool) SetOptions(options Options) {
 	if options == p.options {
 		return
 	}
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -103,24 +103,24 @@
 // rig is a pool with one server on its list.
 type rig struct {
 	*Pool
-	part  *sockets.Part
+	part  *sockets.Budget
 	ended chan node.Result
 }
 
 func newRig(t *testing.T, addr string) *rig {
 	t.Helper()
-	part := sockets.NewPart(18)
+	part := sockets.NewBudget(18)
 	r := &rig{part: part, ended: make(chan node.Result, 64)}
-	r.Pool = New(Options{Dial: 200 * time.Millisecond, IdleClose: 5 * time.Second, MostOut: 32}, part, zerolog.Nop(),
+	r.Pool = New(Options{DialTimeout: 200 * time.Millisecond, ServerIdleTimeout: 5 * time.Second, MaxInFlight: 32}, part, zerolog.Nop(),
 		func(_ *node.Push, result node.Result) { r.ended <- result })
 	r.list(policy.Ready, addr, 0)
-	t.Cleanup(func() { r.Follow(&node.List{Form: policy.ListWhole}) })
+	t.Cleanup(func() { r.UpdateList(&node.List{Form: policy.ListFull}) })
 	return r
 }
 
 func (r *rig) list(state policy.ServerState, addr string, started policy.Micros) {
-	r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{addr},
-		Entries: []policy.Entry{{Server: 1, State: state, Started: started}}})
+	r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{addr},
+		Entries: []policy.ListEntry{{Server: 1, State: state, StartedAt: started}}})
 }
 
 func push(ctx context.Context, method, target, body string, headers ...string) *node.Push {
@@ -131,7 +131,7 @@
 		header.Set(name, value)
 	}
 	p := &node.Push{Request: &node.Request{Method: method, Target: target, Host: "backend.local", Header: header},
-		Body: payload.Reader(), Context: ctx, Server: 1, For: 1500 * policy.Millisecond}
+		Body: payload.NewReader(), Context: ctx, Server: 1, Timeout: 1500 * policy.Millisecond}
 	payload.Release()
 	return p
 }
@@ -197,7 +197,7 @@
 
 // What comes back tells whether the op has run.
 func TestOutcomes(t *testing.T) {
-	long := strings.Repeat("x", node.MostBody+1)
+	long := strings.Repeat("x", node.MaxBodyBytes+1)
 	for name, c := range map[string]struct {
 		answer string
 		want   policy.Outcome
@@ -270,7 +270,7 @@
 			if got := r.carry(t, push(t.Context(), "POST", "/a", "body")); got != policy.Errored {
 				t.Errorf("outcome %v", got)
 			}
-			if took := time.Since(begun); took > 4*stallDials*r.options.Dial {
+			if took := time.Since(begun); took > 4*stallDials*r.options.DialTimeout {
 				t.Errorf("took %v", took)
 			}
 			r.allFree(t)
@@ -415,12 +415,12 @@
 func TestNotWritten(t *testing.T) {
 	ctx, body := t.Context(), func(left int) *node.Reader {
 		payload, _ := node.ReadPayload(strings.NewReader("body"), -1)
-		reader := payload.Reader()
+		reader := payload.NewReader()
 		io.CopyN(io.Discard, reader, int64(4-left))
 		return reader
 	}
 	near, far := net.Pipe()
-	c := &conn{Conn: (&sockets.Part{}).Own(near)}
+	c := &conn{Conn: (&sockets.Budget{}).Wrap(near)}
 	got := map[string]policy.Outcome{}
 	unconnected := &passage{body: body(4)}
 	got["no connection"] = unconnected.failure(ctx)
@@ -455,7 +455,7 @@
 func TestRest(t *testing.T) {
 	near, _ := net.Pipe()
 	k := &keep{conns: make(map[*conn]bool)}
-	c := k.add(&conn{Conn: (&sockets.Part{}).Own(near), in: k, stall: time.Second})
+	c := k.add(&conn{Conn: (&sockets.Budget{}).Wrap(near), in: k, stall: time.Second})
 	if wait := c.unrested(); wait > 0 {
 		t.Errorf("a new connection waits %v", wait)
 	}
@@ -498,7 +498,7 @@
 			io.WriteString(c, answer("200 OK", "fine"))
 		}
 	}))
-	binary := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("z", node.MostBody-4)
+	binary := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("z", node.MaxBodyBytes-4)
 	for _, c := range []struct {
 		push *node.Push
 		want request
@@ -548,9 +548,9 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), bound)
 	defer cancel()
-	r.part.OnShort(func() {})
+	r.part.OnExhausted(func() {})
 	for i := range r.part.Size() {
-		if err := r.part.Take(ctx); err != nil {
+		if err := r.part.Acquire(ctx); err != nil {
 			t.Fatalf("%d of %d sockets came back", i, r.part.Size())
 		}
 	}
@@ -646,9 +646,9 @@
 	r := newRig(t, first)
 	r.carry(t, push(t.Context(), "GET", "/a", ""))
 	for range r.part.Size() - 1 {
-		r.part.Take(t.Context())
+		r.part.Acquire(t.Context())
 	}
-	r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.Entry{{Server: 2}}})
+	r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{second}, Entries: []policy.ListEntry{{Server: 2}}})
 	p := push(t.Context(), "GET", "/a", "")
 	p.Server = 2
 	if got := r.carry(t, p); got != policy.Acked {
@@ -678,7 +678,7 @@
 	r := newRig(t, server(t, always("fine")))
 	addr, before := r.peers[1].addr, runtime.NumGoroutine()
 	for i := range 400 {
-		r.Follow(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.Entry{
+		r.UpdateList(&node.List{Form: policy.ListChanges, Addrs: []string{"", addr}, Entries: []policy.ListEntry{
 			{Server: policy.ServerID(i + 1), State: policy.Gone}, {Server: policy.ServerID(i + 2)}}})
 		p := push(t.Context(), "GET", "/a", "")
 		p.Server = policy.ServerID(i + 2)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -54,7 +54,7 @@
 var outcomes = map[byte]policy.Outcome{0: policy.Acked, 5: policy.Errored, 11: policy.Full,
 	110: policy.TimedOut, 111: policy.ConnectFailed, 104: policy.Reset, 125: policy.Cancelled, 114: policy.Moot}
 
-var forms = [...]policy.ListForm{policy.ListChanges, policy.ListWhole, policy.ListCached, policy.ListFailed}
+var forms = [...]policy.ListForm{policy.ListChanges, policy.ListFull, policy.ListCached, policy.ListFailed}
 
 var states = map[byte]policy.ServerState{1: policy.Ready, 3: policy.Draining, 2: policy.Gone}
 
@@ -63,7 +63,7 @@
 // host holds the nodes of one process and the lists that belong to the process as a whole.
 type host struct {
 	nodes   map[uint32]policy.Decider
-	lists   [lists][]policy.Entry
+	lists   [lists][]policy.ListEntry
 	known   [lists]bool
 	input   policy.Input
 	reply   []byte
@@ -92,7 +92,7 @@
 		if n, err := io.ReadFull(in, body); err != nil {
 			return fmt.Errorf("batch %d: %d bytes announced, %d came: %w", batch, length, n, err)
 		}
-		if err := h.batch(config.Micros(clock), count, body); err != nil {
+		if err := h.batch(config.MillisToMicros(clock), count, body); err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 		var reply [8]byte
@@ -143,7 +143,7 @@
 func (c *cursor) u32() uint32         { return binary.BigEndian.Uint32(c.take(4)) }
 func (c *cursor) u64() uint64         { return binary.BigEndian.Uint64(c.take(8)) }
 func (c *cursor) f32() float64        { return float64(math.Float32frombits(c.u32())) }
-func (c *cursor) time() policy.Micros { return config.Micros(math.Float64frombits(c.u64())) }
+func (c *cursor) time() policy.Micros { return config.MillisToMicros(math.Float64frombits(c.u64())) }
 func (c *cursor) server() policy.ServerID {
 	return policy.ServerID(c.u32())<<16 | policy.ServerID(c.u16())
 }
@@ -191,7 +191,7 @@
 		delete(h.nodes, who)
 		return nil
 	case evEndpoints:
-		in.Kind = policy.ListCame
+		in.Kind = policy.ListReceived
 		form, list := c.u8(), c.u32()
 		c.u64()
 		if int(form) >= len(forms) {
@@ -208,18 +208,18 @@
 		in.Kind = policy.OpArrived
 		in.Op, in.Category = policy.OpID(c.u32()), policy.CategoryID(c.u8())
 		c.time()
-		in.NotAfter, in.Tenant = c.time(), policy.TenantID(c.u16())
-		in.Repeated = c.u8()&flagRepeat != 0
+		in.Deadline, in.Tenant = c.time(), policy.TenantID(c.u16())
+		in.ClientRetry = c.u8()&flagRepeat != 0
 		c.u64()
 	case evEstablished:
 		in.Kind = policy.StreamBegan
 		in.Op = policy.OpID(c.u32())
-		in.Took, in.Push, in.Server = c.time(), policy.PushNo(c.u8()), c.server()
+		in.Latency, in.Push, in.Server = c.time(), policy.PushNumber(c.u8()), c.server()
 	case evFinished:
 		in.Kind = policy.PushEnded
 		in.Op = policy.OpID(c.u32())
 		how := c.u8()
-		in.Took, in.Server, in.Push, in.Settled = c.time(), c.server(), policy.PushNo(c.u8()), c.u8() != 0
+		in.Latency, in.Server, in.Push, in.OpSettled = c.time(), c.server(), policy.PushNumber(c.u8()), c.u8() != 0
 		c.report()
 		if err := setOutcome(in, how); err != nil {
 			return err
@@ -228,20 +228,20 @@
 		in.Kind = policy.OpAbandoned
 		in.Op = policy.OpID(c.u32())
 	case evDue:
-		in.Kind = policy.Woken
-		in.Token = policy.Token(c.u32())
+		in.Kind = policy.TimerFired
+		in.Token = policy.TimerToken(c.u32())
 	case evChecked:
 		in.Kind = policy.ProbeEnded
 		in.Server = c.server()
 		how := c.u8()
-		in.Took = c.time()
+		in.Latency = c.time()
 		c.report()
 		if err := setOutcome(in, how); err != nil {
 			return err
 		}
 	case evInbox:
 		c.u32() // who says it counts for nothing
-		in.Kind, in.Said = policy.PeerSaid, c.take(int(c.u16()))
+		in.Kind, in.Message = policy.PeerMessageReceived, c.take(int(c.u16()))
 	default:
 		return fmt.Errorf("unknown code %d", code)
 	}
@@ -266,9 +266,9 @@
 	}
 	entries := h.lists[list][:0]
 	for range n {
-		e := policy.Entry{Started: c.time(), Server: c.server(), Weight: c.f32(), Cell: policy.CellID(c.u16())}
+		e := policy.ListEntry{StartedAt: c.time(), Server: c.server(), Weight: c.f32(), Cell: policy.CellID(c.u16())}
 		state := c.u8()
-		e.Kind, e.Zone = policy.KindID(c.u8()), policy.ZoneID(c.u8())
+		e.MachineType, e.Zone = policy.MachineTypeID(c.u8()), policy.ZoneID(c.u8())
 		var found bool
 		if e.State, found = states[state]; !found {
 			return fmt.Errorf("SNAPSHOT_ROWS: unknown availability %d", state)
@@ -321,31 +321,31 @@
 		op(actTransmit)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Server>>16))
 		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(e.Server))
-		h.time(e.For)
+		h.time(e.Duration)
 	case policy.Nack:
 		op(actRefuse)
-		h.time(e.For)
+		h.time(e.Duration)
 	case policy.DeadLetter:
 		op(actAbort)
 	case policy.Cancel:
 		op(actCancel)
 		h.reply = append(h.reply, byte(e.Push))
-	case policy.Wake:
+	case policy.SetTimer:
 		h.begin(actSetAlarm, who)
-		h.time(e.At)
+		h.time(e.TimerAt)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Token))
-	case policy.Watch:
+	case policy.WatchRegistry:
 		h.begin(actListen, who)
 		h.reply = append(h.reply, 1)
-	case policy.Close:
+	case policy.CloseIdle:
 		h.begin(actClose, who)
 		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Server>>16))
 		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(e.Server))
-	case policy.Tell:
+	case policy.SendToPeer:
 		h.begin(actNotify, who)
-		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.Peer))
-		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(e.Said)))
-		h.reply = append(h.reply, e.Said[:]...)
+		h.reply = binary.BigEndian.AppendUint32(h.reply, uint32(e.PeerNumber))
+		h.reply = binary.BigEndian.AppendUint16(h.reply, uint16(len(e.Message)))
+		h.reply = append(h.reply, e.Message[:]...)
 	case policy.Log:
 		h.text(actTrace, who, e.Text)
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -19,7 +19,7 @@
 
 // Part is a share of the budget. What a part holds never exceeds it, so that no side can starve another: clients
 // in number can't take the sockets that answer them.
-type Part struct {
+type Budget struct {
 	room    *semaphore.Weighted
 	shed    func() // gives idle connections back; called when the part runs short
 	size    int
@@ -33,26 +33,26 @@
 // have room beyond the ops in hand, in which one more is read and answered at once. Danger: a node's own
 // shortage would look like servers that can't be reached. So servers have room for second pushes and for
 // connections that are just being closed.
-func Split(limit int) (clients, servers, registry *Part, ops int) {
+func Split(limit int) (clients, servers, registry *Budget, ops int) {
 	rest := limit - reserve - registryShare
 	forServers := rest * 15 / 32
-	return NewPart(rest - forServers), NewPart(forServers), NewPart(registryShare), rest * 13 / 32
+	return NewBudget(rest - forServers), NewBudget(forServers), NewBudget(registryShare), rest * 13 / 32
 }
 
 // NewPart makes a part of so many sockets.
-func NewPart(size int) *Part {
-	return &Part{room: semaphore.NewWeighted(int64(size)), shed: func() {}, size: size}
+func NewBudget(size int) *Budget {
+	return &Budget{room: semaphore.NewWeighted(int64(size)), shed: func() {}, size: size}
 }
 
 // Size is how many sockets the part may hold.
-func (p *Part) Size() int { return p.size }
+func (p *Budget) Size() int { return p.size }
 
 // OnShort names what gives idle connections back. It must be called before the part is used.
-func (p *Part) OnShort(shed func()) { p.shed = shed }
+func (p *Budget) OnExhausted(shed func()) { p.shed = shed }
 
 // Take takes room for one socket; when there is none, idle connections go first and Take waits until ctx is
 // done.
-func (p *Part) Take(ctx context.Context) error {
+func (p *Budget) Acquire(ctx context.Context) error {
 	if p.room.TryAcquire(1) {
 		return nil
 	}
@@ -63,52 +63,52 @@
 }
 
 // Waiting is how many wait for room.
-func (p *Part) Waiting() int { return int(p.waiting.Load()) }
+func (p *Budget) Waiters() int { return int(p.waiting.Load()) }
 
 // Idle says that a connection has fallen idle. Danger: one that does so while somebody waits for room would keep
 // it, and the one that waits would wait as long as it stays idle.
-func (p *Part) Idle() {
-	if p.Waiting() > 0 {
+func (p *Budget) NotifyIdle() {
+	if p.Waiters() > 0 {
 		p.shed()
 	}
 }
 
 // Give gives the room of one socket back that never opened.
-func (p *Part) Give() { p.room.Release(1) }
+func (p *Budget) Release() { p.room.Release(1) }
 
 // Own makes conn the owner of the room taken for it, until it is closed.
-func (p *Part) Own(conn net.Conn) *Conn { return &Conn{Conn: conn, part: p} }
+func (p *Budget) Wrap(conn net.Conn) *Conn { return &Conn{Conn: conn, part: p} }
 
 // Conn gives its room back when it is closed, once.
 type Conn struct {
 	net.Conn
-	part *Part
+	part *Budget
 	once sync.Once
 }
 
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.part.Give)
+	c.once.Do(c.part.Release)
 	return err
 }
 
 // Dialer opens connections within a part.
 type Dialer struct {
 	net.Dialer
-	Part *Part
+	Budget *Budget
 }
 
 // Dial opens a connection within the dialer's Timeout, the wait for room included.
 func (d *Dialer) Dial(ctx context.Context, network, addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	if err := d.Part.Take(ctx); err != nil {
+	if err := d.Budget.Acquire(ctx); err != nil {
 		return nil, err
 	}
 	conn, err := d.DialContext(ctx, network, addr)
 	if err != nil {
-		d.Part.Give()
+		d.Budget.Release()
 		return nil, err
 	}
-	return d.Part.Own(conn), nil
+	return d.Budget.Wrap(conn), nil
 }
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/fleet/server.go
@@ -13,47 +13,47 @@
 const Never = policy.Micros(math.MaxInt64)
 
 // Traits are what a server is.
-type Traits struct {
-	Cores     int
-	Speed     float64 // of a core; work of 1 ms takes 1 ms at speed 1
-	Queue     int     // ops that may wait; further ones are turned away
-	JamOver   float64 // ops waiting per core that jam it; 0: never
-	JamAfter  policy.Micros
-	JamFactor float64
-	JamIdle   policy.Micros // mostly idle for so long ends the jam
-	CrowdOver float64       // jobs in hand per core over which each takes longer; 0: never
-	CrowdLoss float64       // times longer, for each such number more
-	Cold      Cold
+type Spec struct {
+	Cores            int
+	Speed            float64 // of a core; work of 1 ms takes 1 ms at speed 1
+	QueueLimit       int     // ops that may wait; further ones are turned away
+	JamQueuePerCore  float64 // ops waiting per core that jam it; 0: never
+	JamDelay         policy.Micros
+	JamSlowdown      float64
+	JamRecoveryTime  policy.Micros // mostly idle for so long ends the jam
+	CrowdingPerCore  float64       // jobs in hand per core over which each takes longer; 0: never
+	CrowdingSlowdown float64       // times longer, for each such number more
+	ColdStart        ColdStart
 }
 
 // Cold is how a server starts, and what pushes it over while it is cold.
-type Cold struct {
-	From   float64 // share of the capacity at the start; it rises evenly to all of it
-	Warm   policy.Micros
-	Factor float64 // sent more than this multiple of the present capacity
-	Window policy.Micros
-	Mean   policy.Micros // work of a mean op: its budget is counted in such ops
+type ColdStart struct {
+	InitialShare   float64 // share of the capacity at the start; it rises evenly to all of it
+	WarmUpTime     policy.Micros
+	OverloadFactor float64 // sent more than this multiple of the present capacity
+	OverloadWindow policy.Micros
+	MeanWork       policy.Micros // work of a mean op: its budget is counted in such ops
 }
 
 // Chance is how many ops beyond a budget of n are put down to chance (the operators' figure).
-func Chance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+func ChanceAllowance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
 
 // Job is one push at a server.
 type Job struct {
-	Work policy.Micros // at a core of speed 1
-	Told bool          // its node had been told of the server's last start
-	Note any           // whoever hands it in
+	Work       policy.Micros // at a core of speed 1
+	StartKnown bool          // its node had been told of the server's last start
+	Context    any           // whoever hands it in
 
 	begun, running, over bool
 	ends                 policy.Micros
 }
 
 // Begun says that a core has taken the job: it may have had an effect.
-func (j *Job) Begun() bool { return j.begun }
+func (j *Job) Started() bool { return j.begun }
 
 // Server is the state of one server. The zero value is not one; use New.
 type Server struct {
-	Traits
+	Spec
 	running, waiting []*Job
 	held             int // jobs whose own work is over, and that hold their core until Release
 	started          policy.Micros
@@ -76,13 +76,13 @@
 }
 
 // New makes a server that has been up for long.
-func New(traits Traits) *Server {
-	return &Server{Traits: traits, slow: 1, crowded: Never, idle: Never}
+func New(traits Spec) *Server {
+	return &Server{Spec: traits, slow: 1, crowded: Never, idle: Never}
 }
 
 // Start starts the server anew, cold and empty.
-func (s *Server) Start(now policy.Micros) {
-	*s = Server{Traits: s.Traits, slow: s.slow, crowded: Never, idle: Never, started: now, cold: true, busy: s.busy}
+func (s *Server) RestartCold(now policy.Micros) {
+	*s = Server{Spec: s.Spec, slow: s.slow, crowded: Never, idle: Never, started: now, cold: true, busy: s.busy}
 }
 
 // Crash gives the jobs that were in hand; none of them ends.
@@ -96,7 +96,7 @@
 }
 
 // Slow sets how many times slower jobs run that begin from now on.
-func (s *Server) Slow(factor float64) { s.slow = factor }
+func (s *Server) SetSlowdown(factor float64) { s.slow = factor }
 
 // Stall keeps everything still until a moment.
 func (s *Server) Stall(now, until policy.Micros) {
@@ -109,64 +109,64 @@
 
 // Capacity is the share of its speed that the server has now.
 func (s *Server) Capacity(now policy.Micros) float64 {
-	if !s.cold || now >= s.started+s.Cold.Warm {
+	if !s.cold || now >= s.started+s.ColdStart.WarmUpTime {
 		return 1
 	}
-	return s.Cold.From + (1-s.Cold.From)*float64(now-s.started)/float64(s.Cold.Warm)
+	return s.ColdStart.InitialShare + (1-s.ColdStart.InitialShare)*float64(now-s.started)/float64(s.ColdStart.WarmUpTime)
 }
 
 // Busy is the core time used so far. Waiting and Running are jobs in hand.
-func (s *Server) Busy() policy.Micros { return s.busy }
-func (s *Server) Waiting() int        { return len(s.waiting) }
-func (s *Server) Running() int        { return len(s.running) + s.held }
-func (s *Server) Jammed() bool        { return s.jammed }
-func (s *Server) Tipped() bool        { return s.tipped }
+func (s *Server) CoreTime() policy.Micros { return s.busy }
+func (s *Server) Waiting() int            { return len(s.waiting) }
+func (s *Server) Running() int            { return len(s.running) + s.held }
+func (s *Server) Jammed() bool            { return s.jammed }
+func (s *Server) Collapsed() bool         { return s.tipped }
 
 // Pressed is the fullest window since the server last started cold, as a share of its budget and what is put down to chance:
 // above 1 it fell over.
-func (s *Server) Pressed() float64 { return s.pressed }
+func (s *Server) PeakLoad() float64 { return s.pressed }
 
 // Arrival says what became of a push.
-type Arrival uint8
+type ArrivalResult uint8
 
 const (
-	Taken      Arrival = iota
-	TurnedAway         // never runs
-	Tips               // this one pushes the server over, most of it by nodes that knew: the rule is broken
-	TipsUnseen         // it falls over, and most of it came from nodes that could not know
+	Accepted              ArrivalResult = iota
+	Rejected                            // never runs
+	CollapsedByInformed                 // this one pushes the server over, most of it by nodes that knew: the rule is broken
+	CollapsedByUninformed               // it falls over, and most of it came from nodes that could not know
 )
 
 // Arrive takes a push, or turns it away. One that is turned away bears on a cold server all the same.
-func (s *Server) Arrive(now policy.Micros, j *Job) Arrival {
+func (s *Server) Arrive(now policy.Micros, j *Job) ArrivalResult {
 	if s.tipped {
-		return TurnedAway
+		return Rejected
 	}
-	if tips := s.press(now, j); tips != Taken {
+	if tips := s.press(now, j); tips != Accepted {
 		s.tipped = true
 		return tips
 	}
-	if len(s.running)+s.held >= s.Cores && len(s.waiting) >= s.Queue {
+	if len(s.running)+s.held >= s.Cores && len(s.waiting) >= s.QueueLimit {
 		s.load(now)
-		return TurnedAway
+		return Rejected
 	}
 	s.waiting = append(s.waiting, j)
 	s.begin(now)
-	return Taken
+	return Accepted
 }
 
 // press adds a push to what a cold server bears, and says whether it falls over.
-func (s *Server) press(now policy.Micros, j *Job) Arrival {
-	if !s.cold || s.Cold.Factor <= 0 || now >= s.started+s.Cold.Warm {
-		return Taken
+func (s *Server) press(now policy.Micros, j *Job) ArrivalResult {
+	if !s.cold || s.ColdStart.OverloadFactor <= 0 || now >= s.started+s.ColdStart.WarmUpTime {
+		return Accepted
 	}
-	s.sent = append(s.sent, pressure{now, j.Work, j.Told})
+	s.sent = append(s.sent, pressure{now, j.Work, j.StartKnown})
 	s.window += j.Work
-	if j.Told {
+	if j.StartKnown {
 		s.told += j.Work
 	}
 	drop := 0
 	for _, p := range s.sent {
-		if p.at > now-s.Cold.Window {
+		if p.at > now-s.ColdStart.OverloadWindow {
 			break
 		}
 		s.window -= p.work
@@ -176,16 +176,16 @@
 		drop++
 	}
 	s.sent = s.sent[drop:]
-	budget := s.Cold.Factor * s.Capacity(now) * float64(s.Cores) * s.Speed * float64(s.Cold.Window) / float64(s.Cold.Mean)
-	share := float64(s.window) / float64(s.Cold.Mean) / (budget + Chance(budget))
+	budget := s.ColdStart.OverloadFactor * s.Capacity(now) * float64(s.Cores) * s.Speed * float64(s.ColdStart.OverloadWindow) / float64(s.ColdStart.MeanWork)
+	share := float64(s.window) / float64(s.ColdStart.MeanWork) / (budget + ChanceAllowance(budget))
 	s.pressed = max(s.pressed, share)
 	if share <= 1 {
-		return Taken
+		return Accepted
 	}
 	if s.told*3 >= s.window*2 {
-		return Tips
+		return CollapsedByInformed
 	}
-	return TipsUnseen
+	return CollapsedByUninformed
 }
 
 // begin gives free cores to those that wait.
@@ -195,10 +195,10 @@
 		s.waiting = s.waiting[1:]
 		speed := s.Speed * s.Capacity(now) / s.slow
 		if s.jammed {
-			speed /= s.JamFactor
+			speed /= s.JamSlowdown
 		}
-		if most := s.CrowdOver * float64(s.Cores); most > 0 {
-			speed /= 1 + s.CrowdLoss*max(0, float64(len(s.running)+s.held+1+len(s.waiting))-most)/most
+		if most := s.CrowdingPerCore * float64(s.Cores); most > 0 {
+			speed /= 1 + s.CrowdingSlowdown*max(0, float64(len(s.running)+s.held+1+len(s.waiting))-most)/most
 		}
 		took := max(1, policy.Micros(float64(j.Work)/speed))
 		j.begun, j.running, j.ends = true, true, max(now, s.stalled)+took
@@ -210,15 +210,15 @@
 
 // load follows the jam: it comes when too many wait for too long, and goes when the server is mostly idle.
 func (s *Server) load(now policy.Micros) {
-	if s.JamOver <= 0 {
+	if s.JamQueuePerCore <= 0 {
 		return
 	}
-	if float64(len(s.waiting)) <= s.JamOver*float64(s.Cores) {
+	if float64(len(s.waiting)) <= s.JamQueuePerCore*float64(s.Cores) {
 		s.crowded = Never
 	} else if s.crowded == Never {
 		s.crowded = now
 	}
-	if s.crowded != Never && now-s.crowded >= s.JamAfter {
+	if s.crowded != Never && now-s.crowded >= s.JamDelay {
 		s.jammed = true
 	}
 	if 2*(len(s.running)+s.held) > s.Cores || len(s.waiting) > 0 {
@@ -226,13 +226,13 @@
 	} else if s.idle == Never {
 		s.idle = now
 	}
-	if s.jammed && s.idle != Never && now-s.idle >= s.JamIdle {
+	if s.jammed && s.idle != Never && now-s.idle >= s.JamRecoveryTime {
 		s.jammed = false
 	}
 }
 
 // Next is when the next job's own work is over.
-func (s *Server) Next() policy.Micros {
+func (s *Server) NextCompletion() policy.Micros {
 	next := Never
 	for _, j := range s.running {
 		next = min(next, j.ends)
@@ -273,7 +273,7 @@
 }
 
 // Leave drops a job that still waits; one that runs is not stopped. It says whether the job will never run.
-func (s *Server) Leave(now policy.Micros, j *Job) bool {
+func (s *Server) Cancel(now policy.Micros, j *Job) bool {
 	for i, w := range s.waiting {
 		if w == j {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -286,19 +286,19 @@
 }
 
 // Memory is what a group of servers remembers of deduplicated ops.
-type Memory struct {
+type DedupMemory struct {
 	window policy.Micros
 	first  map[string]policy.Micros
 }
 
 // NewMemory makes a group's memory, in which an op stays for window from its first arrival.
-func NewMemory(window policy.Micros) *Memory {
-	return &Memory{window: window, first: make(map[string]policy.Micros)}
+func NewDedupMemory(window policy.Micros) *DedupMemory {
+	return &DedupMemory{window: window, first: make(map[string]policy.Micros)}
 }
 
 // Repeat says that the op is a repeat, to be answered and not run again. The first is remembered; one tick past its
 // window it would run again.
-func (m *Memory) Repeat(now policy.Micros, key string) bool {
+func (m *DedupMemory) CheckAndRemember(now policy.Micros, key string) bool {
 	if first, known := m.first[key]; known && now-first <= m.window {
 		return true
 	}
@@ -307,4 +307,4 @@
 }
 
 // Forget takes back what was remembered of an op that never ran.
-func (m *Memory) Forget(key string) { delete(m.first, key) }
+func (m *DedupMemory) Forget(key string) { delete(m.first, key) }
--- a/internal/standin/fleet/server_test.go
+++ b/internal/standin/fleet/server_test.go
@@ -12,9 +12,9 @@
 
 const ms = policy.Millisecond
 
-func traits() Traits {
-	return Traits{Cores: 1, Speed: 1, Queue: 4, JamOver: 1, JamAfter: 100 * ms, JamFactor: 3, JamIdle: 50 * ms,
-		Cold: Cold{From: 0.25, Warm: 1000 * ms, Factor: 2, Window: 100 * ms, Mean: 10 * ms}}
+func traits() Spec {
+	return Spec{Cores: 1, Speed: 1, QueueLimit: 4, JamQueuePerCore: 1, JamDelay: 100 * ms, JamSlowdown: 3, JamRecoveryTime: 50 * ms,
+		ColdStart: ColdStart{InitialShare: 0.25, WarmUpTime: 1000 * ms, OverloadFactor: 2, OverloadWindow: 100 * ms, MeanWork: 10 * ms}}
 }
 
 // play arrives jobs of 10 ms at the given times, releases each as it ends, and writes down the ends.
@@ -26,7 +26,7 @@
 			s.Release(now, j)
 		}
 		for range arrivals[now] {
-			if s.Arrive(now, &Job{Work: 10 * ms, Told: true}) != Taken {
+			if s.Arrive(now, &Job{Work: 10 * ms, StartKnown: true}) != Accepted {
 				fmt.Fprintf(&b, "full@%d ", now/ms)
 			}
 		}
@@ -72,27 +72,27 @@
 
 // A cold server falls over past its budget, and it is a breach only if most came from nodes that knew.
 func TestTips(t *testing.T) {
-	for told, want := range map[bool]Arrival{true: Tips, false: TipsUnseen} {
+	for told, want := range map[bool]ArrivalResult{true: CollapsedByInformed, false: CollapsedByUninformed} {
 		s := New(traits())
-		s.Start(0)
-		got := Taken
-		for i := policy.Micros(0); i < 20 && got != Tips && got != TipsUnseen; i++ {
-			got = s.Arrive(i, &Job{Work: 10 * ms, Told: told})
+		s.RestartCold(0)
+		got := Accepted
+		for i := policy.Micros(0); i < 20 && got != CollapsedByInformed && got != CollapsedByUninformed; i++ {
+			got = s.Arrive(i, &Job{Work: 10 * ms, StartKnown: told})
 		}
-		if got != want || !s.Tipped() {
-			t.Errorf("told %v: got %v, tipped %v", told, got, s.Tipped())
+		if got != want || !s.Collapsed() {
+			t.Errorf("told %v: got %v, tipped %v", told, got, s.Collapsed())
 		}
-		if s.Arrive(50*ms, &Job{Work: ms}) != TurnedAway {
+		if s.Arrive(50*ms, &Job{Work: ms}) != Rejected {
 			t.Error("a server that fell over takes work")
 		}
 	}
 	s := New(traits())
-	s.Start(0)
+	s.RestartCold(0)
 	for now := policy.Micros(0); now < 2*policy.Second; now += 40 * ms { // a quarter of a core's work
 		for _, j := range s.Advance(now) {
 			s.Release(now, j)
 		}
-		if got := s.Arrive(now, &Job{Work: 10 * ms, Told: true}); got == Tips {
+		if got := s.Arrive(now, &Job{Work: 10 * ms, StartKnown: true}); got == CollapsedByInformed {
 			t.Fatalf("tipped at %d ms by what it can do", now/ms)
 		}
 	}
@@ -105,13 +105,13 @@
 		most int // that it bears at its start: N is 5, and chance 6.47
 	}{{10 * ms, 11}, {20 * ms, 5}, {5 * ms, 22}} {
 		s := New(traits())
-		s.Start(0)
+		s.RestartCold(0)
 		n := 0
-		for s.Arrive(0, &Job{Work: c.work, Told: true}) != Tips {
+		for s.Arrive(0, &Job{Work: c.work, StartKnown: true}) != CollapsedByInformed {
 			n++
 		}
-		if n != c.most || s.Pressed() <= 1 {
-			t.Errorf("ops of %d ms: bears %d, not %d; pressed %.2f", c.work/ms, n, c.most, s.Pressed())
+		if n != c.most || s.PeakLoad() <= 1 {
+			t.Errorf("ops of %d ms: bears %d, not %d; pressed %.2f", c.work/ms, n, c.most, s.PeakLoad())
 		}
 	}
 }
@@ -123,16 +123,16 @@
 	s.Arrive(0, b)
 	s.Arrive(0, c)
 	s.Stall(5*ms, 50*ms)
-	if got := s.Next(); got != 55*ms {
+	if got := s.NextCompletion(); got != 55*ms {
 		t.Errorf("a job that was half done ends at %d µs", got)
 	}
-	if !s.Leave(6*ms, b) || s.Leave(6*ms, a) {
+	if !s.Cancel(6*ms, b) || s.Cancel(6*ms, a) {
 		t.Error("what waits can leave, what runs can't")
 	}
-	if lost := s.Crash(); len(lost) != 2 || !a.Begun() || c.Begun() || s.Next() != Never {
+	if lost := s.Crash(); len(lost) != 2 || !a.Started() || c.Started() || s.NextCompletion() != Never {
 		t.Errorf("lost %d", len(lost))
 	}
-	s.Start(60 * ms)
+	s.RestartCold(60 * ms)
 	s.Release(70*ms, a) // of the life before: gives nothing back
 	if s.Running() != 0 {
 		t.Errorf("running %d", s.Running())
@@ -142,18 +142,18 @@
 // A repeat is dropped up to the last tick of the window, and would run one tick later.
 func TestWindow(t *testing.T) {
 	for age, dropped := range map[policy.Micros]bool{2*policy.Second - 1: true, 2 * policy.Second: true, 2*policy.Second + 1: false} {
-		m := NewMemory(2 * policy.Second)
-		if m.Repeat(100, "k") {
+		m := NewDedupMemory(2 * policy.Second)
+		if m.CheckAndRemember(100, "k") {
 			t.Fatal("the first is no repeat")
 		}
-		if got := m.Repeat(100+age, "k"); got != dropped {
+		if got := m.CheckAndRemember(100+age, "k"); got != dropped {
 			t.Errorf("after %d µs: dropped %v", age, got)
 		}
 	}
-	m := NewMemory(policy.Second)
-	m.Repeat(0, "k")
+	m := NewDedupMemory(policy.Second)
+	m.CheckAndRemember(0, "k")
 	m.Forget("k") // it never ran
-	if m.Repeat(1, "k") {
+	if m.CheckAndRemember(1, "k") {
 		t.Error("a repeat of what never ran")
 	}
 }
--- a/internal/standin/registry/catalog.go
+++ b/internal/standin/registry/catalog.go
@@ -6,13 +6,13 @@
 
 // Entry is one server as the registry lists it.
 type Entry struct {
-	Server  int // the place in the plan's machines
-	Zone    int
-	Kind    int
-	Cell    int
-	Weight  float64
-	Started policy.Micros // 0: long ago
-	State   policy.ServerState
+	Server      int // the place in the plan's machines
+	Zone        int
+	MachineType int
+	Cell        int
+	Weight      float64
+	StartedAt   policy.Micros // 0: long ago
+	State       policy.ServerState
 }
 
 // Catalog is the list and its generations.
@@ -45,7 +45,7 @@
 func (c *Catalog) Generation() uint64 { return c.now }
 
 // Set lists a server anew, or for the first time.
-func (c *Catalog) Set(e Entry) {
+func (c *Catalog) SetEntry(e Entry) {
 	c.now++
 	set := func(list []Entry) ([]Entry, int) {
 		for i := range list {
@@ -65,7 +65,7 @@
 }
 
 // Entry is what is true of a server.
-func (c *Catalog) Entry(server int) (e Entry, known bool) {
+func (c *Catalog) Lookup(server int) (e Entry, known bool) {
 	for _, e := range c.truth {
 		if e.Server == server {
 			return e, true
@@ -75,22 +75,22 @@
 }
 
 // Freeze keeps the list of now aside; Thaw shows it as if it were new; Correct shows the truth again.
-func (c *Catalog) Freeze() { c.kept = append([]Entry(nil), c.shown...) }
+func (c *Catalog) SaveSnapshot() { c.kept = append([]Entry(nil), c.shown...) }
 
-func (c *Catalog) Thaw() {
+func (c *Catalog) ServeSnapshot() {
 	c.now++
 	c.reset = c.now
 	c.show(c.kept)
 }
 
-func (c *Catalog) Correct() {
+func (c *Catalog) ServeCurrent() {
 	c.now++
 	c.reset = c.now
 	c.show(c.truth)
 }
 
 // Since is what changed after a generation, or the whole list without what is gone.
-func (c *Catalog) Since(generation uint64) (entries []Entry, whole bool) {
+func (c *Catalog) ChangesSince(generation uint64) (entries []Entry, whole bool) {
 	if whole = c.whole || generation < c.reset || generation > c.now; whole {
 		for _, e := range c.shown {
 			if e.State != policy.Gone {
--- a/internal/standin/registry/service.go
+++ b/internal/standin/registry/service.go
@@ -17,16 +17,16 @@
 const beat = 2 * time.Second
 
 // Words are what the service needs to write an entry, and whom it tells of what it wrote.
-type Words struct {
-	Zones []string
-	Kinds []string
-	Addr  func(server int) string
-	Told  func(node int, entries []Entry, whole bool)
+type Options struct {
+	Zones        []string
+	MachineTypes []string
+	Addr         func(server int) string
+	OnSent       func(node int, entries []Entry, whole bool)
 }
 
 // Service is a registry on loopback sockets, with a listener for each node, so that it knows whom it tells what.
 type Service struct {
-	words   Words
+	words   Options
 	mu      sync.Mutex
 	catalog *Catalog
 	changed chan struct{} // closed and made anew at each change
@@ -42,7 +42,7 @@
 func (s *Service) Counts() (calls, bytes int64) { return s.calls.Load(), s.bytes.Load() }
 
 // NewService makes a service that tells a catalog, each change later by delay.
-func NewService(catalog *Catalog, delay time.Duration, words Words) *Service {
+func NewService(catalog *Catalog, delay time.Duration, words Options) *Service {
 	return &Service{words: words, catalog: catalog, delay: delay, changed: make(chan struct{}), broken: make(chan struct{})}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // Change changes the catalog and wakes those who watch.
-func (s *Service) Change(do func(*Catalog)) {
+func (s *Service) Update(do func(*Catalog)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do(s.catalog)
@@ -72,7 +72,7 @@
 }
 
 // Down breaks watches and refuses calls, or ends that.
-func (s *Service) Down(down bool) {
+func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if down && !s.down {
@@ -83,7 +83,7 @@
 }
 
 // Slow sets by how much calls and changes come later.
-func (s *Service) Slow(delay time.Duration) {
+func (s *Service) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = delay
@@ -118,15 +118,15 @@
 var lifecycles = map[policy.ServerState]string{policy.Ready: "active", policy.Draining: "leaving", policy.Gone: "left"}
 
 // ID is a server's text id.
-func ID(server int) string { return "s-" + strconv.Itoa(server) }
+func InstanceID(server int) string { return "s-" + strconv.Itoa(server) }
 
 // Line writes a list in the platform's form.
-func (w *Words) Line(generation uint64, entries []Entry, whole bool) []byte {
+func (w *Options) EncodeList(generation uint64, entries []Entry, whole bool) []byte {
 	d := document{Generation: generation, Reset: whole, Instances: []instance{}}
 	for _, e := range entries {
-		d.Instances = append(d.Instances, instance{ID: ID(e.Server), Addr: w.Addr(e.Server), Zone: w.Zones[e.Zone],
-			Kind: w.Kinds[e.Kind], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
-			Started: float64(e.Started) / 1000})
+		d.Instances = append(d.Instances, instance{ID: InstanceID(e.Server), Addr: w.Addr(e.Server), Zone: w.Zones[e.Zone],
+			Kind: w.MachineTypes[e.MachineType], Cell: e.Cell, Lifecycle: lifecycles[e.State], Weight: e.Weight,
+			Started: float64(e.StartedAt) / 1000})
 	}
 	raw, err := json.Marshal(d)
 	if err != nil {
@@ -154,9 +154,9 @@
 			panic(http.ErrAbortHandler)
 		}
 		s.mu.Lock()
-		entries, whole := s.catalog.Since(from)
+		entries, whole := s.catalog.ChangesSince(from)
 		if !watch {
-			entries, whole = s.catalog.Since(0)
+			entries, whole = s.catalog.ChangesSince(0)
 		}
 		news := first || s.catalog.Generation() != from
 		from = s.catalog.Generation()
@@ -164,12 +164,12 @@
 		delay = s.delay
 		s.mu.Unlock()
 		if news {
-			n, err := w.Write(append(s.words.Line(from, entries, whole), '\n'))
+			n, err := w.Write(append(s.words.EncodeList(from, entries, whole), '\n'))
 			s.bytes.Add(int64(n))
 			if err != nil || control.Flush() != nil {
 				return
 			}
-			s.words.Told(node, entries, whole)
+			s.words.OnSent(node, entries, whole)
 		}
 		for waiting := watch; waiting; {
 			select {
--- a/internal/standin/registry/service_test.go
+++ b/internal/standin/registry/service_test.go
@@ -23,22 +23,22 @@
 func TestCatalog(t *testing.T) {
 	c := NewCatalog(entries(policy.Ready, policy.Ready), false)
 	held := c.Generation()
-	c.Freeze()
-	c.Set(Entry{Server: 0, State: policy.Gone})
-	c.Set(Entry{Server: 2, State: policy.Ready, Started: 5})
-	got, whole := c.Since(held)
-	if diff := cmp.Diff([]Entry{{Server: 0, State: policy.Gone}, {Server: 2, Started: 5}}, got); diff != "" || whole {
+	c.SaveSnapshot()
+	c.SetEntry(Entry{Server: 0, State: policy.Gone})
+	c.SetEntry(Entry{Server: 2, State: policy.Ready, StartedAt: 5})
+	got, whole := c.ChangesSince(held)
+	if diff := cmp.Diff([]Entry{{Server: 0, State: policy.Gone}, {Server: 2, StartedAt: 5}}, got); diff != "" || whole {
 		t.Error(diff, whole)
 	}
-	c.Thaw() // what it says now is old, and told whole to whoever holds something newer
-	if got, whole = c.Since(c.Generation() - 1); !whole || len(got) != 2 {
+	c.ServeSnapshot() // what it says now is old, and told whole to whoever holds something newer
+	if got, whole = c.ChangesSince(c.Generation() - 1); !whole || len(got) != 2 {
 		t.Errorf("thawed: %v %v", got, whole)
 	}
-	c.Correct()
-	if got, whole = c.Since(0); !whole || len(got) != 2 || got[1].Server != 2 {
+	c.ServeCurrent()
+	if got, whole = c.ChangesSince(0); !whole || len(got) != 2 || got[1].Server != 2 {
 		t.Errorf("put right: %v %v", got, whole)
 	}
-	if got, whole = NewCatalog(entries(policy.Draining), true).Since(1); !whole || len(got) != 1 {
+	if got, whole = NewCatalog(entries(policy.Draining), true).ChangesSince(1); !whole || len(got) != 1 {
 		t.Errorf("whole list: %v %v", got, whole)
 	}
 }
@@ -46,8 +46,8 @@
 // A watch brings what changed and ends without a word when the registry goes down; calls are refused until it is back.
 func TestWatch(t *testing.T) {
 	told := make(chan int, 16)
-	s := NewService(NewCatalog(entries(policy.Ready), false), time.Millisecond, Words{Zones: []string{"a"}, Kinds: []string{"m"},
-		Addr: func(int) string { return "127.0.0.1:1" }, Told: func(node int, e []Entry, _ bool) { told <- node*100 + len(e) }})
+	s := NewService(NewCatalog(entries(policy.Ready), false), time.Millisecond, Options{Zones: []string{"a"}, MachineTypes: []string{"m"},
+		Addr: func(int) string { return "127.0.0.1:1" }, OnSent: func(node int, e []Entry, _ bool) { told <- node*100 + len(e) }})
 	defer s.Close()
 	addr, err := s.Listen(7)
 	if err != nil {
@@ -66,20 +66,20 @@
 	if line, _ := lines.ReadString('\n'); line != `{"generation":1,"reset":false,"instances":[]}`+"\n" {
 		t.Errorf("first %q", line)
 	}
-	s.Change(func(c *Catalog) { c.Set(Entry{Server: 0, State: policy.Draining}) })
+	s.Update(func(c *Catalog) { c.SetEntry(Entry{Server: 0, State: policy.Draining}) })
 	if line, _ := lines.ReadString('\n'); !strings.Contains(line, `"lifecycle":"leaving"`) {
 		t.Errorf("then %q", line)
 	}
 	if a, b := <-told, <-told; a != 700 || b != 701 {
 		t.Errorf("told %d, %d", a, b)
 	}
-	s.Down(true)
+	s.SetDown(true)
 	if _, err := lines.ReadString('\n'); err == nil {
 		t.Error("the watch goes on")
 	}
 	refused, _ := get("")
 	refused.Body.Close()
-	s.Down(false)
+	s.SetDown(false)
 	list, all := get("")
 	defer list.Body.Close()
 	if raw, _ := io.ReadAll(all); refused.StatusCode != 503 || !strings.Contains(string(raw), `"reset":true`) {
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -37,34 +37,36 @@
 )
 
 // Way is what happens from one node to another. The zero value passes everything on at once.
-type Way struct {
-	Cut     bool    // nothing passes; streams are held open
-	Silent  bool    // datagrams pass; streams are accepted and never answered
-	Loss    float64 // share of datagrams
-	Double  float64 // share of datagrams that come twice
-	Reorder float64 // share of datagrams that come later than the next ones
-	Spoil   float64 // share of datagrams, and of a stream's chunks, with a byte changed
-	Short   float64 // share of datagrams cut short, and of chunks after which the stream ends
-	Delay   time.Duration
-	Jitter  time.Duration // more, evenly spread
+type Impairment struct {
+	Cut               bool    // nothing passes; streams are held open
+	UnansweredStreams bool    // datagrams pass; streams are accepted and never answered
+	Loss              float64 // share of datagrams
+	Duplicate         float64 // share of datagrams that come twice
+	Reorder           float64 // share of datagrams that come later than the next ones
+	Corrupt           float64 // share of datagrams, and of a stream's chunks, with a byte changed
+	Truncate          float64 // share of datagrams cut short, and of chunks after which the stream ends
+	Delay             time.Duration
+	Jitter            time.Duration // more, evenly spread
 }
 
 // and is both ways one after the other.
-func (w Way) and(o Way) Way {
+func (w Impairment) and(o Impairment) Impairment {
 	either := func(a, b float64) float64 { return 1 - (1-a)*(1-b) }
-	return Way{Cut: w.Cut || o.Cut, Silent: w.Silent || o.Silent, Loss: either(w.Loss, o.Loss), Double: either(w.Double, o.Double),
-		Reorder: either(w.Reorder, o.Reorder), Spoil: either(w.Spoil, o.Spoil), Short: either(w.Short, o.Short),
+	return Impairment{Cut: w.Cut || o.Cut, UnansweredStreams: w.UnansweredStreams || o.UnansweredStreams, Loss: either(w.Loss, o.Loss), Duplicate: either(w.Duplicate, o.Duplicate),
+		Reorder: either(w.Reorder, o.Reorder), Corrupt: either(w.Corrupt, o.Corrupt), Truncate: either(w.Truncate, o.Truncate),
 		Delay: w.Delay + o.Delay, Jitter: w.Jitter + o.Jitter}
 }
 
 // Count is what a node has sent and been sent, as it came to the relay and left it.
-type Count struct {
-	SentDatagrams, SentBytes, SentStreams, StreamBytes int64
-	GotDatagrams, GotBytes, GotStreamBytes             int64
+type Traffic struct {
+	SentDatagrams, SentBytes, SentStreams, SentStreamBytes int64
+	ReceivedDatagrams, ReceivedBytes, ReceivedStreamBytes  int64
 }
 
 // Bytes is all that a node has sent and been sent.
-func (c Count) Bytes() int64 { return c.SentBytes + c.StreamBytes + c.GotBytes + c.GotStreamBytes }
+func (c Traffic) TotalBytes() int64 {
+	return c.SentBytes + c.SentStreamBytes + c.ReceivedBytes + c.ReceivedStreamBytes
+}
 
 type place struct {
 	udp                                                *net.UDPConn
@@ -77,7 +79,7 @@
 type Relay struct {
 	port    int
 	places  []*place
-	ways    []atomic.Pointer[Way] // from, to
+	ways    []atomic.Pointer[Impairment] // from, to
 	streams atomic.Int64
 	pending atomic.Int64
 	late    atomic.Int64 // the most that a datagram was passed on later than meant, in ns
@@ -85,7 +87,7 @@
 	open    sync.WaitGroup
 	mu      sync.Mutex
 	rng     *rand.Rand
-	faults  map[int]func(from, to int) Way
+	faults  map[int]func(from, to int) Impairment
 	next    int
 }
 
@@ -94,10 +96,12 @@
 }
 
 // Bound is where a node binds and dials from, on the run's port.
-func Bound(n, port int) netip.AddrPort { return netip.AddrPortFrom(address(1, n+1), uint16(port)) }
+func BindAddr(n, port int) netip.AddrPort { return netip.AddrPortFrom(address(1, n+1), uint16(port)) }
 
 // Advertised is where others reach it: here.
-func Advertised(n, port int) netip.AddrPort { return netip.AddrPortFrom(address(2, n+1), uint16(port)) }
+func AdvertisedAddr(n, port int) netip.AddrPort {
+	return netip.AddrPortFrom(address(2, n+1), uint16(port))
+}
 
 const firstPort, lastPort = 22000, 32000 // under those that the kernel gives out
 
@@ -120,14 +124,14 @@
 }
 
 func open(nodes, port int, seed uint64) (*Relay, error) {
-	r := &Relay{port: port, ways: make([]atomic.Pointer[Way], nodes*nodes), done: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(seed, 0x7e1a9)), faults: make(map[int]func(int, int) Way)}
-	clear := &Way{}
+	r := &Relay{port: port, ways: make([]atomic.Pointer[Impairment], nodes*nodes), done: make(chan struct{}),
+		rng: rand.New(rand.NewPCG(seed, 0x7e1a9)), faults: make(map[int]func(int, int) Impairment)}
+	clear := &Impairment{}
 	for i := range r.ways {
 		r.ways[i].Store(clear)
 	}
 	for n := range nodes {
-		at := Advertised(n, port)
+		at := AdvertisedAddr(n, port)
 		p := &place{}
 		var err error
 		if p.tcp, err = net.Listen("tcp4", at.String()); err == nil {
@@ -153,17 +157,17 @@
 func (r *Relay) Port() int { return r.port }
 
 // Late is the most that a datagram was passed on later than it was meant to be: the relay's own fault.
-func (r *Relay) Late() time.Duration { return time.Duration(r.late.Load()) }
+func (r *Relay) MaxLateness() time.Duration { return time.Duration(r.late.Load()) }
 
 // Count gives what a node has sent and been sent so far.
-func (r *Relay) Count(n int) Count {
+func (r *Relay) Traffic(n int) Traffic {
 	p := r.places[n]
-	return Count{p.sentDatagrams.Load(), p.sentBytes.Load(), p.sentStreams.Load(), p.streamBytes.Load(),
+	return Traffic{p.sentDatagrams.Load(), p.sentBytes.Load(), p.sentStreams.Load(), p.streamBytes.Load(),
 		p.gotDatagrams.Load(), p.gotBytes.Load(), p.gotStreamBytes.Load()}
 }
 
 // Begin lets a fault act beside those that act already; the number ends it. A fault gives the way of each pair.
-func (r *Relay) Begin(fault func(from, to int) Way) (number int) {
+func (r *Relay) AddFault(fault func(from, to int) Impairment) (number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next++
@@ -173,7 +177,7 @@
 }
 
 // End ends a fault.
-func (r *Relay) End(number int) {
+func (r *Relay) RemoveFault(number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.faults, number)
@@ -184,7 +188,7 @@
 	n := len(r.places)
 	for from := range n {
 		for to := range n {
-			var way Way
+			var way Impairment
 			for _, fault := range r.faults { // their order changes nothing
 				way = way.and(fault(from, to))
 			}
@@ -195,7 +199,7 @@
 	}
 }
 
-func (r *Relay) way(from, to int) *Way { return r.ways[from*len(r.places)+to].Load() }
+func (r *Relay) way(from, to int) *Impairment { return r.ways[from*len(r.places)+to].Load() }
 
 // Close ends the relay: nothing passes any more and nothing is left running.
 func (r *Relay) Close() {
@@ -224,14 +228,14 @@
 }
 
 // chances draws whether each of these shares is met.
-func (r *Relay) chances(w *Way, size int) (lost, doubled, reordered, spoilt, short bool, at int, later time.Duration) {
-	if *w == (Way{}) {
+func (r *Relay) chances(w *Impairment, size int) (lost, doubled, reordered, spoilt, short bool, at int, later time.Duration) {
+	if *w == (Impairment{}) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	draw := func(share float64) bool { return share > 0 && r.rng.Float64() < share }
-	lost, doubled, reordered, spoilt, short = draw(w.Loss), draw(w.Double), draw(w.Reorder), draw(w.Spoil), draw(w.Short)
+	lost, doubled, reordered, spoilt, short = draw(w.Loss), draw(w.Duplicate), draw(w.Reorder), draw(w.Corrupt), draw(w.Truncate)
 	if size > 0 {
 		at = r.rng.IntN(size)
 	}
@@ -301,7 +305,7 @@
 }
 
 func (r *Relay) pass(from, to int, bytes []byte) {
-	if _, err := r.places[from].udp.WriteToUDPAddrPort(bytes, Bound(to, r.port)); err == nil {
+	if _, err := r.places[from].udp.WriteToUDPAddrPort(bytes, BindAddr(to, r.port)); err == nil {
 		r.places[to].gotDatagrams.Add(1)
 		r.places[to].gotBytes.Add(int64(len(bytes)))
 	}
@@ -369,8 +373,8 @@
 	if !open {
 		return
 	}
-	dialer := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: Advertised(from, r.port).Addr().AsSlice()}}
-	far, err := dialer.Dial("tcp4", Bound(to, r.port).String())
+	dialer := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: AdvertisedAddr(from, r.port).Addr().AsSlice()}}
+	far, err := dialer.Dial("tcp4", BindAddr(to, r.port).String())
 	if err != nil {
 		if tcp, ok := near.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
@@ -402,7 +406,7 @@
 func (r *Relay) held(from, to int, near net.Conn) (early []byte, open bool) {
 	buffer := make([]byte, chunk)
 	for begun := time.Now(); time.Since(begun) <= mostHeld; {
-		if there, back := r.way(from, to), r.way(to, from); !there.Cut && !there.Silent && !back.Cut {
+		if there, back := r.way(from, to), r.way(to, from); !there.Cut && !there.UnansweredStreams && !back.Cut {
 			return early, true
 		}
 		select {
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -20,7 +20,7 @@
 func nodes(t *testing.T, r *Relay, n int) (all []*node) {
 	t.Helper()
 	for i := range n {
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(Bound(i, r.Port())))
+		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(BindAddr(i, r.Port())))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,9 @@
 	return all
 }
 
-func (n *node) say(to int, text string) { n.WriteToUDPAddrPort([]byte(text), Advertised(to, n.port)) }
+func (n *node) say(to int, text string) {
+	n.WriteToUDPAddrPort([]byte(text), AdvertisedAddr(to, n.port))
+}
 
 // hears gives what comes within a while, and from whom the last came.
 func (n *node) hears(wait time.Duration) (all []string, from string) {
@@ -61,24 +63,24 @@
 func TestDatagrams(t *testing.T) {
 	r := newRelay(t, 3)
 	n := nodes(t, r, 3)
-	only := func(w Way) func(int, int) Way {
-		return func(from, to int) Way {
+	only := func(w Impairment) func(int, int) Impairment {
+		return func(from, to int) Impairment {
 			if from == 0 && to == 1 {
 				return w
 			}
-			return Way{}
+			return Impairment{}
 		}
 	}
 	for name, c := range map[string]struct {
-		way  Way
+		way  Impairment
 		want int // of ten
 		same bool
 	}{
-		"nothing": {Way{}, 10, true}, "cut": {Way{Cut: true}, 0, true}, "loss": {Way{Loss: 1}, 0, true},
-		"double": {Way{Double: 1}, 20, true}, "spoilt": {Way{Spoil: 1}, 10, false}, "short": {Way{Short: 1}, 10, false},
-		"late": {Way{Delay: while / 4}, 10, true}, "reordered": {Way{Reorder: 1}, 10, true}, "silent": {Way{Silent: true}, 10, true},
+		"nothing": {Impairment{}, 10, true}, "cut": {Impairment{Cut: true}, 0, true}, "loss": {Impairment{Loss: 1}, 0, true},
+		"double": {Impairment{Duplicate: 1}, 20, true}, "spoilt": {Impairment{Corrupt: 1}, 10, false}, "short": {Impairment{Truncate: 1}, 10, false},
+		"late": {Impairment{Delay: while / 4}, 10, true}, "reordered": {Impairment{Reorder: 1}, 10, true}, "silent": {Impairment{UnansweredStreams: true}, 10, true},
 	} {
-		number := r.Begin(only(c.way))
+		number := r.AddFault(only(c.way))
 		for range 10 {
 			n[0].say(1, "a word")
 			n[0].say(2, "a word")
@@ -98,9 +100,9 @@
 		if len(other) != 10 || len(back) != 10 {
 			t.Errorf("%s: other ways carried %d and %d of 10", name, len(other), len(back))
 		}
-		r.End(number)
+		r.RemoveFault(number)
 	}
-	if c := r.Count(0); c.SentDatagrams != 180 || c.SentBytes != 180*6 {
+	if c := r.Traffic(0); c.SentDatagrams != 180 || c.SentBytes != 180*6 {
 		t.Errorf("counted %+v", c)
 	}
 }
@@ -109,7 +111,7 @@
 // to a node that is not there is refused.
 func TestStreams(t *testing.T) {
 	r := newRelay(t, 3)
-	l, err := net.Listen("tcp4", Bound(1, r.Port()).String())
+	l, err := net.Listen("tcp4", BindAddr(1, r.Port()).String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,8 +126,8 @@
 		}
 	}()
 	dial := func(to int) net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: Bound(0, 0).Addr().AsSlice()}}
-		c, err := d.Dial("tcp4", Advertised(to, r.Port()).String())
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: BindAddr(0, 0).Addr().AsSlice()}}
+		c, err := d.Dial("tcp4", AdvertisedAddr(to, r.Port()).String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,19 +144,19 @@
 	if !answers(c, time.Second) {
 		t.Error("a stream does not pass")
 	}
-	cut := r.Begin(func(from, to int) Way { return Way{Cut: true} })
+	cut := r.AddFault(func(from, to int) Impairment { return Impairment{Cut: true} })
 	d := dial(1)
 	if answers(c, while) || answers(d, while) {
 		t.Error("a stream passes a cut")
 	}
-	r.End(cut)
+	r.RemoveFault(cut)
 	if !answers(c, time.Second) || !answers(d, time.Second) {
 		t.Error("a stream does not go on after a cut")
 	}
 	given, came := make(chan struct{}), make(chan struct{}, 1)
 	go func() {
 		defer close(given)
-		third, err := net.Listen("tcp4", Bound(2, r.Port()).String())
+		third, err := net.Listen("tcp4", BindAddr(2, r.Port()).String())
 		if err != nil {
 			t.Error(err)
 			return
@@ -166,13 +168,13 @@
 			came <- struct{}{}
 		}
 	}()
-	cut = r.Begin(func(from, to int) Way { return Way{Cut: true} })
+	cut = r.AddFault(func(from, to int) Impairment { return Impairment{Cut: true} })
 	f := dial(2)
 	f.Write([]byte("all that a node knows"))
 	time.Sleep(while)
 	f.Close()
 	time.Sleep(while)
-	r.End(cut)
+	r.RemoveFault(cut)
 	<-given
 	if len(came) > 0 {
 		t.Error("a stream that was given up in a cut comes after it")
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -23,29 +23,29 @@
 
 // Op is what a server must know of an op to run it.
 type Op struct {
-	Key      string
-	Category int
-	Work     policy.Micros
-	Calls    int
-	Memory   *fleet.Memory // of its group, or nil; guarded by Lock
-	Lock     sync.Locker
+	Key             string
+	Category        int
+	Work            policy.Micros
+	DownstreamCalls int
+	Dedup           *fleet.DedupMemory // of its group, or nil; guarded by Lock
+	DedupLock       sync.Locker
 }
 
 // World is what the server has around it.
-type World struct {
-	Account *ledger.Ledger // nil: nothing is booked
-	Now     func() policy.Micros
+type Environment struct {
+	Ledger *ledger.Ledger // nil: nothing is booked
+	Now    func() policy.Micros
 	// Find says what an id on the wire stands for.
-	Find func(id string, r *http.Request) (ledger.TryID, *Op, bool)
+	FindOp func(id string, r *http.Request) (ledger.TryID, *Op, bool)
 	// Call calls the next tier, and says whether it was served.
-	Call func(try ledger.TryID, op *Op, until policy.Micros) bool
+	CallNextTier func(try ledger.TryID, op *Op, until policy.Micros) bool
 }
 
 // Server is one server. Its address stays the same over its life.
 type Server struct {
 	place    int
 	kind     *scenario.MachineType
-	world    World
+	world    Environment
 	mu       sync.Mutex
 	model    *fleet.Server
 	addr     string
@@ -64,7 +64,7 @@
 }
 
 // New makes a server that is not up yet.
-func New(place int, kind *scenario.MachineType, traits fleet.Traits, addr string, world World) *Server {
+func New(place int, kind *scenario.MachineType, traits fleet.Spec, addr string, world Environment) *Server {
 	return &Server{place: place, kind: kind, world: world, model: fleet.New(traits), addr: addr}
 }
 
@@ -72,15 +72,15 @@
 func (s *Server) Addr() string { return s.addr }
 
 // Started is when it last started cold, in whole milliseconds; 0: long ago.
-func (s *Server) Started() policy.Micros {
+func (s *Server) StartedAt() policy.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started
 }
 
 // Up opens the server. Cold, it has just started.
-func (s *Server) Up(cold bool) error {
-	s.Down(false)
+func (s *Server) Start(cold bool) error {
+	s.Stop(false)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, err := listen(s.addr)
@@ -89,7 +89,7 @@
 	}
 	if cold {
 		s.started = s.world.Now() / policy.Millisecond * policy.Millisecond
-		s.model.Start(s.started)
+		s.model.RestartCold(s.started)
 	}
 	s.life, s.silent, s.conns, s.listener = make(chan struct{}), nil, make(map[net.Conn]bool), l
 	s.timer = time.AfterFunc(time.Hour, s.advance)
@@ -116,7 +116,7 @@
 // more until it is up again.
 //
 // Danger: net/http's Close waits for the loop that accepts, and that may be waiting for the lock to count a connection.
-func (s *Server) Down(silently bool) {
+func (s *Server) Stop(silently bool) {
 	if server := s.die(silently); server != nil {
 		server.Close()
 	}
@@ -131,7 +131,7 @@
 	}
 	if s.silent == nil {
 		for _, j := range s.model.Crash() {
-			s.book(j, j.Note.(*visit))
+			s.book(j, j.Context.(*visit))
 		}
 	}
 	if silently {
@@ -156,7 +156,11 @@
 }
 
 // Slow, Stall and Behave set a fault.
-func (s *Server) Slow(factor float64) { s.mu.Lock(); defer s.mu.Unlock(); s.model.Slow(factor) }
+func (s *Server) SetSlowdown(factor float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.model.SetSlowdown(factor)
+}
 
 func (s *Server) Stall(until policy.Micros) {
 	s.mu.Lock()
@@ -165,10 +169,10 @@
 	s.wake()
 }
 
-func (s *Server) Behave(mode scenario.ServerMode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
+func (s *Server) SetMode(mode scenario.ServerMode) { s.mu.Lock(); defer s.mu.Unlock(); s.mode = mode }
 
 // Ignore lets a share of the pushes that come by some nodes go without an answer; they don't run. 0 ends it.
-func (s *Server) Ignore(share float64, of func(ledger.TryID) bool) {
+func (s *Server) SetIgnoredShare(share float64, of func(ledger.TryID) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ignored, s.ignores = share, of
@@ -204,7 +208,7 @@
 
 // wake sets the timer to the end of the next job's own work. The lock is held.
 func (s *Server) wake() {
-	if next := s.model.Next(); next != fleet.Never && s.http != nil {
+	if next := s.model.NextCompletion(); next != fleet.Never && s.http != nil {
 		s.timer.Reset(time.Duration(max(0, next-s.world.Now())) * time.Microsecond)
 	}
 }
@@ -213,7 +217,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, j := range s.model.Advance(s.world.Now()) {
-		v := j.Note.(*visit)
+		v := j.Context.(*visit)
 		s.book(j, v)
 		close(v.done)
 	}
@@ -223,13 +227,13 @@
 // book writes down what a job was. One that never ran is no repeat's first.
 func (s *Server) book(j *fleet.Job, v *visit) {
 	switch {
-	case j.Begun() && s.world.Account != nil:
-		s.world.Account.RecordEffect(v.push)
-		s.world.Account.RecordWork(v.push, j.Work)
-	case !j.Begun() && v.op.Memory != nil:
-		v.op.Lock.Lock()
-		v.op.Memory.Forget(v.op.Key)
-		v.op.Lock.Unlock()
+	case j.Started() && s.world.Ledger != nil:
+		s.world.Ledger.RecordEffect(v.push)
+		s.world.Ledger.RecordWork(v.push, j.Work)
+	case !j.Started() && v.op.Dedup != nil:
+		v.op.DedupLock.Lock()
+		v.op.Dedup.Forget(v.op.Key)
+		v.op.DedupLock.Unlock()
 	}
 }
 
@@ -250,7 +254,7 @@
 		s.report(w)
 		return
 	}
-	try, op, known := s.world.Find(r.Header.Get("X-Txn"), r)
+	try, op, known := s.world.FindOp(r.Header.Get("X-Txn"), r)
 	if !known {
 		http.Error(w, "no such op", http.StatusBadRequest)
 		return
@@ -262,10 +266,10 @@
 	now := s.world.Now()
 	v := &visit{done: make(chan struct{}), push: -1, op: op}
 	told := true
-	if a := s.world.Account; a != nil {
+	if a := s.world.Ledger; a != nil {
 		v.push = a.RecordPush(try, s.place, now)
 		node, _ := a.NodeOf(try)
-		told = a.KnowsServerStart(node, s.place, s.Started())
+		told = a.KnowsServerStart(node, s.place, s.StartedAt())
 	}
 	if s.ignoring(try) {
 		select {
@@ -293,30 +297,30 @@
 		turnAway(w)
 		return
 	}
-	if op.Memory != nil {
-		op.Lock.Lock()
-		repeat := op.Memory.Repeat(now, op.Key)
-		op.Lock.Unlock()
+	if op.Dedup != nil {
+		op.DedupLock.Lock()
+		repeat := op.Dedup.CheckAndRemember(now, op.Key)
+		op.DedupLock.Unlock()
 		if repeat {
 			s.answer(w, v)
 			return
 		}
 	}
-	j := &fleet.Job{Work: op.Work + price(r, s.kind), Told: told, Note: v}
+	j := &fleet.Job{Work: op.Work + price(r, s.kind), StartKnown: told, Context: v}
 	s.mu.Lock()
-	got, pressed := s.model.Arrive(now, j), s.model.Pressed()
-	if got != fleet.Taken {
+	got, pressed := s.model.Arrive(now, j), s.model.PeakLoad()
+	if got != fleet.Accepted {
 		s.book(j, v)
 	}
 	s.wake()
 	s.mu.Unlock()
-	if a := s.world.Account; a != nil {
+	if a := s.world.Ledger; a != nil {
 		a.RecordPeakLoad(pressed)
-		if got == fleet.Tips || got == fleet.TipsUnseen {
-			a.RecordCollapse(s.place, got == fleet.Tips)
+		if got == fleet.CollapsedByInformed || got == fleet.CollapsedByUninformed {
+			a.RecordCollapse(s.place, got == fleet.CollapsedByInformed)
 		}
 	}
-	if got != fleet.Taken {
+	if got != fleet.Accepted {
 		turnAway(w)
 		return
 	}
@@ -326,7 +330,7 @@
 		abort(w)
 	case <-r.Context().Done(): // the node has given up; what runs goes on, what waits is dropped
 		s.mu.Lock()
-		dropped := s.model.Leave(s.world.Now(), j)
+		dropped := s.model.Cancel(s.world.Now(), j)
 		if dropped {
 			s.book(j, v)
 		}
@@ -341,8 +345,8 @@
 		}
 	}
 	served := true
-	for i := 0; i < op.Calls && served; i++ {
-		served = s.world.Call(try, op, now+remaining(r))
+	for i := 0; i < op.DownstreamCalls && served; i++ {
+		served = s.world.CallNextTier(try, op, now+remaining(r))
 	}
 	s.mu.Lock()
 	alive := s.life == life && s.silent == nil
@@ -369,14 +373,14 @@
 }
 
 // Body is what a server answers.
-type Body struct {
+type AnswerBody struct {
 	Server int           `json:"server"`
 	Push   ledger.PushID `json:"push"`
 }
 
 // answer writes the answer, or what the fault makes of it.
 func (s *Server) answer(w http.ResponseWriter, v *visit) {
-	body, _ := json.Marshal(Body{s.place, v.push})
+	body, _ := json.Marshal(AnswerBody{s.place, v.push})
 	s.mu.Lock()
 	mode, cut := s.mode, s.cut
 	if mode == scenario.ModeReset {
@@ -408,7 +412,7 @@
 
 func (s *Server) report(w http.ResponseWriter) {
 	s.mu.Lock()
-	load, well := s.load(), s.mode == scenario.ModeNormal && !s.model.Tipped()
+	load, well := s.load(), s.mode == scenario.ModeNormal && !s.model.Collapsed()
 	s.mu.Unlock()
 	if !well {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -18,22 +18,22 @@
 )
 
 // up starts a server with one core, room for one op to wait and two connections, whose ops take 20 ms.
-func up(t *testing.T, memory *fleet.Memory) *Server {
+func up(t *testing.T, memory *fleet.DedupMemory) *Server {
 	t.Helper()
 	begun := time.Now()
 	kind := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
 	var lock sync.Mutex
 	// An address from which nobody connects: a port given back could be taken by anybody while the server is down.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
-	s := New(0, kind, fleet.Traits{Cores: 1, Speed: 1, Queue: 1}, addr, World{
+	s := New(0, kind, fleet.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
 		Now: func() policy.Micros { return policy.Micros(time.Since(begun).Microseconds()) },
-		Find: func(id string, _ *http.Request) (ledger.TryID, *Op, bool) {
-			return 0, &Op{Key: id, Work: 20 * policy.Millisecond, Memory: memory, Lock: &lock}, id != ""
+		FindOp: func(id string, _ *http.Request) (ledger.TryID, *Op, bool) {
+			return 0, &Op{Key: id, Work: 20 * policy.Millisecond, Dedup: memory, DedupLock: &lock}, id != ""
 		}})
-	if err := s.Up(false); err != nil {
+	if err := s.Start(false); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Down(false) })
+	t.Cleanup(func() { s.Stop(false) })
 	return s
 }
 
@@ -61,31 +61,31 @@
 	if got := ask(t, s, ""); !bytes.HasPrefix([]byte(got), []byte("HTTP/1.1 400")) {
 		t.Errorf("no id: %q", got)
 	}
-	s.Behave(scenario.ModeReset)
+	s.SetMode(scenario.ModeReset)
 	for n := range 5 { // each time one byte further
 		if got := ask(t, s, "1"); got != "HTTP/1.1 200 OK"[:n] {
 			t.Errorf("reset %d: %q", n, got)
 		}
 	}
-	s.Behave(scenario.ModeCorrupt)
+	s.SetMode(scenario.ModeCorrupt)
 	if got := ask(t, s, "1"); bytes.HasPrefix([]byte(got), []byte("HTTP")) || got == "" {
 		t.Errorf("spoilt: %q", got)
 	}
 	for mode, want := range map[scenario.ServerMode]string{scenario.ModeErrors: "HTTP/1.1 500", scenario.ModeReject: "HTTP/1.1 503"} {
-		s.Behave(mode)
+		s.SetMode(mode)
 		if got := ask(t, s, "1"); !bytes.HasPrefix([]byte(got), []byte(want)) {
 			t.Errorf("mode %d: %q", mode, got)
 		}
 	}
-	s.Behave(scenario.ModeNormal)
-	s.Down(true)
+	s.SetMode(scenario.ModeNormal)
+	s.Stop(true)
 	if got := ask(t, s, "1"); got != "" {
 		t.Errorf("silent: %q", got)
 	}
-	if err := s.Up(true); err != nil || s.Started() == 0 {
-		t.Errorf("%v, started %d", err, s.Started())
+	if err := s.Start(true); err != nil || s.StartedAt() == 0 {
+		t.Errorf("%v, started %d", err, s.StartedAt())
 	}
-	s.Down(false)
+	s.Stop(false)
 	if _, err := net.Dial("tcp", s.Addr()); err == nil {
 		t.Error("a dead server accepts")
 	}
@@ -93,7 +93,7 @@
 
 // Past the bound of its queue, and of its connections, a server turns away; a repeat is answered and not run.
 func TestBounds(t *testing.T) {
-	s := up(t, fleet.NewMemory(policy.Second))
+	s := up(t, fleet.NewDedupMemory(policy.Second))
 	var out sync.WaitGroup
 	var mu sync.Mutex
 	got := map[string]int{}
@@ -112,8 +112,8 @@
 	begun := time.Now()
 	ask(t, s, "again")
 	ask(t, s, "again")
-	if took := time.Since(begun); took < 20*time.Millisecond || s.model.Busy() != 3*20*policy.Millisecond {
-		t.Errorf("a repeat ran: %v, core time %d", took, s.model.Busy())
+	if took := time.Since(begun); took < 20*time.Millisecond || s.model.CoreTime() != 3*20*policy.Millisecond {
+		t.Errorf("a repeat ran: %v, core time %d", took, s.model.CoreTime())
 	}
 }
 
@@ -126,14 +126,14 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, fleet.Traits{Cores: 1, Speed: 1}, addr,
-		World{Now: func() policy.Micros { return 0 }})
-	if err := s.Up(false); err != nil {
+	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, fleet.Spec{Cores: 1, Speed: 1}, addr,
+		Environment{Now: func() policy.Micros { return 0 }})
+	if err := s.Start(false); err != nil {
 		t.Fatal(err)
 	}
 	s.mu.Lock() // first Down waits for it, then what accepts
 	ended := make(chan struct{})
-	go func() { s.Down(false); close(ended) }()
+	go func() { s.Stop(false); close(ended) }()
 	time.Sleep(20 * time.Millisecond)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/store/apply/apply.go
+++ b/internal/store/apply/apply.go
@@ -41,12 +41,12 @@
 	// Install lets the node go by a configuration, or leaves it as it is.
 	Install func(*config.Config) error
 	// Check says what is wrong with a configuration beyond what reading it shows; nil: nothing is looked at.
-	Check func(*config.Config) error
+	Validate func(*config.Config) error
 	// Lock is held while something is installed: a file may be read anew at the same time.
-	Lock sync.Locker
-	Life string // of this process
-	Seed uint64
-	Log  zerolog.Logger
+	InstallLock sync.Locker
+	Incarnation string // of this process
+	Seed        uint64
+	Log         zerolog.Logger
 }
 
 // Applier is the actor.
@@ -65,12 +65,12 @@
 func New(o Options) *Applier {
 	c := o.Config
 	var bind net.IP
-	if c.Store.Bind.IsValid() {
-		bind = c.Store.Bind.AsSlice()
+	if c.Store.LocalIP.IsValid() {
+		bind = c.Store.LocalIP.AsSlice()
 	}
 	return &Applier{Options: o, file: c.Raw, anew: make(chan struct{}, 1), runs: map[store.Key]*store.Value{}, refused: map[store.Key]store.Refusal{},
-		follower: store.NewFollower(store.FollowerOptions{Replicas: c.Store.Replicas, Keys: store.Keys(c.Store.Service, c.Name), Node: c.Name,
-			Life: o.Life, Zone: int(c.Rules.Place.Zone), Seed: o.Seed, Bind: bind}, o.Log)}
+		follower: store.NewFollower(store.FollowerOptions{Replicas: c.Store.Replicas, Keys: store.NodeKeys(c.Store.Service, c.Name), Node: c.Name,
+			Incarnation: o.Incarnation, Zone: int(c.Rules.Topology.Zone), Seed: o.Seed, LocalIP: bind}, o.Log)}
 }
 
 // Run follows the store until ctx is done.
@@ -109,25 +109,25 @@
 // take lays what is held over the file, key by key: what is faulty is refused whole and its key goes on as it was. It is false where
 // there was no room for it, and it has to be tried again.
 func (a *Applier) take() (done bool) {
-	a.Lock.Lock()
-	defer a.Lock.Unlock()
+	a.InstallLock.Lock()
+	defer a.InstallLock.Unlock()
 	a.mu.Lock()
 	file, before, refused := a.file, a.runs, maps.Clone(a.refused)
 	a.mu.Unlock()
 	runs := maps.Clone(before)
 	var good *config.Config
-	for _, v := range a.follower.Held() {
+	for _, v := range a.follower.Values() {
 		if now := runs[v.Key]; now != nil && now.Version >= v.Version || refused[v.Key].Version >= v.Version {
 			continue
 		}
 		trial := maps.Clone(runs)
 		trial[v.Key] = v
-		c, err := Lay(file, trial, a.Getenv, a.Check)
-		if v.Needs > config.Form {
-			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", v.Needs, config.Form)
+		c, err := ParseWithChanges(file, trial, a.Getenv, a.Validate)
+		if v.RequiredFormat > config.FormatVersion {
+			err = fmt.Errorf("it needs form %d of configuration; this program knows form %d", v.RequiredFormat, config.FormatVersion)
 		}
 		if err != nil {
-			refused[v.Key] = store.Refusal{Version: v.Version, Why: err.Error()}
+			refused[v.Key] = store.Refusal{Version: v.Version, Reason: err.Error()}
 			a.Log.Error().Err(err).Str("key", string(v.Key)).Uint64("version", uint64(v.Version)).Msg("change refused, what runs stays")
 			continue
 		}
@@ -142,7 +142,7 @@
 			// Nothing of it runs. Whichever of them is at fault, all that are new are told as refused.
 			for key, v := range runs {
 				if now := before[key]; now == nil || now.Version < v.Version {
-					refused[key] = store.Refusal{Version: v.Version, Why: err.Error()}
+					refused[key] = store.Refusal{Version: v.Version, Reason: err.Error()}
 				}
 			}
 			runs = before
@@ -158,16 +158,16 @@
 	a.mu.Lock()
 	a.runs, a.refused = runs, refused
 	a.mu.Unlock()
-	a.follower.Runs(versions, refused)
+	a.follower.ReportApplied(versions, refused)
 	return true
 }
 
 // Over lays what runs over a file that was read anew.
-func (a *Applier) Over(file *config.Config) (*config.Config, error) {
+func (a *Applier) WithChanges(file *config.Config) (*config.Config, error) {
 	a.mu.Lock()
 	runs := a.runs
 	a.mu.Unlock()
-	c, err := Lay(file.Raw, runs, a.Getenv, a.Check)
+	c, err := ParseWithChanges(file.Raw, runs, a.Getenv, a.Validate)
 	if err == nil {
 		c.Raw = file.Raw
 	}
@@ -175,7 +175,7 @@
 }
 
 // Reread keeps the file that is in force, and lets what was refused with the one before be tried again.
-func (a *Applier) Reread(file []byte) {
+func (a *Applier) SetFile(file []byte) {
 	a.mu.Lock()
 	a.file, a.refused = file, map[store.Key]store.Refusal{}
 	a.mu.Unlock()
@@ -183,10 +183,10 @@
 }
 
 // Look is what is known of the store.
-func (a *Applier) Look() *store.Look { return a.follower.Look() }
+func (a *Applier) View() *store.View { return a.follower.View() }
 
 // Lay reads a file with changes laid over it (RFC 7396): those for all, a service's, a node's own last.
-func Lay(file []byte, runs map[store.Key]*store.Value, getenv func(string) string, check func(*config.Config) error) (*config.Config, error) {
+func ParseWithChanges(file []byte, runs map[store.Key]*store.Value, getenv func(string) string, check func(*config.Config) error) (*config.Config, error) {
 	reach := func(k store.Key) int { return strings.Index("asn", string(k[:1])) }
 	raw := file
 	for _, key := range slices.SortedFunc(maps.Keys(runs), func(a, b store.Key) int { return reach(a) - reach(b) }) {
@@ -208,11 +208,11 @@
 
 // CheckChange says what is wrong with a change, by its key, as far as that can be told without the file that it will be laid over: it is
 // laid over one in which nothing is wrong.
-func CheckChange(c *store.Change) error {
-	if c.Needs > config.Form {
+func ValidateChange(c *store.Change) error {
+	if c.RequiredFormat > config.FormatVersion {
 		return nil // of a later form: nodes that know it look at it
 	}
-	_, err := Lay([]byte(plain), map[store.Key]*store.Value{c.Key: {Key: c.Key, Patch: c.Patch}}, func(string) string { return "" }, nil)
+	_, err := ParseWithChanges([]byte(plain), map[store.Key]*store.Value{c.Key: {Key: c.Key, Patch: c.Patch}}, func(string) string { return "" }, nil)
 	return err
 }
 
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -34,17 +34,17 @@
 
 // FollowerOptions say who follows, and where.
 type FollowerOptions struct {
-	Replicas []string
-	Keys     []Key // its own, in the order in which they are laid over each other
-	Node     string
-	Life     string
-	Zone     int
-	Seed     uint64
-	Bind     net.IP // that calls come from; nil: any
+	Replicas    []string
+	Keys        []Key // its own, in the order in which they are laid over each other
+	Node        string
+	Incarnation string
+	Zone        int
+	Seed        uint64
+	LocalIP     net.IP // that calls come from; nil: any
 }
 
 // Keys are those of a node: all nodes', its service's, its own; a later one is laid over an earlier.
-func Keys(service, node string) []Key {
+func NodeKeys(service, node string) []Key {
 	keys := []Key{"all"}
 	if service != "" {
 		keys = append(keys, Key("service/"+service))
@@ -70,13 +70,13 @@
 // NewFollower makes the actor.
 func NewFollower(o FollowerOptions, log zerolog.Logger) *Follower {
 	dialer := &net.Dialer{Timeout: dialWait}
-	if o.Bind != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: o.Bind}
+	if o.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: o.LocalIP}
 	}
 	f := &Follower{options: o, log: log, held: map[Key]*Value{}, anew: make(chan struct{}, 1),
 		rng:    rand.New(rand.NewPCG(o.Seed, 0x57a7e)),
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
-		report: Report{Node: o.Node, Life: o.Life, Zone: o.Zone, Keys: o.Keys, Runs: map[Key]Version{}}}
+		report: Report{Node: o.Node, Incarnation: o.Incarnation, Zone: o.Zone, Keys: o.Keys, Applied: map[Key]Version{}}}
 	f.at = f.rng.IntN(max(1, len(o.Replicas)))
 	return f
 }
@@ -157,7 +157,7 @@
 			return lines, fmt.Errorf("broken line: %w", err)
 		}
 		if f.take(v) {
-			tell(f.Held())
+			tell(f.Values())
 		}
 	}
 }
@@ -166,11 +166,11 @@
 func (f *Follower) take(v *Value) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Contains(f.options.Keys, v.Key) && Merge(f.held, v)
+	return slices.Contains(f.options.Keys, v.Key) && MergeNewer(f.held, v)
 }
 
 // Held is all that the node was told, in the order of its keys.
-func (f *Follower) Held() (all []*Value) {
+func (f *Follower) Values() (all []*Value) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, key := range f.options.Keys {
@@ -196,10 +196,10 @@
 }
 
 // Runs says what the node runs now, and what it refused.
-func (f *Follower) Runs(runs map[Key]Version, refused map[Key]Refusal) {
+func (f *Follower) ReportApplied(runs map[Key]Version, refused map[Key]Refusal) {
 	f.mu.Lock()
-	f.report.Runs, f.report.Refused = maps.Clone(runs), maps.Clone(refused)
-	f.report.Number++
+	f.report.Applied, f.report.Refused = maps.Clone(runs), maps.Clone(refused)
+	f.report.Sequence++
 	f.mu.Unlock()
 	f.again()
 }
@@ -247,20 +247,20 @@
 }
 
 // Look is what the node knows of its store, for whoever looks at it.
-type Look struct {
-	Replica string          `json:"replica"` // watched now; "": none
-	Told    map[Key]Version `json:"told"`
-	Runs    map[Key]Version `json:"runs"`
-	Refused map[Key]Refusal `json:"refused,omitempty"`
+type View struct {
+	Replica  string          `json:"replica"` // watched now; "": none
+	Received map[Key]Version `json:"told"`
+	Applied  map[Key]Version `json:"runs"`
+	Refused  map[Key]Refusal `json:"refused,omitempty"`
 }
 
 // Look gives it.
-func (f *Follower) Look() *Look {
+func (f *Follower) View() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := &Look{Replica: f.watching, Told: map[Key]Version{}, Runs: maps.Clone(f.report.Runs), Refused: maps.Clone(f.report.Refused)}
+	l := &View{Replica: f.watching, Received: map[Key]Version{}, Applied: maps.Clone(f.report.Applied), Refused: maps.Clone(f.report.Refused)}
 	for key, v := range f.held {
-		l.Told[key] = v.Version
+		l.Received[key] = v.Version
 	}
 	return l
 }
--- a/internal/store/register.go
+++ b/internal/store/register.go
@@ -31,27 +31,27 @@
 
 // Change is what an operator asks for.
 type Change struct {
-	Key   Key             `json:"key"`
-	ID    string          `json:"id"`              // the same change asked twice has the same
-	From  *Version        `json:"from,omitempty"`  // it starts from this version; left out: from whichever stands
-	Needs int             `json:"needs,omitempty"` // form of configuration that a program must know
-	Patch json.RawMessage `json:"patch,omitempty"` // all that the key changes, in place of what it changed before
-	Back  bool            `json:"back,omitempty"`  // the patch before the present one, in place of Patch
+	Key             Key             `json:"key"`
+	ID              string          `json:"id"`              // the same change asked twice has the same
+	ExpectedVersion *Version        `json:"from,omitempty"`  // it starts from this version; left out: from whichever stands
+	RequiredFormat  int             `json:"needs,omitempty"` // form of configuration that a program must know
+	Patch           json.RawMessage `json:"patch,omitempty"` // all that the key changes, in place of what it changed before
+	Rollback        bool            `json:"back,omitempty"`  // the patch before the present one, in place of Patch
 }
 
 // Value is a version of a key.
 type Value struct {
-	Key     Key             `json:"key"`
-	Version Version         `json:"version"`
-	ID      string          `json:"id"`
-	Needs   int             `json:"needs,omitempty"`
-	Patch   json.RawMessage `json:"patch"`
-	Before  json.RawMessage `json:"before,omitempty"` // the patch before it, for the way back
-	Past    []Past          `json:"past,omitempty"`   // changes before it, the latest first
+	Key            Key             `json:"key"`
+	Version        Version         `json:"version"`
+	ID             string          `json:"id"`
+	RequiredFormat int             `json:"needs,omitempty"`
+	Patch          json.RawMessage `json:"patch"`
+	PreviousPatch  json.RawMessage `json:"before,omitempty"` // the patch before it, for the way back
+	History        []PastChange    `json:"past,omitempty"`   // changes before it, the latest first
 }
 
 // Past is an earlier change.
-type Past struct {
+type PastChange struct {
 	ID      string  `json:"id"`
 	Version Version `json:"version"`
 }
@@ -63,34 +63,34 @@
 type Verdict string
 
 const (
-	Chosen   Verdict = "chosen"   // it is in force, under the version told
-	Known    Verdict = "known"    // it was in force already, under that version
-	Conflict Verdict = "conflict" // it starts from another version than the one that stands
-	Nothing  Verdict = "nothing"  // there is no way back from the first version
+	Chosen            Verdict = "chosen"   // it is in force, under the version told
+	AlreadyChosen     Verdict = "known"    // it was in force already, under that version
+	Conflict          Verdict = "conflict" // it starts from another version than the one that stands
+	NothingToRollBack Verdict = "nothing"  // there is no way back from the first version
 )
 
 // Next makes of the value that stands, or of none, the one to propose. Where the change is not taken that is the same value again: an
 // answer about what stands is true only once a majority has it.
-func Next(now *Value, c *Change) (next *Value, verdict Verdict, version Version) {
-	v := Value{Key: c.Key, Version: 1, ID: c.ID, Needs: c.Needs, Patch: c.Patch}
+func NextValue(now *Value, c *Change) (next *Value, verdict Verdict, version Version) {
+	v := Value{Key: c.Key, Version: 1, ID: c.ID, RequiredFormat: c.RequiredFormat, Patch: c.Patch}
 	if now != nil {
 		if now.ID == c.ID {
-			return now, Known, now.Version
+			return now, AlreadyChosen, now.Version
 		}
-		if i := slices.IndexFunc(now.Past, func(p Past) bool { return p.ID == c.ID }); i >= 0 {
-			return now, Known, now.Past[i].Version
+		if i := slices.IndexFunc(now.History, func(p PastChange) bool { return p.ID == c.ID }); i >= 0 {
+			return now, AlreadyChosen, now.History[i].Version
 		}
-		v.Version, v.Before = now.Version+1, now.Patch
-		v.Past = append([]Past{{now.ID, now.Version}}, now.Past[:min(len(now.Past), mostPast-1)]...)
+		v.Version, v.PreviousPatch = now.Version+1, now.Patch
+		v.History = append([]PastChange{{now.ID, now.Version}}, now.History[:min(len(now.History), mostPast-1)]...)
 	}
 	stands := v.Version - 1
 	switch {
-	case c.From != nil && *c.From != stands:
+	case c.ExpectedVersion != nil && *c.ExpectedVersion != stands:
 		return now, Conflict, stands
-	case c.Back && (now == nil || now.Before == nil):
-		return now, Nothing, stands
-	case c.Back:
-		v.Patch = now.Before
+	case c.Rollback && (now == nil || now.PreviousPatch == nil):
+		return now, NothingToRollBack, stands
+	case c.Rollback:
+		v.Patch = now.PreviousPatch
 	}
 	return &v, Chosen, v.Version
 }
@@ -103,33 +103,33 @@
 }
 
 // Promise answers a ballot: yes, and what was accepted before it; or no, and the ballot that is in the way.
-type Promise struct {
-	Yes      bool   `json:"yes"`
+type Reply struct {
+	Granted  bool   `json:"yes"`
 	Promised Ballot `json:"promised"`
 	Accepted Ballot `json:"accepted"`
 	Value    *Value `json:"value,omitempty"`
 }
 
 // Prepare promises to accept nothing of an earlier ballot. One that comes twice is answered twice.
-func (r *Register) Prepare(b Ballot) Promise {
+func (r *Register) Prepare(b Ballot) Reply {
 	if b.Compare(r.Promised) < 0 {
-		return Promise{Promised: r.Promised}
+		return Reply{Promised: r.Promised}
 	}
 	r.Promised = b
-	return Promise{Yes: true, Promised: b, Accepted: r.Accepted, Value: r.Value}
+	return Reply{Granted: true, Promised: b, Accepted: r.Accepted, Value: r.Value}
 }
 
 // Accept takes a value, unless a later ballot has its promise.
-func (r *Register) Accept(b Ballot, v *Value) Promise {
+func (r *Register) Accept(b Ballot, v *Value) Reply {
 	if b.Compare(r.Promised) < 0 {
-		return Promise{Promised: r.Promised}
+		return Reply{Promised: r.Promised}
 	}
 	r.Promised, r.Accepted, r.Value = b, b, v
-	return Promise{Yes: true, Promised: b}
+	return Reply{Granted: true, Promised: b}
 }
 
 // Merge takes a chosen value in place of an older one.
-func Merge(known map[Key]*Value, v *Value) bool {
+func MergeNewer(known map[Key]*Value, v *Value) bool {
 	if now := known[v.Key]; now != nil && now.Version >= v.Version {
 		return false
 	}
@@ -138,6 +138,6 @@
 }
 
 // Same says that two values are one.
-func Same(a, b *Value) bool {
+func Equal(a, b *Value) bool {
 	return a.Key == b.Key && a.Version == b.Version && a.ID == b.ID && bytes.Equal(a.Patch, b.Patch)
 }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -40,11 +40,11 @@
 
 // ReplicaOptions say who a replica is.
 type ReplicaOptions struct {
-	Number int      // of this one among Peers
-	Peers  []string // addresses of all, this one's among them, the same at each
-	Dir    string   // where registers are kept
+	Index    int      // of this one among Peers
+	Replicas []string // addresses of all, this one's among them, the same at each
+	Dir      string   // where registers are kept
 	// Check says what is wrong with a change before it is proposed; nil: nothing is looked at.
-	Check func(*Change) error
+	Validate func(*Change) error
 	// Dial opens a connection to another replica; nil: net's.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -58,19 +58,19 @@
 
 // Report is what a node says that it runs.
 type Report struct {
-	Node    string          `json:"node"`
-	Number  uint64          `json:"number"` // counts what a process has had to say
-	Life    string          `json:"life"`   // of its process
-	Zone    int             `json:"zone"`
-	Keys    []Key           `json:"keys"`
-	Runs    map[Key]Version `json:"runs"`
-	Refused map[Key]Refusal `json:"refused,omitempty"`
+	Node        string          `json:"node"`
+	Sequence    uint64          `json:"number"` // counts what a process has had to say
+	Incarnation string          `json:"life"`   // of its process
+	Zone        int             `json:"zone"`
+	Keys        []Key           `json:"keys"`
+	Applied     map[Key]Version `json:"runs"`
+	Refused     map[Key]Refusal `json:"refused,omitempty"`
 }
 
 // Refusal is a version that a node has not taken over, and why.
 type Refusal struct {
 	Version Version `json:"version"`
-	Why     string  `json:"why"`
+	Reason  string  `json:"why"`
 }
 
 // reported is a report and when it came.
@@ -167,12 +167,12 @@
 }
 
 // change does something to a register, and keeps it before anybody hears of it. What can't be kept has not happened.
-func (r *Replica) change(key Key, do func(*Register) Promise) (Promise, error) {
+func (r *Replica) change(key Key, do func(*Register) Reply) (Reply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	of, err := r.register(key)
 	if err != nil {
-		return Promise{}, err
+		return Reply{}, err
 	}
 	before := *of
 	p := do(of)
@@ -180,7 +180,7 @@
 		if err := r.save(key); err != nil {
 			*of = before
 			r.log.Error().Err(err).Str("key", string(key)).Msg("register not kept")
-			return Promise{}, err
+			return Reply{}, err
 		}
 	}
 	return p, nil
@@ -190,7 +190,7 @@
 func (r *Replica) take(v *Value) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, err := r.register(v.Key); err != nil || !Merge(r.chosen, v) {
+	if _, err := r.register(v.Key); err != nil || !MergeNewer(r.chosen, v) {
 		return
 	}
 	if err := r.save(v.Key); err != nil {
@@ -234,30 +234,30 @@
 func (r *Replica) round(ctx context.Context, c *Change) (*Round, error) {
 	var b Ballot
 	// Danger: a round's number is used once. The replica promises it to itself, on disk, before anybody else hears of it.
-	own, err := r.change(c.Key, func(of *Register) Promise {
-		b = Ballot{Round: of.Promised.Round + 1, Replica: r.options.Number}
+	own, err := r.change(c.Key, func(of *Register) Reply {
+		b = Ballot{Round: of.Promised.Round + 1, Replica: r.options.Index}
 		return of.Prepare(b)
 	})
 	if err != nil {
 		return nil, err
 	}
-	round := NewRound(b, c, len(r.options.Peers))
-	round.Promised(r.options.Number, own)
-	r.phase(ctx, round, preparing, "prepare", message{Key: c.Key, Ballot: b}, round.Promised)
+	round := NewRound(b, c, len(r.options.Replicas))
+	round.HandlePrepareReply(r.options.Index, own)
+	r.phase(ctx, round, preparing, "prepare", message{Key: c.Key, Ballot: b}, round.HandlePrepareReply)
 	// Danger: a later ballot seen anywhere is this replica's next one, or it would be overtaken for ever.
 	defer func() {
 		if round.at == overtaken {
-			r.change(c.Key, func(of *Register) Promise { return of.Prepare(Ballot{Round: round.latest.Round, Replica: -1}) })
+			r.change(c.Key, func(of *Register) Reply { return of.Prepare(Ballot{Round: round.latest.Round, Replica: -1}) })
 		}
 	}()
 	if round.at != accepting {
 		return round, nil
 	}
-	if own, err = r.change(c.Key, func(of *Register) Promise { return of.Accept(b, round.value) }); err != nil {
+	if own, err = r.change(c.Key, func(of *Register) Reply { return of.Accept(b, round.value) }); err != nil {
 		return nil, err
 	}
-	round.Accepted(r.options.Number, own)
-	r.phase(ctx, round, accepting, "accept", message{Key: c.Key, Ballot: b, Value: round.value}, round.Accepted)
+	round.HandleAcceptReply(r.options.Index, own)
+	r.phase(ctx, round, accepting, "accept", message{Key: c.Key, Ballot: b, Value: round.value}, round.HandleAcceptReply)
 	return round, nil
 }
 
@@ -269,24 +269,24 @@
 }
 
 // phase asks the other replicas side by side, and takes their answers as they come.
-func (r *Replica) phase(ctx context.Context, round *Round, while phase, what string, m message, take func(int, Promise)) {
+func (r *Replica) phase(ctx context.Context, round *Round, while phase, what string, m message, take func(int, Reply)) {
 	ctx, cancel := context.WithTimeout(ctx, phaseWait)
 	defer cancel()
 	type answer struct {
 		from int
-		Promise
+		Reply
 		err error
 	}
-	answers := make(chan answer, len(r.options.Peers))
+	answers := make(chan answer, len(r.options.Replicas))
 	asked := 0
-	for i, addr := range r.options.Peers {
-		if i == r.options.Number {
+	for i, addr := range r.options.Replicas {
+		if i == r.options.Index {
 			continue
 		}
 		asked++
 		go func() {
 			a := answer{from: i}
-			a.err = r.ask(ctx, addr, "/"+what, m, &a.Promise)
+			a.err = r.ask(ctx, addr, "/"+what, m, &a.Reply)
 			answers <- a
 		}()
 	}
@@ -294,7 +294,7 @@
 		select {
 		case a := <-answers:
 			if a.err == nil {
-				take(a.from, a.Promise)
+				take(a.from, a.Reply)
 			}
 		case <-ctx.Done():
 			return
@@ -328,8 +328,8 @@
 
 // pass tells the other replicas something, and waits for none of them: what is chosen and missed they find by sync, a report comes again.
 func (r *Replica) pass(path string, what any) {
-	for i, addr := range r.options.Peers {
-		if i != r.options.Number {
+	for i, addr := range r.options.Replicas {
+		if i != r.options.Index {
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), phaseWait)
 				defer cancel()
@@ -368,22 +368,22 @@
 func (r *Replica) Run(ctx context.Context) {
 	ticker := time.NewTicker(syncEvery)
 	defer ticker.Stop()
-	for turn := r.options.Number; ; turn++ {
+	for turn := r.options.Index; ; turn++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		peer := turn % len(r.options.Peers)
-		if peer == r.options.Number {
+		peer := turn % len(r.options.Replicas)
+		if peer == r.options.Index {
 			continue
 		}
 		held := r.held()
 		var more []*Value
 		asked, cancel := context.WithTimeout(ctx, phaseWait)
-		err := r.ask(asked, r.options.Peers[peer], "/sync", synced{Digest: digest(held)}, &more)
+		err := r.ask(asked, r.options.Replicas[peer], "/sync", synced{Digest: digest(held)}, &more)
 		if err == nil && more == nil { // it holds something else
-			err = r.ask(asked, r.options.Peers[peer], "/sync", synced{Held: held, Digest: digest(held)}, &more)
+			err = r.ask(asked, r.options.Replicas[peer], "/sync", synced{Held: held, Digest: digest(held)}, &more)
 		}
 		cancel()
 		if err == nil {
@@ -412,7 +412,7 @@
 		write(w, r.State())
 	case "POST /prepare", "POST /accept":
 		handle(w, q, func(m *message) (any, error) {
-			return r.change(m.Key, func(of *Register) Promise {
+			return r.change(m.Key, func(of *Register) Reply {
 				if q.URL.Path == "/prepare" {
 					return of.Prepare(m.Ballot)
 				}
@@ -478,10 +478,10 @@
 }
 
 // Answer is what an operator is told of a change.
-type Answer struct {
+type ChangeResponse struct {
 	Verdict Verdict `json:"verdict,omitempty"`
 	Version Version `json:"version"`
-	Why     string  `json:"why,omitempty"`
+	Reason  string  `json:"why,omitempty"`
 }
 
 // asked is a change that an operator asks for: 200 where it is in force, 409 where another version stands, 400 where it is faulty, 503 without
@@ -490,32 +490,32 @@
 	var c Change
 	decoder := json.NewDecoder(q.Body)
 	decoder.DisallowUnknownFields()
-	refuse := func(status int, a Answer) {
+	refuse := func(status int, a ChangeResponse) {
 		w.WriteHeader(status)
 		write(w, a)
 	}
 	if err := decoder.Decode(&c); err != nil {
-		refuse(http.StatusBadRequest, Answer{Why: "not understood: " + err.Error()})
+		refuse(http.StatusBadRequest, ChangeResponse{Reason: "not understood: " + err.Error()})
 		return
 	}
 	if err := c.check(); err != nil {
-		refuse(http.StatusBadRequest, Answer{Why: err.Error()})
+		refuse(http.StatusBadRequest, ChangeResponse{Reason: err.Error()})
 		return
 	}
-	if r.options.Check != nil && !c.Back {
-		if err := r.options.Check(&c); err != nil {
-			refuse(http.StatusBadRequest, Answer{Why: err.Error()})
+	if r.options.Validate != nil && !c.Rollback {
+		if err := r.options.Validate(&c); err != nil {
+			refuse(http.StatusBadRequest, ChangeResponse{Reason: err.Error()})
 			return
 		}
 	}
 	verdict, version, err := r.Propose(q.Context(), &c)
 	switch {
 	case err != nil:
-		refuse(http.StatusServiceUnavailable, Answer{Why: err.Error()})
-	case verdict == Conflict || verdict == Nothing:
-		refuse(http.StatusConflict, Answer{Verdict: verdict, Version: version})
+		refuse(http.StatusServiceUnavailable, ChangeResponse{Reason: err.Error()})
+	case verdict == Conflict || verdict == NothingToRollBack:
+		refuse(http.StatusConflict, ChangeResponse{Verdict: verdict, Version: version})
 	default:
-		write(w, Answer{Verdict: verdict, Version: version})
+		write(w, ChangeResponse{Verdict: verdict, Version: version})
 	}
 }
 
@@ -529,7 +529,7 @@
 		return errors.New("the change has no id, or one of over 64 bytes")
 	case len(c.Patch) > mostPatch:
 		return fmt.Errorf("the patch has %d bytes, over %d", len(c.Patch), mostPatch)
-	case c.Back == (len(c.Patch) > 0):
+	case c.Rollback == (len(c.Patch) > 0):
 		return errors.New("a change has a patch, or goes back")
 	}
 	return nil
@@ -539,13 +539,13 @@
 func (r *Replica) heard(p *Report) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.Node == "" || len(p.Runs)+len(p.Refused)+len(p.Keys) > 16 {
+	if p.Node == "" || len(p.Applied)+len(p.Refused)+len(p.Keys) > 16 {
 		return errors.New("no report")
 	}
 	if len(r.reports) >= mostReports && r.reports[p.Node] == nil {
 		return errFull
 	}
-	if was := r.reports[p.Node]; was != nil && was.Life == p.Life && was.Number > p.Number {
+	if was := r.reports[p.Node]; was != nil && was.Incarnation == p.Incarnation && was.Sequence > p.Sequence {
 		return nil // it comes by another replica, and late
 	}
 	r.reports[p.Node] = &reported{*p, time.Now()}
@@ -595,7 +595,7 @@
 		var out []byte
 		for _, v := range news {
 			slim := *v
-			slim.Before, slim.Past = nil, nil
+			slim.PreviousPatch, slim.History = nil, nil
 			line, err := json.Marshal(&slim)
 			if err != nil {
 				return
@@ -627,8 +627,8 @@
 }
 
 // State is what a replica knows, for operators.
-type State struct {
-	Number   int          `json:"number"`
+type ReplicaState struct {
+	Index    int          `json:"number"`
 	Watchers int          `json:"watchers"`
 	Values   []*Value     `json:"values"`
 	Nodes    []NodeReport `json:"nodes"`
@@ -641,10 +641,10 @@
 }
 
 // State gives what the replica knows now, by key and by node.
-func (r *Replica) State() *State {
+func (r *Replica) State() *ReplicaState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &State{Number: r.options.Number, Watchers: r.watchers, Values: []*Value{}, Nodes: []NodeReport{}}
+	s := &ReplicaState{Index: r.options.Index, Watchers: r.watchers, Values: []*Value{}, Nodes: []NodeReport{}}
 	for _, key := range slices.Sorted(maps.Keys(r.chosen)) {
 		s.Values = append(s.Values, r.chosen[key])
 	}
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -95,7 +95,7 @@
 
 func (r *rig) start(i int, l net.Listener) {
 	var err error
-	r.replicas[i], err = NewReplica(ReplicaOptions{Number: i, Peers: r.addrs, Dir: r.dirs[i], Dial: r.dial(i)}, zerolog.Nop())
+	r.replicas[i], err = NewReplica(ReplicaOptions{Index: i, Replicas: r.addrs, Dir: r.dirs[i], Dial: r.dial(i)}, zerolog.Nop())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -211,13 +211,13 @@
 			all.Go(func() {
 				id := fmt.Sprint(name, i)
 				for { // contention may ask for patience
-					verdict, version, err := r.propose(i%3, Change{ID: id, From: from, Patch: patch("info")})
+					verdict, version, err := r.propose(i%3, Change{ID: id, ExpectedVersion: from, Patch: patch("info")})
 					if err != nil {
 						continue
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					if verdict == Chosen || verdict == Known {
+					if verdict == Chosen || verdict == AlreadyChosen {
 						if was, taken := seen[version]; taken {
 							t.Errorf("version %d is %s and %s", version, was, id)
 						}
@@ -251,13 +251,13 @@
 	}
 	r.await("all", 2, "two")
 	// A promise alone, to a ballot of which nothing more is heard, has to outlive the process too.
-	if _, err := r.replicas[1].change("all", func(of *Register) Promise { return of.Prepare(Ballot{Round: 99, Replica: 2}) }); err != nil {
+	if _, err := r.replicas[1].change("all", func(of *Register) Reply { return of.Prepare(Ballot{Round: 99, Replica: 2}) }); err != nil {
 		t.Fatal(err)
 	}
 	before := *r.replicas[1].registers["all"]
 	r.stop(1)
 	r.again(1)
-	if after := *r.replicas[1].registers["all"]; after.Promised != before.Promised || after.Accepted != before.Accepted || !Same(after.Value, before.Value) {
+	if after := *r.replicas[1].registers["all"]; after.Promised != before.Promised || after.Accepted != before.Accepted || !Equal(after.Value, before.Value) {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
 	for i := range 3 { // all lose their power
@@ -266,7 +266,7 @@
 	for i := range 3 {
 		r.again(i)
 	}
-	if verdict, version, err := r.propose(2, Change{ID: "one"}); verdict != Known || version != 1 || err != nil {
+	if verdict, version, err := r.propose(2, Change{ID: "one"}); verdict != AlreadyChosen || version != 1 || err != nil {
 		t.Errorf("a change from before: %v %d %v", verdict, version, err)
 	}
 	paths, _ := filepath.Glob(filepath.Join(r.dirs[0], "*.json"))
@@ -276,7 +276,7 @@
 	if err := os.WriteFile(paths[0], []byte(`{"key": "al`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewReplica(ReplicaOptions{Peers: r.addrs, Dir: r.dirs[0]}, zerolog.Nop()); err == nil || !strings.Contains(err.Error(), paths[0]) {
+	if _, err := NewReplica(ReplicaOptions{Replicas: r.addrs, Dir: r.dirs[0]}, zerolog.Nop()); err == nil || !strings.Contains(err.Error(), paths[0]) {
 		t.Errorf("a register that can't be read: %v", err)
 	}
 }
@@ -286,7 +286,7 @@
 func TestFollower(t *testing.T) {
 	r := newRig(t)
 	told := make(chan []*Value, 64)
-	f := NewFollower(FollowerOptions{Replicas: r.addrs, Keys: Keys("alpha", "n1"), Node: "n1", Life: "1", Seed: 7}, zerolog.Nop())
+	f := NewFollower(FollowerOptions{Replicas: r.addrs, Keys: NodeKeys("alpha", "n1"), Node: "n1", Incarnation: "1", Seed: 7}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx, func(all []*Value) { told <- all }); close(ended) }()
@@ -321,11 +321,11 @@
 	expect("its own", "service/alpha 1", "node/n1 1")
 	ask("all", "d")
 	expect("all nodes'", "all 1", "service/alpha 1", "node/n1 1")
-	f.Runs(map[Key]Version{"all": 1}, map[Key]Refusal{"node/n1": {1, "key tick"}})
+	f.ReportApplied(map[Key]Version{"all": 1}, map[Key]Refusal{"node/n1": {1, "key tick"}})
 	reported := func() (n NodeReport, at int, known bool) {
 		for i, one := range r.replicas {
 			for _, of := range one.State().Nodes {
-				if of.Node == "n1" && of.Runs["all"] == 1 && of.Refused["node/n1"].Why == "key tick" && one.State().Watchers > 0 {
+				if of.Node == "n1" && of.Applied["all"] == 1 && of.Refused["node/n1"].Reason == "key tick" && one.State().Watchers > 0 {
 					return of, i, true
 				}
 			}
@@ -346,7 +346,7 @@
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		know := 0
 		for _, one := range r.replicas {
-			if nodes := one.State().Nodes; len(nodes) == 1 && nodes[0].Runs["all"] == 1 {
+			if nodes := one.State().Nodes; len(nodes) == 1 && nodes[0].Applied["all"] == 1 {
 				know++
 			}
 		}
@@ -366,13 +366,13 @@
 			one.mu.Unlock()
 		}
 	}
-	for begun := time.Now(); f.Look().Replica == "" || f.Look().Replica == r.addrs[at]; time.Sleep(10 * time.Millisecond) {
+	for begun := time.Now(); f.View().Replica == "" || f.View().Replica == r.addrs[at]; time.Sleep(10 * time.Millisecond) {
 		if time.Since(begun) > 10*time.Second {
 			t.Fatal("it watches no other replica")
 		}
 	}
-	if look := f.Look(); look.Told["all"] != 1 || look.Told["node/n1"] != 1 || len(told) > 0 {
-		t.Errorf("it went back: %v", look.Told)
+	if look := f.View(); look.Received["all"] != 1 || look.Received["node/n1"] != 1 || len(told) > 0 {
+		t.Errorf("it went back: %v", look.Received)
 	}
 	other := (at + 1) % 3
 	if _, version, err := r.replicas[other].Propose(t.Context(), &Change{Key: "all", ID: "e", Patch: patch("warn")}); version != 2 || err != nil {
--- a/internal/store/round.go
+++ b/internal/store/round.go
@@ -24,7 +24,7 @@
 	change   *Change
 	replicas int
 	at       phase
-	promised map[int]Promise
+	promised map[int]Reply
 	accepted map[int]bool
 	refused  map[int]bool
 	latest   Ballot // the highest that was in the way
@@ -35,7 +35,7 @@
 
 // NewRound begins with a ballot that its replica has never used.
 func NewRound(b Ballot, c *Change, replicas int) *Round {
-	return &Round{Ballot: b, change: c, replicas: replicas, promised: map[int]Promise{}, accepted: map[int]bool{}, refused: map[int]bool{}}
+	return &Round{Ballot: b, change: c, replicas: replicas, promised: map[int]Reply{}, accepted: map[int]bool{}, refused: map[int]bool{}}
 }
 
 func (r *Round) majority() int { return r.replicas/2 + 1 }
@@ -52,11 +52,11 @@
 }
 
 // Promised takes a replica's answer to the ballot.
-func (r *Round) Promised(from int, p Promise) {
+func (r *Round) HandlePrepareReply(from int, p Reply) {
 	if _, known := r.promised[from]; known || r.refused[from] || r.at != preparing {
 		return
 	}
-	if !p.Yes {
+	if !p.Granted {
 		r.refuse(from, p.Promised)
 		return
 	}
@@ -65,13 +65,13 @@
 		return
 	}
 	// Danger: of what was accepted before, the latest may have been chosen; any other must give way to it.
-	var best Promise
+	var best Reply
 	for _, p := range r.promised {
 		if p.Value != nil && (best.Value == nil || p.Accepted.Compare(best.Accepted) > 0) {
 			best = p
 		}
 	}
-	r.value, r.verdict, r.version = Next(best.Value, r.change)
+	r.value, r.verdict, r.version = NextValue(best.Value, r.change)
 	r.at, r.refused = accepting, map[int]bool{}
 	if r.value == nil { // nothing stands, and the change makes nothing
 		r.at = done
@@ -79,11 +79,11 @@
 }
 
 // Accepted takes a replica's answer to the value.
-func (r *Round) Accepted(from int, p Promise) {
+func (r *Round) HandleAcceptReply(from int, p Reply) {
 	if r.accepted[from] || r.refused[from] || r.at != accepting {
 		return
 	}
-	if !p.Yes {
+	if !p.Granted {
 		r.refuse(from, p.Promised)
 		return
 	}
--- a/internal/store/round_test.go
+++ b/internal/store/round_test.go
@@ -73,7 +73,7 @@
 				p := w.disks[to].Accept(b, v)
 				w.send(to, at, func() {
 					if was := r.at; alive() {
-						if r.Accepted(to, p); was != done && r.at == done {
+						if r.HandleAcceptReply(to, p); was != done && r.at == done {
 							w.choose(at, r)
 						}
 					}
@@ -81,7 +81,7 @@
 			})
 		}
 	}
-	r.Promised(at, w.disks[at].Prepare(b)) // its own first, or the round's number could be used again
+	r.HandlePrepareReply(at, w.disks[at].Prepare(b)) // its own first, or the round's number could be used again
 	for to := range w.disks {
 		if to == at {
 			continue
@@ -90,7 +90,7 @@
 			p := w.disks[to].Prepare(b)
 			w.send(to, at, func() {
 				if was := r.at; alive() {
-					if r.Promised(to, p); was == preparing && r.at == accepting {
+					if r.HandlePrepareReply(to, p); was == preparing && r.at == accepting {
 						accept()
 					}
 				}
@@ -106,12 +106,12 @@
 	if r.value == nil {
 		return
 	}
-	if was := w.chosen[r.value.Version]; was != nil && !Same(was, r.value) {
+	if was := w.chosen[r.value.Version]; was != nil && !Equal(was, r.value) {
 		w.fault = fmt.Sprintf("version %d is %s and %s", r.value.Version, was.ID, r.value.ID)
 	}
 	w.chosen[r.value.Version] = r.value
-	Merge(w.committed[at], r.value)
-	if r.verdict == Chosen || r.verdict == Known {
+	MergeNewer(w.committed[at], r.value)
+	if r.verdict == Chosen || r.verdict == AlreadyChosen {
 		if was, known := w.told[r.change.ID]; known && was != r.version {
 			w.fault = fmt.Sprintf("%s was told as %d and %d", r.change.ID, was, r.version)
 		}
@@ -127,11 +127,11 @@
 		c := &Change{Key: "all", ID: fmt.Sprintf("c%d", max(0, i-w.rng.IntN(mostPast/2))), Patch: json.RawMessage(fmt.Sprint(i))}
 		if w.rng.IntN(3) == 0 {
 			from := Version(w.rng.IntN(8))
-			c.From = &from
+			c.ExpectedVersion = &from
 		}
 		c.Patch = json.RawMessage(`"` + c.ID + `"`) // the same change says the same
 		if v := w.committed[at]["all"]; v != nil && w.rng.IntN(4) == 0 {
-			c.From = &v.Version
+			c.ExpectedVersion = &v.Version
 		}
 		w.propose(at, c)
 		switch w.rng.IntN(12) {
@@ -163,15 +163,15 @@
 		for w.step() {
 		}
 		never := Version(1 << 40)
-		c := &Change{Key: "all", ID: "last", From: &never}
+		c := &Change{Key: "all", ID: "last", ExpectedVersion: &never}
 		b := Ballot{Round: w.disks[0].Promised.Round + 1 + uint64(try), Replica: 0}
 		last = NewRound(b, c, replicas)
 		for to := range w.disks {
-			last.Promised(to, w.disks[to].Prepare(b))
+			last.HandlePrepareReply(to, w.disks[to].Prepare(b))
 		}
 		if last.at == accepting {
 			for to := range w.disks {
-				last.Accepted(to, w.disks[to].Accept(b, last.value))
+				last.HandleAcceptReply(to, w.disks[to].Accept(b, last.value))
 			}
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 	for _, v := range w.chosen {
 		note(v.Version, v.ID)
-		for _, p := range v.Past {
+		for _, p := range v.History {
 			note(p.Version, p.ID)
 		}
 	}
@@ -206,7 +206,7 @@
 		}
 	}
 	for v := Version(1); last.value != nil && v <= last.value.Version; v++ {
-		if c := w.chosen[v]; c != nil && v > 1 && w.chosen[v-1] != nil && string(c.Before) != string(w.chosen[v-1].Patch) {
+		if c := w.chosen[v]; c != nil && v > 1 && w.chosen[v-1] != nil && string(c.PreviousPatch) != string(w.chosen[v-1].Patch) {
 			return fmt.Sprintf("version %d does not follow on %d", v, v-1)
 		}
 	}
@@ -232,8 +232,8 @@
 // What a change makes of what stands, case by case.
 func TestNext(t *testing.T) {
 	version := func(v Version) *Version { return &v }
-	first, _, _ := Next(nil, &Change{Key: "all", ID: "a", Patch: json.RawMessage(`1`)})
-	second, _, _ := Next(first, &Change{Key: "all", ID: "b", Patch: json.RawMessage(`2`)})
+	first, _, _ := NextValue(nil, &Change{Key: "all", ID: "a", Patch: json.RawMessage(`1`)})
+	second, _, _ := NextValue(first, &Change{Key: "all", ID: "b", Patch: json.RawMessage(`2`)})
 	for name, c := range map[string]struct {
 		now     *Value
 		change  Change
@@ -243,17 +243,17 @@
 	}{
 		"the first":                       {nil, Change{ID: "a", Patch: json.RawMessage(`1`)}, Chosen, 1, "1"},
 		"one after it":                    {first, Change{ID: "b", Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"from the version that stands":    {first, Change{ID: "b", From: version(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
-		"two at once: the second":         {second, Change{ID: "c", From: version(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
-		"from a version that never was":   {nil, Change{ID: "c", From: version(4)}, Conflict, 0, ""},
-		"the same twice":                  {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, Known, 2, "2"},
-		"the same again, after another":   {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, Known, 1, "2"},
-		"the way back":                    {second, Change{ID: "d", Back: true}, Chosen, 3, "1"},
-		"no way back from the first":      {first, Change{ID: "d", Back: true}, Nothing, 1, "1"},
-		"no way back from nothing":        {nil, Change{ID: "d", Back: true}, Nothing, 0, ""},
-		"the way back, and another since": {second, Change{ID: "d", Back: true, From: version(1)}, Conflict, 2, "2"},
+		"from the version that stands":    {first, Change{ID: "b", ExpectedVersion: version(1), Patch: json.RawMessage(`2`)}, Chosen, 2, "2"},
+		"two at once: the second":         {second, Change{ID: "c", ExpectedVersion: version(1), Patch: json.RawMessage(`3`)}, Conflict, 2, "2"},
+		"from a version that never was":   {nil, Change{ID: "c", ExpectedVersion: version(4)}, Conflict, 0, ""},
+		"the same twice":                  {second, Change{ID: "b", Patch: json.RawMessage(`2`)}, AlreadyChosen, 2, "2"},
+		"the same again, after another":   {second, Change{ID: "a", Patch: json.RawMessage(`1`)}, AlreadyChosen, 1, "2"},
+		"the way back":                    {second, Change{ID: "d", Rollback: true}, Chosen, 3, "1"},
+		"no way back from the first":      {first, Change{ID: "d", Rollback: true}, NothingToRollBack, 1, "1"},
+		"no way back from nothing":        {nil, Change{ID: "d", Rollback: true}, NothingToRollBack, 0, ""},
+		"the way back, and another since": {second, Change{ID: "d", Rollback: true, ExpectedVersion: version(1)}, Conflict, 2, "2"},
 	} {
-		got, verdict, at := Next(c.now, &c.change)
+		got, verdict, at := NextValue(c.now, &c.change)
 		patch := ""
 		if got != nil {
 			patch = string(got.Patch)
@@ -264,9 +264,9 @@
 	}
 	v := first
 	for i := range 3 * mostPast {
-		v, _, _ = Next(v, &Change{ID: fmt.Sprint(i)})
+		v, _, _ = NextValue(v, &Change{ID: fmt.Sprint(i)})
 	}
-	if len(v.Past) != mostPast {
-		t.Errorf("%d past changes are kept", len(v.Past))
+	if len(v.History) != mostPast {
+		t.Errorf("%d past changes are kept", len(v.History))
 	}
 }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -26,23 +26,23 @@
 }
 
 var (
-	safe   = Category{Benefit: 10, Target: Second, TTL: 3 * Second}
-	plain  = Category{Benefit: 1, Target: Second, TTL: 3 * Second}
-	once   = Category{Benefit: 10, Target: Second, TTL: 3 * Second, Repeat: AtMostOnce}
-	inCell = Category{Benefit: 10, Target: Second, TTL: 3 * Second, Repeat: Deduplicated, Scope: ScopeCell,
-		Window: 600 * Millisecond}
-	warming = ColdRule{From: 0.25, Warm: 8 * Second, Factor: 2, Window: Second}
+	safe   = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second}
+	plain  = Category{Benefit: 1, TargetLatency: Second, TTL: 3 * Second}
+	once   = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second, Delivery: AtMostOnce}
+	inCell = Category{Benefit: 10, TargetLatency: Second, TTL: 3 * Second, Delivery: Deduplicated, DedupScope: DedupScopeCell,
+		DedupWindow: 600 * Millisecond}
+	warming = ColdStartRule{InitialShare: 0.25, WarmUpTime: 8 * Second, OverloadFactor: 2, OverloadWindow: Second}
 )
 
 func start(t *testing.T, reg RegistryRule, kinds ...Category) *script {
-	place := Place{Tiers: 1, Nodes: 2, Number: 1, Tick: 5 * Millisecond}
-	push := PushRule{Max: 4, Cancel: true, Duplicate: true, Dial: 100 * Millisecond, RetryAfter: Second}
+	place := Topology{TierCount: 1, NodeCount: 2, NodeNumber: 1, ClockTick: 5 * Millisecond}
+	push := PushLimits{MaxPushes: 4, MayCancel: true, MayDuplicate: true, DialTimeout: 100 * Millisecond, MaxRetryAfter: Second}
 	return &script{T: t, node: New(1, place, kinds, push, warming, reg), now: Second, last: 1000,
 		to: map[string]ServerID{}}
 }
 
 // many makes the node one of so many that runs overlap; call it before the first list.
-func (s *script) many() { s.node.place.Nodes, s.node.place.Number = 10, 5 }
+func (s *script) many() { s.node.place.NodeCount, s.node.place.NodeNumber = 10, 5 }
 
 // roomy lets each server hold any number of pushes, as after long use at that.
 func (s *script) roomy() {
@@ -52,9 +52,9 @@
 }
 
 // servers is a list of ready servers a, b, ..., spread over three cells.
-func servers(n int) (list []Entry) {
+func servers(n int) (list []ListEntry) {
 	for i := range n {
-		list = append(list, Entry{Server: ServerID(i + 1), Weight: 1, Cell: CellID(i % 3)})
+		list = append(list, ListEntry{Server: ServerID(i + 1), Weight: 1, Cell: CellID(i % 3)})
 	}
 	return list
 }
@@ -71,20 +71,20 @@
 		switch e.Kind {
 		case Push:
 			s.to[fmt.Sprint(e.Op)] = e.Server
-			s.note("  push op %d to %s for %.1f", e.Op, name(e.Server), float64(e.For)/1000)
+			s.note("  push op %d to %s for %.1f", e.Op, name(e.Server), float64(e.Duration)/1000)
 		case Nack:
-			s.note("  nack op %d, back in %.0f", e.Op, float64(e.For)/1000)
+			s.note("  nack op %d, back in %.0f", e.Op, float64(e.Duration)/1000)
 		case DeadLetter:
 			s.note("  dead letter op %d", e.Op)
 		case Cancel:
 			s.note("  cancel op %d push %d", e.Op, e.Push)
-		case Wake:
+		case SetTimer:
 			s.wakes = append(s.wakes, e)
-		case Watch:
+		case WatchRegistry:
 			s.note("  watch the registry")
-		case Close:
+		case CloseIdle:
 			s.note("  close idle connections to %s", name(e.Server))
-		case Tell:
+		case SendToPeer:
 			told++
 		case Log:
 			s.note("  log: %s", e.Text)
@@ -95,45 +95,45 @@
 	}
 }
 
-func (s *script) list(form ListForm, entries []Entry) {
+func (s *script) list(form ListForm, entries []ListEntry) {
 	var text []string
 	for _, e := range entries {
 		text = append(text, name(e.Server)+[]string{"", " draining", " gone"}[e.State])
 	}
 	s.note("list %s: %s", []string{"changes", "whole", "cached", "failed", "weighed"}[form], strings.Join(text, ", "))
-	s.step(Input{Kind: ListCame, Form: form, List: entries})
+	s.step(Input{Kind: ListReceived, Form: form, List: entries})
 }
 
 func (s *script) op(id OpID, category CategoryID) {
 	s.note("op %d of category %d", id, category)
-	s.step(Input{Kind: OpArrived, Op: id, Category: category, NotAfter: s.now + 2*Second})
+	s.step(Input{Kind: OpArrived, Op: id, Category: category, Deadline: s.now + 2*Second})
 }
 
-func (s *script) end(id OpID, push PushNo, how Outcome) {
+func (s *script) end(id OpID, push PushNumber, how Outcome) {
 	s.note("op %d push %d %s", id, push, []string{"acked", "errored", "full", "timed out", "failed to connect",
 		"reset", "cancelled", "moot"}[how])
 	s.step(Input{Kind: PushEnded, Op: id, Push: push, Server: s.to[fmt.Sprint(id)], Outcome: how,
-		Took: 50 * Millisecond, Settled: how == Acked})
+		Latency: 50 * Millisecond, OpSettled: how == Acked})
 }
 
 // ack ends an op's first push after so long.
 func (s *script) ack(id OpID, took Micros) {
-	s.step(Input{Kind: PushEnded, Op: id, Server: s.to[fmt.Sprint(id)], Outcome: Acked, Took: took, Settled: true})
+	s.step(Input{Kind: PushEnded, Op: id, Server: s.to[fmt.Sprint(id)], Outcome: Acked, Latency: took, OpSettled: true})
 }
 
 // wait lets time pass and fires the timers that fall due.
 func (s *script) wait(span Micros) {
 	until := s.now + span
 	for {
-		slices.SortStableFunc(s.wakes, func(a, b Effect) int { return int(a.At - b.At) })
-		if len(s.wakes) == 0 || s.wakes[0].At > until {
+		slices.SortStableFunc(s.wakes, func(a, b Effect) int { return int(a.TimerAt - b.TimerAt) })
+		if len(s.wakes) == 0 || s.wakes[0].TimerAt > until {
 			s.now = until
 			return
 		}
 		w := s.wakes[0]
 		s.wakes = s.wakes[1:]
-		s.now = w.At
-		s.step(Input{Kind: Woken, Token: w.Token})
+		s.now = w.TimerAt
+		s.step(Input{Kind: TimerFired, Token: w.Token})
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -145,9 +145,9 @@
 }
 
 // warmth is the share of its capacity that the server surely has by now.
-func (s *server) warmth(now Micros, rule *ColdRule) float64 {
-	if age := max(0, now-s.Started); s.Started > 0 && age < rule.Warm {
-		return rule.From + (1-rule.From)*float64(age)/float64(rule.Warm)
+func (s *server) warmth(now Micros, rule *ColdStartRule) float64 {
+	if age := max(0, now-s.StartedAt); s.StartedAt > 0 && age < rule.WarmUpTime {
+		return rule.InitialShare + (1-rule.InitialShare)*float64(age)/float64(rule.WarmUpTime)
 	}
 	return 1
 }
@@ -156,14 +156,14 @@
 // one small service: calls are spread at random and back off.
 func (r *registry) heard(now Micros, form ListForm, rng *rand.Rand) {
 	switch {
-	case !r.Ask || form == ListWeighed:
+	case !r.MustSubscribe || form == ListReweighted:
 	case form == ListCached:
-		r.next, r.wait = now+1+Micros(rng.Float64()*float64(r.Within/8)), r.Within/16
+		r.next, r.wait = now+1+Micros(rng.Float64()*float64(r.SubscribeWithin/8)), r.SubscribeWithin/16
 	case form == ListFailed:
 		r.next = now + 1 + Micros((1.0/2+rng.Float64())*float64(r.wait))
-		r.wait = min(2*r.wait, r.Within/2)
+		r.wait = min(2*r.wait, r.SubscribeWithin/2)
 	default:
-		r.next, r.wait = 0, r.Within/16
+		r.next, r.wait = 0, r.SubscribeWithin/16
 	}
 }
 
@@ -191,12 +191,12 @@
 var neverRan = [...]bool{Full: true, ConnectFailed: true, Moot: true} // the outcomes that prove it
 
 // New starts a node that knows no server yet.
-func New(seed int64, place Place, kinds []Category, rule PushRule, cold ColdRule, reg RegistryRule) *Node {
-	rule.Max, place.Nodes = min(rule.Max, mostPushes), max(1, place.Nodes)
+func New(seed int64, place Topology, kinds []Category, rule PushLimits, cold ColdStartRule, reg RegistryRule) *Node {
+	rule.MaxPushes, place.NodeCount = min(rule.MaxPushes, mostPushes), max(1, place.NodeCount)
 	n := &Node{rng: rand.New(rand.NewSource(seed)), place: place, rule: rule, cold: cold, kinds: kinds,
 		registry: registry{RegistryRule: reg},
 		took:     make([]answers, len(kinds)), byID: map[ServerID]int32{}, byOp: map[OpID]int32{},
-		all: throttle{of: "all servers", target: target, interval: leakTicks * place.Tick}, again: 1 / againShare}
+		all: throttle{of: "all servers", target: target, interval: leakTicks * place.ClockTick}, again: 1 / againShare}
 	for i, c := range kinds {
 		// Danger: the first answers to come are the quick ones; time-outs from them alone cut off the rest.
 		start := float64(n.aim(CategoryID(i))) * 3 / 8
@@ -220,11 +220,11 @@
 		if p, found := n.byOp[in.Op]; found {
 			n.decide(&n.ops[p], [...]signal{OpAbandoned: leaves, StreamBegan: began}[in.Kind])
 		}
-	case ListCame:
+	case ListReceived:
 		n.follow(in)
-	case PeerSaid:
+	case PeerMessageReceived:
 		n.hear(in)
-	case Woken:
+	case TimerFired:
 		if n.now >= n.beatAt {
 			n.tick()
 		}
@@ -269,11 +269,11 @@
 	n.byOp[in.Op] = p
 	o.level, _ = slices.BinarySearch(n.levels, c.Benefit)
 	n.offered.add(n.now)
-	n.words = min(8*saidAnOp, n.words+saidAnOp*number(!in.Repeated))
-	o.allowed = uint8(1 + math.Ceil(float64(n.rule.Max-1)*c.Benefit/cmp.Or(n.levels[len(n.levels)-1], 1)))
-	o.last = in.NotAfter - 2*n.place.Tick
-	o.goal = min(n.now+c.Target-2*n.place.Tick, o.last)
-	if c.Late > 0 {
+	n.words = min(8*saidAnOp, n.words+saidAnOp*number(!in.ClientRetry))
+	o.allowed = uint8(1 + math.Ceil(float64(n.rule.MaxPushes-1)*c.Benefit/cmp.Or(n.levels[len(n.levels)-1], 1)))
+	o.last = in.Deadline - 2*n.place.ClockTick
+	o.goal = min(n.now+c.TargetLatency-2*n.place.ClockTick, o.last)
+	if c.LateBenefit > 0 {
 		o.goal = o.last // a late answer still has some benefit
 	} else if c.harmless() || n.place.Tier > 0 {
 		o.last = o.goal // Danger: failing late; the client may still try elsewhere in time
@@ -285,13 +285,13 @@
 func (n *Node) push(o *op) bool {
 	c, took := &n.kinds[o.category], &n.took[o.category]
 	// Danger: time-outs learned while all is lost would say that every op comes too late, for ever.
-	least := min(Micros(took.mean-took.dev), c.Target/2)
+	least := min(Micros(took.mean-took.dev), c.TargetLatency/2)
 	if o.pushes >= o.allowed || n.now+max(0, least) > o.goal {
 		return false
 	}
 	// Danger: further pushes that add work feed the overload that made them.
-	if o.risk > 0 && (n.again < 1 || c.Repeat == AtMostOnce ||
-		c.Repeat == Deduplicated && n.now >= o.risk+c.Window-n.place.Tick) {
+	if o.risk > 0 && (n.again < 1 || c.Delivery == AtMostOnce ||
+		c.Delivery == Deduplicated && n.now >= o.risk+c.DedupWindow-n.place.ClockTick) {
 		return false
 	}
 	i := n.pick(o)
@@ -299,20 +299,20 @@
 		return false
 	}
 	s, wait := &n.servers[i], o.last-n.now
-	if o.pushes+1 < o.allowed && c.Repeat != AtMostOnce {
-		wait = min(wait, max(Micros(took.mean+6*took.dev), n.rule.Dial))
+	if o.pushes+1 < o.allowed && c.Delivery != AtMostOnce {
+		wait = min(wait, max(Micros(took.mean+6*took.dev), n.rule.DialTimeout))
 	}
 	switch {
 	case o.risk > 0:
 		n.again--
 	case o.pushes == 0:
 		n.again = min(1/againShare, n.again+againShare)
-		n.emit(Effect{Kind: Wake, At: o.last + n.place.Tick, Token: Token(o.id)})
+		n.emit(Effect{Kind: SetTimer, TimerAt: o.last + n.place.ClockTick, Token: TimerToken(o.id)})
 	}
 	// Danger: a connection that has rested may be dropped unseen; what is sent on it is lost in silence.
 	o.rest = min(len(n.lost)-1, bits.Len64(uint64((n.now-s.ended)/beat)))
 	if s.held == 0 && n.lost[o.rest] > max(1.0/3, 3*n.lost[0]) {
-		n.emit(Effect{Kind: Close, Server: s.Server})
+		n.emit(Effect{Kind: CloseIdle, Server: s.Server})
 		learn(&n.lost[o.rest], 0, 4*shareMemory) // Danger: a trouble that is over would cost connections for ever
 		o.rest = 0
 	}
@@ -322,7 +322,7 @@
 	o.to[o.pushes], o.sent[o.pushes] = i, n.now
 	o.pushes++
 	o.out++
-	n.emit(Effect{Kind: Push, Op: o.id, Server: s.Server, For: max(1, wait)})
+	n.emit(Effect{Kind: Push, Op: o.id, Server: s.Server, Duration: max(1, wait)})
 	n.tell(s, said{what: saidPush})
 	return true
 }
@@ -333,7 +333,7 @@
 func (n *Node) pick(o *op) int32 {
 	c, run, most := &n.kinds[o.category], n.run, n.most()
 	// A repeat that is bound to its group may find a server there beyond this node's own.
-	if o.risk > 0 && c.Repeat == Deduplicated && c.Scope != ScopeAll {
+	if o.risk > 0 && c.Delivery == Deduplicated && c.DedupScope != DedupScopeAll {
 		run = n.ring
 	}
 	if !n.all.admit(n.now, o.level) {
@@ -383,7 +383,7 @@
 // full is what a server holds or, where others say what they push there, how long an op to come would wait;
 // most is how full one may be to get it, by the mean of the run's. Danger: all look dead; one may be back.
 func (n *Node) full(s *server) float64 {
-	if !n.place.Peers {
+	if !n.place.PeerMessaging {
 		return float64(s.held)
 	}
 	return (n.load(s) + 1) * s.pace
@@ -400,7 +400,7 @@
 	mean := sum / max(1, up)
 	if up == 0 {
 		return math.Inf(1)
-	} else if n.place.Peers {
+	} else if n.place.PeerMessaging {
 		return mean * (1 + 1e-9) // what all hold alike is not above its mean
 	}
 	return min(2*mean, mean+2)
@@ -414,8 +414,8 @@
 // may says whether a server is in the rotation for the op.
 func (n *Node) may(o *op, s *server, most float64) bool {
 	c := &n.kinds[o.category]
-	if n.full(s) > most || o.risk > 0 && c.Repeat == Deduplicated &&
-		(c.Scope == ScopeZone && s.Zone != o.zone || c.Scope == ScopeCell && s.Cell != o.cell) {
+	if n.full(s) > most || o.risk > 0 && c.Delivery == Deduplicated &&
+		(c.DedupScope == DedupScopeZone && s.Zone != o.zone || c.DedupScope == DedupScopeCell && s.Cell != o.cell) {
 		return false
 	}
 	if n.load(s) >= s.room {
@@ -424,7 +424,7 @@
 	}
 	// An op that cannot go again is not for trying a server out. Danger: where all are such, no other ever will.
 	if n.up > 0 && (s.down > n.now || s.failures > 0 &&
-		(s.held > 0 || c.Repeat == AtMostOnce && n.now-s.down < endAfter)) {
+		(s.held > 0 || c.Delivery == AtMostOnce && n.now-s.down < endAfter)) {
 		return false
 	}
 	// Danger: a cold server is pushed over by all nodes together, as its like are full or all are cold.
@@ -435,15 +435,15 @@
 
 // tell says what happened at a server to the nodes whose runs hold it.
 func (n *Node) tell(s *server, w said) {
-	if !n.place.Peers || s.State != Ready { // Danger: the last one drains, and there is no ring
+	if !n.place.PeerMessaging || s.State != Ready { // Danger: the last one drains, and there is no ring
 		return
 	}
 	w.server = fold(s.Server)
-	size, nodes, word := len(n.ring), n.place.Nodes, w.bytes()
+	size, nodes, word := len(n.ring), n.place.NodeCount, w.bytes()
 	for k := ((s.spot+size-n.narrow()+1)*nodes + size - 1) / size; k < ((s.spot+size+1)*nodes+size-1)/size; k++ {
-		if to := k % nodes; to != n.place.Number && n.words >= 1 {
+		if to := k % nodes; to != n.place.NodeNumber && n.words >= 1 {
 			n.words--
-			n.emit(Effect{Kind: Tell, Peer: to, Said: word})
+			n.emit(Effect{Kind: SendToPeer, PeerNumber: to, Message: word})
 		}
 	}
 }
@@ -451,7 +451,7 @@
 // hear takes in what another node says. It is advice on servers that the list has named, forgotten as soon as
 // what this node saw: of a server's pushes, its pace, and that it answers.
 func (n *Node) hear(in *Input) {
-	w, understood := readSaid(in.Said)
+	w, understood := readSaid(in.Message)
 	at := slices.IndexFunc(n.run, func(i int32) bool { return fold(n.servers[i].Server) == w.server })
 	if !understood || at < 0 {
 		return
@@ -472,7 +472,7 @@
 
 // narrow is a run's length where others are told. Danger: connections cost work, and each sharer a word.
 func (n *Node) narrow() int {
-	return min(len(n.ring), max(2, min(few, sharers*len(n.ring)/n.place.Nodes)))
+	return min(len(n.ring), max(2, min(few, sharers*len(n.ring)/n.place.NodeCount)))
 }
 
 // nack answers that a new try does no harm, where that is true.
@@ -481,8 +481,8 @@
 		return false
 	}
 	e := Effect{Kind: Nack, Op: o.id}
-	if n.now+n.place.Tick >= o.goal {
-		e.For = n.rule.RetryAfter
+	if n.now+n.place.ClockTick >= o.goal {
+		e.Duration = n.rule.MaxRetryAfter
 	}
 	n.emit(e)
 	return n.drop(o)
@@ -492,9 +492,9 @@
 
 // drop calls back what is still out: nobody waits for it.
 func (n *Node) drop(o *op) bool {
-	for p := uint8(0); p < o.pushes && n.rule.Cancel && o.out > 0; p++ {
+	for p := uint8(0); p < o.pushes && n.rule.MayCancel && o.out > 0; p++ {
 		if o.to[p] >= 0 {
-			n.emit(Effect{Kind: Cancel, Op: o.id, Push: PushNo(p)})
+			n.emit(Effect{Kind: Cancel, Op: o.id, Push: PushNumber(p)})
 		}
 	}
 	return true
@@ -503,7 +503,7 @@
 // ended learns from the end of a push and decides on its op.
 func (n *Node) ended(in *Input) {
 	p, found := n.byOp[in.Op]
-	if !found || in.Push >= PushNo(n.ops[p].pushes) || n.ops[p].to[in.Push] < 0 {
+	if !found || in.Push >= PushNumber(n.ops[p].pushes) || n.ops[p].to[in.Push] < 0 {
 		return
 	}
 	o := &n.ops[p]
@@ -516,13 +516,13 @@
 	w := said{what: saidEnd}
 	if in.Outcome == Acked || in.Outcome == TimedOut {
 		learn(&n.lost[o.rest], number(in.Outcome == TimedOut), paceMemory)
-		w.pace = float64(in.Took) / took.mean
+		w.pace = float64(in.Latency) / took.mean
 		learn(&s.pace, w.pace, paceMemory)
-		s.crowded(o.sent[in.Push], float64(in.Took)/took.usual)
+		s.crowded(o.sent[in.Push], float64(in.Latency)/took.usual)
 		if !s.on {
-			learn(&took.usual, min(float64(in.Took), 4*took.usual), 16*shareMemory)
+			learn(&took.usual, min(float64(in.Latency), 4*took.usual), 16*shareMemory)
 		}
-		took.learn(in.Took, in.Outcome)
+		took.learn(in.Latency, in.Outcome)
 	}
 	if !neverRan[in.Outcome] {
 		s.accepted.add(n.now)
@@ -536,7 +536,7 @@
 		w.what, s.failures = saidAck, 0
 		n.acks.add(n.now)
 		if !marked {
-			n.slow(s, in.Took > n.aim(o.category))
+			n.slow(s, in.Latency > n.aim(o.category))
 		}
 	}
 	n.tell(s, w)
@@ -548,14 +548,14 @@
 	why := n.blame(s, o, in)
 	if why&onServer > 0 { // out of the rotation, twice as long each time; then one push tries
 		s.failures = min(s.failures+1, 5)
-		s.down = n.now + n.rule.Dial<<s.failures
+		s.down = n.now + n.rule.DialTimeout<<s.failures
 		n.choose()
 	}
 	if why&onLoad > 0 && !marked {
 		n.mark(s)
 	}
 	on := answered
-	if in.Outcome != Acked && !in.Settled {
+	if in.Outcome != Acked && !in.OpSettled {
 		on = failed
 	}
 	n.decide(o, on)
@@ -595,14 +595,14 @@
 // down, with one part kept back where another push may follow. Danger: servers jam before answers are late.
 func (n *Node) aim(k CategoryID) Micros {
 	c := &n.kinds[k]
-	parts := n.place.Tiers + int(number(c.Repeat != AtMostOnce))
-	return c.Target * Micros(n.place.Tiers-n.place.Tier) / Micros(parts) * 2 / 3
+	parts := n.place.TierCount + int(number(c.Delivery != AtMostOnce))
+	return c.TargetLatency * Micros(n.place.TierCount-n.place.Tier) / Micros(parts) * 2 / 3
 }
 
 // tick steers every throttle and keeps the registry's subscription.
 func (n *Node) tick() {
 	n.beatAt = n.now + beat
-	n.emit(Effect{Kind: Wake, At: n.beatAt})
+	n.emit(Effect{Kind: SetTimer, TimerAt: n.beatAt})
 	for i := range n.servers {
 		s := &n.servers[i]
 		n.log(s.steer(n.now, len(n.levels), s.crowd >= fill && float64(s.held) <= s.crowd*drainedTo))
@@ -614,7 +614,7 @@
 	// Danger: an answer that is late says so late, and the queue grows meanwhile: overdue is slow. And one
 	// server of many is slow for seconds before its answers tell; its turns shrink by what is overdue there.
 	for p := range n.ops {
-		for k, o := PushNo(0), &n.ops[p]; k < PushNo(o.pushes); k++ {
+		for k, o := PushNumber(0), &n.ops[p]; k < PushNumber(o.pushes); k++ {
 			if o.to[k] >= 0 && o.late&(1<<k) == 0 && n.now-o.sent[k] > n.aim(o.category) {
 				o.late |= 1 << k
 				s := &n.servers[o.to[k]]
@@ -629,19 +629,19 @@
 	n.choose()
 	n.beats = min(n.beats+1, float64(endAfter/beat))
 	learn(&n.carry, n.acks.read(n.now)/max(1, n.warm), n.beats)
-	n.bearable = cmp.Or(n.carry*n.cold.Factor/2, n.offered.whole(n.now)/max(1, n.up)) // first an even turn
+	n.bearable = cmp.Or(n.carry*n.cold.OverloadFactor/2, n.offered.whole(n.now)/max(1, n.up)) // first an even turn
 	if r := &n.registry; r.next > 0 && n.now >= r.next {
-		r.next = n.now + r.Within
-		n.emit(Effect{Kind: Watch})
+		r.next = n.now + r.SubscribeWithin
+		n.emit(Effect{Kind: WatchRegistry})
 	}
 }
 
 // follow takes over a list of servers.
 func (n *Node) follow(in *Input) {
 	n.registry.heard(n.now, in.Form, n.rng)
-	if in.Form == ListWhole || in.Form == ListCached {
+	if in.Form == ListFull || in.Form == ListCached {
 		for i := range n.servers {
-			if !slices.ContainsFunc(in.List, func(e Entry) bool { return e.Server == n.servers[i].Server }) {
+			if !slices.ContainsFunc(in.List, func(e ListEntry) bool { return e.Server == n.servers[i].Server }) {
 				n.servers[i].State = Gone
 			}
 		}
@@ -655,14 +655,14 @@
 		s := &n.servers[i]
 		// Danger: an old list may come again, and would make a cold server seem warm.
 		if found {
-			e.Started = max(e.Started, s.Started)
+			e.StartedAt = max(e.StartedAt, s.StartedAt)
 		}
-		if !found || e.Started != s.Started {
+		if !found || e.StartedAt != s.StartedAt {
 			*s = server{held: s.held, turn: -n.rng.Float64(), part: tokens{n.rng.Float64(), n.now},
 				room: fill, pace: 1, throttle: throttle{
-					of: fmt.Sprintf("%012x", e.Server), target: target, interval: leakTicks * n.place.Tick}}
+					of: fmt.Sprintf("%012x", e.Server), target: target, interval: leakTicks * n.place.ClockTick}}
 		}
-		s.Entry = e
+		s.ListEntry = e
 	}
 	n.ring = n.ring[:0]
 	for i := range n.servers {
@@ -683,11 +683,11 @@
 // tell each other only if all of the run is: they aren't told what others push elsewhere, and the neighbours
 // of what died jam. Else, where a push to another zone costs benefit, the own zone's servers have a run too.
 func (n *Node) choose() {
-	left, size := max(few, n.rule.Max), len(n.ring)
-	if n.place.Peers {
+	left, size := max(few, n.rule.MaxPushes), len(n.ring)
+	if n.place.PeerMessaging {
 		left = n.narrow()
 	}
-	start, cross := n.place.Number*size/n.place.Nodes, n.place.Cross > 0 && !n.place.Peers
+	start, cross := n.place.NodeNumber*size/n.place.NodeCount, n.place.CrossZoneCost > 0 && !n.place.PeerMessaging
 	n.run, n.near, n.up, n.warm = n.run[:0], n.near[:0], 0, 0
 	for k := range 2 * size {
 		i := n.ring[(start+k)%size]
@@ -695,7 +695,7 @@
 		s.spot = (start + k) % size
 		down := s.down > n.now
 		in := len(n.run) < left && down == (k >= size)
-		if n.place.Peers {
+		if n.place.PeerMessaging {
 			in = k < left || k < size && n.up == 0 && !down
 		}
 		if in {
@@ -714,7 +714,7 @@
 
 // harmless says that a client's new try never does harm, whatever ran.
 func (c *Category) harmless() bool {
-	return c.Repeat == Redeliverable || c.Repeat == Deduplicated && c.Scope == ScopeAll
+	return c.Delivery == Redeliverable || c.Delivery == Deduplicated && c.DedupScope == DedupScopeAll
 }
 
 func (r *rate) read(now Micros) float64 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -56,9 +56,9 @@
 	changed[0].State, changed[1].State = Draining, Gone
 	s.list(ListChanges, changed)
 	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListWhole, servers(3)[2:])
+	s.list(ListFull, servers(3)[2:])
 	s.quiet("ten ops", func() { s.ops(10, 0, Acked) })
-	s.list(ListWhole, nil)
+	s.list(ListFull, nil)
 	s.op(99, 0)
 	s.compare()
 }
@@ -71,19 +71,19 @@
 	s.list(ListCached, old)
 	s.ops(300, 0, Acked)
 	now := servers(3)
-	now[2].Started = s.now
-	s.list(ListWhole, now)
-	s.list(ListWhole, old)
+	now[2].StartedAt = s.now
+	s.list(ListFull, now)
+	s.list(ListFull, old)
 	if w := s.node.servers[2].warmth(s.now+Second, &warming); w > 0.5 {
 		t.Errorf("a second after its start, and an old list, it is %v warm", w)
 	}
-	now[2].Started = s.now + 2*Second
+	now[2].StartedAt = s.now + 2*Second
 	s.wait(3 * Second)
-	s.list(ListWhole, now)
-	if got := s.node.servers[2].Started; got != now[2].Started {
-		t.Errorf("started at %d, held as %d", now[2].Started, got)
+	s.list(ListFull, now)
+	if got := s.node.servers[2].StartedAt; got != now[2].StartedAt {
+		t.Errorf("started at %d, held as %d", now[2].StartedAt, got)
 	}
-	s.list(ListWhole, servers(5)) // the last two are ghosts
+	s.list(ListFull, servers(5)) // the last two are ghosts
 	ghosts := 0
 	for range 400 {
 		s.play(0, func(to ServerID) Outcome {
@@ -115,7 +115,7 @@
 		s.op(s.last, category)
 		s.wait(10 * Millisecond)
 		if s.inHand() {
-			s.end(s.last, PushNo(s.node.ops[s.node.byOp[s.last]].pushes-1), how)
+			s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	s.last++
 	s.op(s.last, category)
 	for s.inHand() {
-		s.end(s.last, PushNo(s.node.ops[s.node.byOp[s.last]].pushes-1), how(s.to[id(s.last)]))
+		s.end(s.last, PushNumber(s.node.ops[s.node.byOp[s.last]].pushes-1), how(s.to[id(s.last)]))
 	}
 }
 
@@ -149,7 +149,7 @@
 	list := servers(3)
 	s.list(ListCached, list)
 	s.quiet("warm, 10 s", func() { s.ops(1000, 0, Acked) })
-	list[2].Started = s.now
+	list[2].StartedAt = s.now
 	s.list(ListChanges, list[2:])
 	s.quiet("c cold, 2 s", func() { s.ops(200, 0, Acked) })
 	s.quiet("a and b full, c cold, 2 s", func() {
@@ -157,18 +157,18 @@
 			s.last++
 			s.op(s.last, 0)
 			for s.inHand() && s.to[id(s.last)] < 3 {
-				s.end(s.last, PushNo(s.node.ops[0].pushes-1), Full)
+				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Full)
 			}
 			if s.inHand() {
-				s.end(s.last, PushNo(s.node.ops[0].pushes-1), Acked)
+				s.end(s.last, PushNumber(s.node.ops[0].pushes-1), Acked)
 			}
 			s.wait(10 * Millisecond)
 		}
 	})
 	for i := range list {
-		list[i].Started = s.now
+		list[i].StartedAt = s.now
 	}
-	s.list(ListWhole, list)
+	s.list(ListFull, list)
 	s.quiet("all cold, nothing comes back", func() {
 		for range 10 {
 			s.last++
@@ -311,9 +311,9 @@
 			s.last++
 			s.op(s.last, 0)
 			s.now += 10 * Millisecond
-			in := Input{Kind: PushEnded, Op: s.last, Outcome: Acked, Settled: true, Took: 50 * Millisecond}
+			in := Input{Kind: PushEnded, Op: s.last, Outcome: Acked, OpSettled: true, Latency: 50 * Millisecond}
 			if i%every == 0 {
-				in.Took = took
+				in.Latency = took
 			}
 			s.step(in)
 		}
@@ -448,7 +448,7 @@
 func TestManyNodes(t *testing.T) {
 	for tier, controlled := range []bool{true, false} {
 		s := start(t, pushed, safe, plain)
-		s.node.place.Tier, s.node.place.Tiers = tier, 2
+		s.node.place.Tier, s.node.place.TierCount = tier, 2
 		s.many()
 		s.list(ListCached, servers(10))
 		s.roomy()
@@ -498,7 +498,7 @@
 		t.Run(fmt.Sprint(cross), func(t *testing.T) {
 			s := start(t, pushed, safe)
 			s.many()
-			s.node.place.Cross = cross
+			s.node.place.CrossZoneCost = cross
 			list := servers(8)
 			for i := range list {
 				list[i].Zone = ZoneID(i % 2)
@@ -555,7 +555,7 @@
 
 // The registry is asked at random, again after failures ever later, and not while subscribed.
 func TestRegistry(t *testing.T) {
-	s := start(t, RegistryRule{Ask: true, Within: 10 * Second}, safe)
+	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
 	s.list(ListCached, servers(1))
 	s.wait(2 * Second)
 	for range 4 {
@@ -609,14 +609,14 @@
 func TestNoAllocation(t *testing.T) {
 	n := start(t, pushed, safe).node
 	now, op := Second, OpID(0)
-	n.Step(now, &Input{Kind: ListCame, Form: ListCached, List: servers(4)})
+	n.Step(now, &Input{Kind: ListReceived, Form: ListCached, List: servers(4)})
 	var in Input
 	got := testing.AllocsPerRun(2000, func() {
 		op++
 		now += Millisecond
-		in = Input{Kind: OpArrived, Op: op, NotAfter: now + 2*Second}
+		in = Input{Kind: OpArrived, Op: op, Deadline: now + 2*Second}
 		to := n.Step(now, &in)[0].Server
-		in = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Took: 50 * Millisecond, Settled: true}
+		in = Input{Kind: PushEnded, Op: op, Server: to, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}
 		n.Step(now, &in)
 	})
 	if got != 0 {
@@ -649,7 +649,7 @@
 	list, counts := servers(1), [4]int{}
 	for seed := range int64(200) {
 		s.node = New(seed, s.node.place, s.node.kinds, s.node.rule, s.node.cold, RegistryRule{})
-		list[0].Started = s.now
+		list[0].StartedAt = s.now
 		s.list(ListCached, list)
 		for i := range 8 {
 			s.last++
@@ -720,12 +720,12 @@
 	for i := range 3000 {
 		gone := list[i%4]
 		gone.State = Gone
-		list[i%4] = Entry{Server: ServerID(i + 5), Started: s.now, Weight: 1}
+		list[i%4] = ListEntry{Server: ServerID(i + 5), StartedAt: s.now, Weight: 1}
 		s.last++
-		s.step(Input{Kind: OpArrived, Op: s.last, NotAfter: s.now + 3*Second})
-		s.step(Input{Kind: ListCame, Form: ListChanges, List: []Entry{gone, list[i%4]}})
+		s.step(Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 3*Second})
+		s.step(Input{Kind: ListReceived, Form: ListChanges, List: []ListEntry{gone, list[i%4]}})
 		if s.inHand() {
-			s.step(Input{Kind: PushEnded, Op: s.last, Outcome: Acked, Took: Millisecond, Settled: true})
+			s.step(Input{Kind: PushEnded, Op: s.last, Outcome: Acked, Latency: Millisecond, OpSettled: true})
 		}
 		s.now += 10 * Millisecond
 	}
@@ -737,13 +737,13 @@
 // Weights that others' judgement changes say nothing of the subscription: a node whose list service is away still asks, and
 // no server goes or comes by them.
 func TestWeighed(t *testing.T) {
-	s := start(t, RegistryRule{Ask: true, Within: 10 * Second}, safe)
+	s := start(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, safe)
 	s.list(ListCached, servers(3))
 	s.list(ListFailed, nil)
 	next := s.node.registry.next
 	little := servers(3)[1:2]
 	little[0].Weight = 1.0 / 32
-	s.list(ListWeighed, little)
+	s.list(ListReweighted, little)
 	if got := s.node.registry.next; got == 0 || got != next {
 		t.Errorf("the next call is at %d, not %d", got, next)
 	}
@@ -754,11 +754,11 @@
 
 // Danger: where no category has any benefit, a share of the highest is no number, and every op was nacked unsent.
 func TestNoBenefit(t *testing.T) {
-	n := New(1, Place{Tiers: 1, Nodes: 1, Tick: Millisecond}, []Category{{Target: Second, TTL: Second}}, PushRule{Max: 3, Dial: 100 * Millisecond},
-		ColdRule{From: 1, Factor: 3, Window: Second}, RegistryRule{})
-	n.Step(1, &Input{Kind: ListCame, Form: ListCached, List: []Entry{{Server: 1, State: Ready, Weight: 1}}})
+	n := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond}, []Category{{TargetLatency: Second, TTL: Second}}, PushLimits{MaxPushes: 3, DialTimeout: 100 * Millisecond},
+		ColdStartRule{InitialShare: 1, OverloadFactor: 3, OverloadWindow: Second}, RegistryRule{})
+	n.Step(1, &Input{Kind: ListReceived, Form: ListCached, List: []ListEntry{{Server: 1, State: Ready, Weight: 1}}})
 	pushed := false
-	for _, e := range n.Step(2, &Input{Kind: OpArrived, Op: 1, NotAfter: Second}) {
+	for _, e := range n.Step(2, &Input{Kind: OpArrived, Op: 1, Deadline: Second}) {
 		pushed = pushed || e.Kind == Push
 	}
 	if !pushed {
--- a/policy/said_test.go
+++ b/policy/said_test.go
@@ -31,7 +31,7 @@
 	for _, fleet := range []struct{ nodes, servers int }{{40, 8}, {7, 30}, {20, 1}, {31, 13}} {
 		talk := func(k int) *Node {
 			s := start(t, pushed, safe)
-			s.node.place.Nodes, s.node.place.Number, s.node.place.Peers = fleet.nodes, k, true
+			s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = fleet.nodes, k, true
 			s.list(ListCached, servers(fleet.servers))
 			return s.node
 		}
@@ -45,12 +45,12 @@
 			n := talk(k)
 			n.words = 8 * saidAnOp // some ops were nacked before
 			var want []int
-			for _, in := range []Input{{Kind: OpArrived, Op: 1, NotAfter: 3 * Second},
-				{Kind: PushEnded, Op: 1, Outcome: Acked, Took: 50 * Millisecond, Settled: true}} {
+			for _, in := range []Input{{Kind: OpArrived, Op: 1, Deadline: 3 * Second},
+				{Kind: PushEnded, Op: 1, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
 				told := []int{k}
 				for _, e := range n.Step(2*Second, &in) {
-					if e.Kind == Tell {
-						told = append(told, e.Peer)
+					if e.Kind == SendToPeer {
+						told = append(told, e.PeerNumber)
 					}
 					if e.Kind == Push {
 						want = users[n.ops[0].to[0]]
@@ -67,14 +67,14 @@
 // talk makes the node number k of so many that tell each other.
 func talk(t *testing.T, nodes, number, list int) *script {
 	s := start(t, pushed, safe, once)
-	s.node.place.Nodes, s.node.place.Number, s.node.place.Peers = nodes, number, true
+	s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = nodes, number, true
 	s.list(ListCached, servers(list))
 	return s
 }
 
 func (s *script) say(what saidWhat, server ServerID, pace float64) {
 	b := said{what, pace, fold(server)}.bytes()
-	s.step(Input{Kind: PeerSaid, Said: b[:]})
+	s.step(Input{Kind: PeerMessageReceived, Message: b[:]})
 }
 
 // What others push counts for what a server holds: ops go to the other one, until the ends are told, or for as long as
@@ -92,7 +92,7 @@
 		{"ten pushes, 20 s ago", func(s *script) { s.repeat(10, saidPush, 1, 0); s.wait(20 * Second) }, ""},
 		{"b is slow", func(s *script) { s.repeat(10, saidAck, 2, 8) }, "a"},
 		{"of a server that is not listed", func(s *script) { s.repeat(10, saidPush, 77, 0) }, ""},
-		{"cut short", func(s *script) { s.step(Input{Kind: PeerSaid, Said: []byte{64}}) }, ""},
+		{"cut short", func(s *script) { s.step(Input{Kind: PeerMessageReceived, Message: []byte{64}}) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := talk(t, 20, 0, 2)
@@ -139,10 +139,10 @@
 	s := talk(t, 2000, 0, 2)
 	words := 0
 	for op := OpID(1); op <= 100; op++ {
-		for _, in := range []Input{{Kind: OpArrived, Op: op, NotAfter: s.now + 2*Second, Repeated: op > 50},
-			{Kind: PushEnded, Op: op, Outcome: Acked, Took: 50 * Millisecond, Settled: true}} {
+		for _, in := range []Input{{Kind: OpArrived, Op: op, Deadline: s.now + 2*Second, ClientRetry: op > 50},
+			{Kind: PushEnded, Op: op, Outcome: Acked, Latency: 50 * Millisecond, OpSettled: true}} {
 			for _, e := range s.node.Step(s.now, &in) {
-				words += int(number(e.Kind == Tell))
+				words += int(number(e.Kind == SendToPeer))
 			}
 		}
 	}
@@ -190,11 +190,11 @@
 			closed := false
 			send := func(how Outcome) {
 				s.last++
-				in := Input{Kind: OpArrived, Op: s.last, NotAfter: s.now + 2*Second}
+				in := Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 2*Second}
 				for _, e := range s.node.Step(s.now, &in) {
-					closed = closed || e.Kind == Close
+					closed = closed || e.Kind == CloseIdle
 				}
-				s.step(Input{Kind: PushEnded, Op: s.last, Outcome: how, Took: 50 * Millisecond, Settled: how == Acked})
+				s.step(Input{Kind: PushEnded, Op: s.last, Outcome: how, Latency: 50 * Millisecond, OpSettled: how == Acked})
 				s.node.servers[0].failures, s.node.servers[0].down = 0, 0 // its trials are another matter
 			}
 			for range 8 {
@@ -244,7 +244,7 @@
 				s.to[id(e.Op)] = e.Server
 			case Nack, DeadLetter:
 				answers[e.Op]++
-			case Wake:
+			case SetTimer:
 				s.wakes = append(s.wakes, e)
 			}
 		}
@@ -253,12 +253,12 @@
 		first := s.last + 1
 		for try := range 15 {
 			s.last++
-			step(Input{Kind: OpArrived, Op: s.last, NotAfter: s.now + 100*Millisecond, Repeated: try > 0})
+			step(Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 100*Millisecond, ClientRetry: try > 0})
 		}
 		s.now += 110 * Millisecond
 		for op := first; op <= s.last; op++ {
 			if _, found := s.node.byOp[op]; found {
-				step(Input{Kind: PushEnded, Op: op, Outcome: TimedOut, Took: 100 * Millisecond})
+				step(Input{Kind: PushEnded, Op: op, Outcome: TimedOut, Latency: 100 * Millisecond})
 			}
 			if answers[op] != 1 {
 				t.Errorf("op %d has %d answers", op, answers[op])
@@ -278,7 +278,7 @@
 	var out []OpID
 	for i := range 400 {
 		s.last++
-		in := Input{Kind: OpArrived, Op: s.last, NotAfter: s.now + 2*Second}
+		in := Input{Kind: OpArrived, Op: s.last, Deadline: s.now + 2*Second}
 		answered := 0
 		for _, e := range s.node.Step(s.now, &in) {
 			switch e.Kind {
--- a/policy/script_test.go
+++ b/policy/script_test.go
@@ -61,26 +61,26 @@
 	server := ServerID(f[2][0]-'a') + 1
 	switch f[0] {
 	case "node": // of so many, the number, servers; asking the registry
-		reg := RegistryRule{Ask: strings.Contains(line, "asks"), Within: 10 * Second}
+		reg := RegistryRule{MustSubscribe: strings.Contains(line, "asks"), SubscribeWithin: 10 * Second}
 		s.node = start(s.T, reg, safe, once).node
-		s.node.place.Nodes, s.node.place.Number, s.node.place.Peers = s.number(f[1]), s.number(f[2]), true
+		s.node.place.NodeCount, s.node.place.NodeNumber, s.node.place.PeerMessaging = s.number(f[1]), s.number(f[2]), true
 		s.list(ListCached, servers(s.number(f[3])))
 	case "alone": // may not tell others
-		s.node.place.Peers = false
+		s.node.place.PeerMessaging = false
 	case "op": // category, patience; a repeat by the client
 		s.last++
 		s.step(Input{Kind: OpArrived, Op: s.last, Category: CategoryID(s.number(f[1])),
-			NotAfter: s.now + Micros(s.number(f[2]))*Millisecond, Repeated: strings.Contains(line, "again")})
+			Deadline: s.now + Micros(s.number(f[2]))*Millisecond, ClientRetry: strings.Contains(line, "again")})
 	case "acked", "lost", "refused", "errored": // the last op's last push, after so many milliseconds
 		how := map[string]Outcome{"acked": Acked, "lost": TimedOut, "refused": ConnectFailed, "errored": Errored}[f[0]]
 		if p, found := s.node.byOp[s.last]; found {
-			s.step(Input{Kind: PushEnded, Op: s.last, Push: PushNo(s.node.ops[p].pushes - 1), Outcome: how,
-				Took: Micros(s.number(f[1])) * Millisecond, Settled: how == Acked})
+			s.step(Input{Kind: PushEnded, Op: s.last, Push: PushNumber(s.node.ops[p].pushes - 1), Outcome: how,
+				Latency: Micros(s.number(f[1])) * Millisecond, OpSettled: how == Acked})
 		}
 	case "cancelled": // all pushes that are out
 		for i := range s.node.ops {
 			if o := &s.node.ops[i]; o.out > 0 {
-				s.step(Input{Kind: PushEnded, Op: o.id, Push: PushNo(o.pushes - 1), Outcome: Cancelled, Settled: true})
+				s.step(Input{Kind: PushEnded, Op: o.id, Push: PushNumber(o.pushes - 1), Outcome: Cancelled, OpSettled: true})
 			}
 		}
 	case "wait":
@@ -89,22 +89,22 @@
 		what := map[string]saidWhat{"push": saidPush, "end": saidEnd, "ack": saidAck}[f[0]]
 		pace, _ := strconv.ParseFloat(f[3], 64)
 		b := said{what, pace, fold(server)}.bytes()
-		s.step(Input{Kind: PeerSaid, Said: b[:]})
+		s.step(Input{Kind: PeerMessageReceived, Message: b[:]})
 	case "hear": // bytes
 		raw, err := hex.DecodeString(f[1])
 		if err != nil {
 			s.Fatal(err)
 		}
-		s.step(Input{Kind: PeerSaid, Said: raw})
+		s.step(Input{Kind: PeerMessageReceived, Message: raw})
 	case "list": // form, and of each server its name, then - where it drains, ! where it is gone, + where it has just started
-		var list []Entry
+		var list []ListEntry
 		for _, word := range f[2 : len(f)-3] {
-			e := Entry{Server: ServerID(word[0]-'a') + 1, Weight: 1}
+			e := ListEntry{Server: ServerID(word[0]-'a') + 1, Weight: 1}
 			e.State = map[string]ServerState{"-": Draining, "!": Gone}[word[1:]]
-			e.Started = s.now * Micros(number(word[1:] == "+"))
+			e.StartedAt = s.now * Micros(number(word[1:] == "+"))
 			list = append(list, e)
 		}
-		s.list(map[string]ListForm{"changes": ListChanges, "whole": ListWhole, "failed": ListFailed}[f[1]], list)
+		s.list(map[string]ListForm{"changes": ListChanges, "whole": ListFull, "failed": ListFailed}[f[1]], list)
 	case "show":
 		for _, i := range s.node.run {
 			v := &s.node.servers[i]
--- a/policy/types.go
+++ b/policy/types.go
@@ -12,78 +12,78 @@
 
 // Each kind of id is a type of its own; none of them carries information.
 type (
-	OpID       uint32
-	ServerID   uint64
-	CategoryID uint8
-	TenantID   uint16
-	ZoneID     uint8
-	KindID     uint8
-	CellID     uint16
-	PushNo     uint8
-	Token      uint32
+	OpID          uint32
+	ServerID      uint64
+	CategoryID    uint8
+	TenantID      uint16
+	ZoneID        uint8
+	MachineTypeID uint8
+	CellID        uint16
+	PushNumber    uint8
+	TimerToken    uint32
 )
 
 // Repeat says what a second run of an op does.
-type Repeat uint8
+type DeliverySemantics uint8
 
 const (
-	Redeliverable Repeat = iota // may run again
-	Deduplicated                // a repeat is dropped inside the group, for a while
-	AtMostOnce                  // must never run twice
+	Redeliverable DeliverySemantics = iota // may run again
+	Deduplicated                           // a repeat is dropped inside the group, for a while
+	AtMostOnce                             // must never run twice
 )
 
 // Scope is the group of servers that drop a deduplicated op's repeats.
-type Scope uint8
+type DedupScope uint8
 
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
 )
 
 // Category is one kind of op.
 type Category struct {
-	Benefit float64
-	Late    float64 // share of the benefit that an answer past target latency still has
-	Target  Micros  // target latency
-	TTL     Micros
-	Repeat  Repeat
-	Scope   Scope
-	Window  Micros // how long the group remembers an op
+	Benefit       float64
+	LateBenefit   float64 // share of the benefit that an answer past target latency still has
+	TargetLatency Micros  // target latency
+	TTL           Micros
+	Delivery      DeliverySemantics
+	DedupScope    DedupScope
+	DedupWindow   Micros // how long the group remembers an op
 }
 
 // Place says where this node stands: the tier it sends to, of how many, and how many nodes do so.
-type Place struct {
-	Tier, Tiers int
-	Nodes       int
-	Number      int // of this node among them, from 0
-	Zone        ZoneID
-	Cross       float64 // points of benefit that a push to another zone costs; 0: none
-	Peers       bool    // nodes may tell one another what they see
-	Tick        Micros  // the least time between two inputs' clocks
+type Topology struct {
+	Tier, TierCount int
+	NodeCount       int
+	NodeNumber      int // of this node among them, from 0
+	Zone            ZoneID
+	CrossZoneCost   float64 // points of benefit that a push to another zone costs; 0: none
+	PeerMessaging   bool    // nodes may tell one another what they see
+	ClockTick       Micros  // the least time between two inputs' clocks
 }
 
 // PushRule holds what is allowed to pushes.
-type PushRule struct {
-	Max        int // pushes an op may have
-	Duplicate  bool
-	Cancel     bool
-	Dial       Micros // a connection not open within this time has failed
-	RetryAfter Micros // the longest that a client heeds; 0 where clients take no advice
+type PushLimits struct {
+	MaxPushes     int // pushes an op may have
+	MayDuplicate  bool
+	MayCancel     bool
+	DialTimeout   Micros // a connection not open within this time has failed
+	MaxRetryAfter Micros // the longest that a client heeds; 0 where clients take no advice
 }
 
 // ColdRule holds the rule on servers that have just started.
-type ColdRule struct {
-	From   float64 // least share of its capacity that a server starts with
-	Warm   Micros  // warm after this at the latest
-	Factor float64 // it falls over when sent more than this multiple of its present capacity
-	Window Micros  // for this long
+type ColdStartRule struct {
+	InitialShare   float64 // least share of its capacity that a server starts with
+	WarmUpTime     Micros  // warm after this at the latest
+	OverloadFactor float64 // it falls over when sent more than this multiple of its present capacity
+	OverloadWindow Micros  // for this long
 }
 
 // RegistryRule says how the list of servers is followed.
 type RegistryRule struct {
-	Ask    bool   // changes come only to those who ask
-	Within Micros // a node that has not asked for this long counts as told
+	MustSubscribe   bool   // changes come only to those who ask
+	SubscribeWithin Micros // a node that has not asked for this long counts as told
 }
 
 // ServerState is what the list says of a server.
@@ -96,14 +96,14 @@
 )
 
 // Entry is one line of the list of servers. With xDS it is one endpoint, Cell its locality's cluster.
-type Entry struct {
-	Server  ServerID
-	Started Micros // 0: long ago
-	Weight  float64
-	Cell    CellID
-	Kind    KindID
-	Zone    ZoneID
-	State   ServerState
+type ListEntry struct {
+	Server      ServerID
+	StartedAt   Micros // 0: long ago
+	Weight      float64
+	Cell        CellID
+	MachineType MachineTypeID
+	Zone        ZoneID
+	State       ServerState
 }
 
 // ListForm says what a list holds.
@@ -111,10 +111,10 @@
 
 const (
 	ListChanges ListForm = iota
-	ListWhole
-	ListCached  // whole, but old: the first of a node's life, and only that
-	ListFailed  // a call to the registry failed, or the subscription broke
-	ListWeighed // changes of weights alone, by others' judgement: says nothing of the subscription
+	ListFull
+	ListCached     // whole, but old: the first of a node's life, and only that
+	ListFailed     // a call to the registry failed, or the subscription broke
+	ListReweighted // changes of weights alone, by others' judgement: says nothing of the subscription
 )
 
 // Outcome is how a push ended.
@@ -139,62 +139,62 @@
 type InputKind uint8
 
 const (
-	OpArrived   InputKind = iota // Op, Category, Tenant, NotAfter, Repeated
-	PushEnded                    // Op, Push, Server, Outcome, Took, Settled
-	OpAbandoned                  // Op
-	StreamBegan                  // Op
-	Woken                        // Token
-	ProbeEnded                   // Server, Outcome, Took
-	ListCame                     // Form, List
-	PeerSaid                     // Said
+	OpArrived           InputKind = iota // Op, Category, Tenant, NotAfter, Repeated
+	PushEnded                            // Op, Push, Server, Outcome, Took, Settled
+	OpAbandoned                          // Op
+	StreamBegan                          // Op
+	TimerFired                           // Token
+	ProbeEnded                           // Server, Outcome, Took
+	ListReceived                         // Form, List
+	PeerMessageReceived                  // Said
 )
 
 // Input is one thing that a node sees.
 type Input struct {
-	Kind     InputKind
-	Op       OpID
-	Category CategoryID
-	Tenant   TenantID
-	NotAfter Micros // when the client gives up this try
-	Repeated bool   // the client says that this is not its first try
-	Server   ServerID
-	Push     PushNo
-	Outcome  Outcome
-	Took     Micros
-	Settled  bool // the op is over, by this outcome or earlier
-	Token    Token
-	Form     ListForm
-	List     []Entry // read during the call only
-	Said     []byte  // likewise
+	Kind        InputKind
+	Op          OpID
+	Category    CategoryID
+	Tenant      TenantID
+	Deadline    Micros // when the client gives up this try
+	ClientRetry bool   // the client says that this is not its first try
+	Server      ServerID
+	Push        PushNumber
+	Outcome     Outcome
+	Latency     Micros
+	OpSettled   bool // the op is over, by this outcome or earlier
+	Token       TimerToken
+	Form        ListForm
+	List        []ListEntry // read during the call only
+	Message     []byte      // likewise
 }
 
 // EffectKind says which fields of an Effect count.
 type EffectKind uint8
 
 const (
-	Push       EffectKind = iota // Op, Server, For (time-out; 0: until the client gives up)
-	Nack                         // Op, For (when to come back; 0: no advice)
-	DeadLetter                   // Op
-	Cancel                       // Op, Push
-	Wake                         // At, Token
-	Watch                        // subscribe to the registry's changes
-	Log                          // Text
-	Tell                         // Peer, Said
-	Close                        // Server: its connections that are idle
+	Push          EffectKind = iota // Op, Server, For (time-out; 0: until the client gives up)
+	Nack                            // Op, For (when to come back; 0: no advice)
+	DeadLetter                      // Op
+	Cancel                          // Op, Push
+	SetTimer                        // At, Token
+	WatchRegistry                   // subscribe to the registry's changes
+	Log                             // Text
+	SendToPeer                      // Peer, Said
+	CloseIdle                       // Server: its connections that are idle
 )
 
 // Effect is one thing that a node does.
 type Effect struct {
-	Kind   EffectKind
-	Op     OpID
-	Server ServerID
-	Push   PushNo
-	For    Micros
-	At     Micros
-	Token  Token
-	Text   string
-	Peer   int // number of a node
-	Said   [sayLen]byte
+	Kind       EffectKind
+	Op         OpID
+	Server     ServerID
+	Push       PushNumber
+	Duration   Micros
+	TimerAt    Micros
+	Token      TimerToken
+	Text       string
+	PeerNumber int // number of a node
+	Message    [sayLen]byte
 }
 
 // Decider is what a protocol calls, whichever it is: the simulator's wire, an external processor
@@ -281,7 +281,7 @@
 
 // server is what the node knows of one server.
 type server struct {
-	Entry
+	ListEntry
 	throttle
 	held     int     // pushes out
 	crowd    float64 // the most that it held at a mark, while under control
@@ -312,9 +312,9 @@
 type Node struct {
 	now       Micros
 	rng       *rand.Rand
-	place     Place
-	rule      PushRule
-	cold      ColdRule
+	place     Topology
+	rule      PushLimits
+	cold      ColdStartRule
 	registry  registry
 	kinds     []Category
 	took      []answers // by category
