--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -9,107 +9,109 @@
 	"canvasrouter/policy"
 )
 
-// Machine is one server of the fleet as it stands at the start.
+// Machine is one server of the fleet.
 type Machine struct {
 	Tier, Zone, Cell int
 	Type             *MachineType
-	TypeIndex        int // among all kinds of its tier
+	TypeIndex        int // of Type in the MachineTypes of its tier
 }
 
-// Machines are the servers of all tiers, zones dealt in turn. The order is the same in every run.
-func (s *Scenario) Machines() (all []Machine) {
-	for t := range s.Tiers {
-		n := 0
-		for k := range s.Tiers[t].MachineTypes {
-			kind := &s.Tiers[t].MachineTypes[k]
-			for range kind.Count {
-				m := Machine{Tier: t, Zone: n % len(s.Zones), Type: kind, TypeIndex: k}
-				if kind.CellSize > 0 {
-					m.Cell = n / kind.CellSize
+// Machines returns the servers of all tiers. Zones are assigned round-robin; the order is the same in every run.
+func (s *Scenario) Machines() (machines []Machine) {
+	for tier := range s.Tiers {
+		indexInTier := 0
+		for typeIndex := range s.Tiers[tier].MachineTypes {
+			machineType := &s.Tiers[tier].MachineTypes[typeIndex]
+			for range machineType.Count {
+				m := Machine{Tier: tier, Zone: indexInTier % len(s.Zones), Type: machineType, TypeIndex: typeIndex}
+				if machineType.CellSize > 0 {
+					m.Cell = indexInTier / machineType.CellSize
 				}
-				all = append(all, m)
-				n++
+				machines = append(machines, m)
+				indexInTier++
 			}
 		}
 	}
-	return all
+	return machines
 }
 
-// Balancer is one node.
+// Node is one node of the experiment.
 type Node struct {
 	Tier, Zone int
-	Index      int // among those of its tier
-	NodeCount  int // how many they are
-	Server     int // whose node it is, in a later tier: a place in Machines; -1 in the first
+	Index      int // among the nodes of its tier
+	NodeCount  int // nodes in its tier
+	Server     int // index in Machines of the server that the node belongs to, in a later tier; -1 in the first tier
 }
 
-// Balancers are the nodes of all tiers.
-func (s *Scenario) Nodes() (all []Node) {
-	of := make([]int, len(s.Tiers))
+// Nodes returns the nodes of all tiers.
+func (s *Scenario) Nodes() (nodes []Node) {
+	nodeCounts := make([]int, len(s.Tiers))
 	for n := range s.Tiers[0].NodeCount {
-		all = append(all, Node{Zone: n % len(s.Zones), Index: n, Server: -1})
+		nodes = append(nodes, Node{Zone: n % len(s.Zones), Index: n, Server: -1})
 	}
-	of[0] = s.Tiers[0].NodeCount
-	for place, m := range s.Machines() {
+	nodeCounts[0] = s.Tiers[0].NodeCount
+	for server, m := range s.Machines() {
 		if next := m.Tier + 1; next < len(s.Tiers) {
-			all = append(all, Node{Tier: next, Zone: m.Zone, Server: place, Index: of[next]})
-			of[next]++
+			nodes = append(nodes, Node{Tier: next, Zone: m.Zone, Server: server, Index: nodeCounts[next]})
+			nodeCounts[next]++
 		}
 	}
-	for i := range all {
-		all[i].NodeCount = of[all[i].Tier]
+	for i := range nodes {
+		nodes[i].NodeCount = nodeCounts[nodes[i].Tier]
 	}
-	return all
+	return nodes
 }
 
-var effects = map[string]string{"redeliverable": "idempotent", "deduplicated": "deduplicated",
+// effectByDelivery maps the delivery semantics of a category to the value of the key effect in a node's configuration.
+var effectByDelivery = map[string]string{"redeliverable": "idempotent", "deduplicated": "deduplicated",
 	"at_most_once": "at_most_once"}
 
-// Repeats are the categories' kinds of repeat, as the module has them.
+// DeliveryByName maps the names of the delivery semantics to the values of the policy module.
 var DeliveryByName = map[string]policy.DeliverySemantics{"redeliverable": policy.Redeliverable, "deduplicated": policy.Deduplicated,
 	"at_most_once": policy.AtMostOnce}
 
-// Config is a node's configuration in the platform's form. Known is the list that it starts with, in the registry's; fleet
-// is its key of that name, left out if nil.
-func (s *Scenario) NodeConfig(b Node, name, listen, discovery string, seed uint64, known json.RawMessage, fleet any) []byte {
+// NodeConfig returns a node's configuration in the JSON format of the platform. cachedList is the list of servers that
+// the node starts with, in the registry's format; fleet is the value of the key fleet, left out if nil.
+func (s *Scenario) NodeConfig(node Node, name, listen, registryAddr string, seed uint64, cachedList json.RawMessage, fleet any) []byte {
 	type object = map[string]any
-	var tiers, kinds []string
+	var tiers, machineTypes []string
 	for _, t := range s.Tiers {
 		tiers = append(tiers, t.Name)
 	}
-	idle := 0.0
-	for _, k := range s.Tiers[b.Tier].MachineTypes {
-		kinds = append(kinds, k.Name)
-		if idle == 0 || k.IdleTimeout.Milliseconds() < idle {
-			idle = k.IdleTimeout.Milliseconds()
+	minIdleTimeoutMs := 0.0
+	for _, machineType := range s.Tiers[node.Tier].MachineTypes {
+		machineTypes = append(machineTypes, machineType.Name)
+		if minIdleTimeoutMs == 0 || machineType.IdleTimeout.Milliseconds() < minIdleTimeoutMs {
+			minIdleTimeoutMs = machineType.IdleTimeout.Milliseconds()
 		}
 	}
 	categories, tenants := []object{}, []object{}
 	for _, c := range s.Categories {
-		o := object{"name": c.Name, "benefit": c.Benefit, "tardy_benefit": c.LateBenefit, "effect": effects[c.Delivery],
+		category := object{"name": c.Name, "benefit": c.Benefit, "tardy_benefit": c.LateBenefit, "effect": effectByDelivery[c.Delivery],
 			"target_latency": c.TargetLatency.Milliseconds(), "ttl": c.TTL.Milliseconds()}
 		if c.Delivery == "deduplicated" {
-			o["key_scope"], o["repeat_window"] = c.DedupScope, c.DedupWindow.Milliseconds()
+			category["key_scope"] = c.DedupScope
+			category["repeat_window"] = c.DedupWindow.Milliseconds()
 		}
-		categories = append(categories, o)
+		categories = append(categories, category)
 	}
 	for _, t := range s.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "share": t.Share, "quota_rps": t.Quota})
 	}
-	l := s.Limits
-	settings := object{"tier": b.Tier, "tiers": tiers, "fleet_size": b.NodeCount, "slot_no": b.Index, "az": b.Zone,
-		"failure_domains": s.Zones, "kinds": kinds, "tick": 5.0, "registry_mode": "ask", "categories": categories,
-		"tenants": tenants, "beyond_share_benefit": l.BeyondShareBenefit,
-		"limits": object{"max_pushes": l.MaxPushes, "may_duplicate": l.MayDuplicate, "may_cancel": l.MayCancel,
-			"dial_timeout": l.DialTimeout.Milliseconds(), "idle_close": idle, "retry_after": l.MaxRetryAfter > 0,
-			"max_retry_after": l.MaxRetryAfter.Milliseconds()},
-		"safety": object{"answer_slack": l.AnswerSlack.Milliseconds(), "cold_from": l.ColdInitialShare, "cold": l.ColdWarmUpTime.Milliseconds(),
-			"overload_factor": l.ColdOverloadFactor, "tip_after": l.ColdOverloadWindow.Milliseconds(), "must_ask_in": 10000.0,
-			"drain_grace": l.DrainGrace.Milliseconds()},
-		"prices": object{"cross_zone": l.CrossZoneCost}}
-	document := object{"name": name, "listen": listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", seed), "log_level": "warn", "known": known, "settings": settings,
-		"limits": object{"cores": 1.0, "memory_mb": l.MemoryMB, "sockets": l.Sockets}}
+	limits := s.Limits
+	settings := object{"tier": node.Tier, "tiers": tiers, "fleet_size": node.NodeCount, "slot_no": node.Index, "az": node.Zone,
+		"failure_domains": s.Zones, "kinds": machineTypes, "tick": 5.0, "registry_mode": "ask", "categories": categories,
+		"tenants": tenants, "beyond_share_benefit": limits.BeyondShareBenefit,
+		"limits": object{"max_pushes": limits.MaxPushes, "may_duplicate": limits.MayDuplicate, "may_cancel": limits.MayCancel,
+			"dial_timeout": limits.DialTimeout.Milliseconds(), "idle_close": minIdleTimeoutMs, "retry_after": limits.MaxRetryAfter > 0,
+			"max_retry_after": limits.MaxRetryAfter.Milliseconds()},
+		"safety": object{"answer_slack": limits.AnswerSlack.Milliseconds(), "cold_from": limits.ColdInitialShare, "cold": limits.ColdWarmUpTime.Milliseconds(),
+			"overload_factor": limits.ColdOverloadFactor, "tip_after": limits.ColdOverloadWindow.Milliseconds(), "must_ask_in": 10000.0,
+			"drain_grace": limits.DrainGrace.Milliseconds()},
+		"prices": object{"cross_zone": limits.CrossZoneCost}}
+	document := object{"name": name, "listen": listen, "discovery": registryAddr,
+		"seed": fmt.Sprintf("%016x", seed), "log_level": "warn", "known": cachedList, "settings": settings,
+		"limits": object{"cores": 1.0, "memory_mb": limits.MemoryMB, "sockets": limits.Sockets}}
 	if fleet != nil {
 		document["fleet"] = fleet
 		if s.Fleet.PeerMessaging {
@@ -118,20 +120,35 @@
 	}
 	raw, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // nothing of the above can fail to be written
+		panic(err) // all values above can be encoded
 	}
 	return raw
 }
 
-// Traits are a machine's, as the model takes them.
+// ModelSpec returns the parameters of the machine for the server model.
 func (m Machine) ModelSpec(s *Scenario) fleet.Spec {
-	k := m.Type
-	return fleet.Spec{Cores: k.Cores, Speed: k.Speed, QueueLimit: k.QueueLimit, JamQueuePerCore: k.JamQueuePerCore, JamDelay: k.JamDelay.Micros(),
-		JamSlowdown: k.JamSlowdown, JamRecoveryTime: k.JamRecoveryTime.Micros(), CrowdingPerCore: k.CrowdingPerCore, CrowdingSlowdown: k.CrowdingSlowdown, ColdStart: fleet.ColdStart{InitialShare: s.Limits.ColdInitialShare,
-			WarmUpTime: s.Limits.ColdWarmUpTime.Micros(), OverloadFactor: s.Limits.ColdOverloadFactor, OverloadWindow: s.Limits.ColdOverloadWindow.Micros(), MeanWork: s.MeanWork()}}
+	t := m.Type
+	return fleet.Spec{
+		Cores:            t.Cores,
+		Speed:            t.Speed,
+		QueueLimit:       t.QueueLimit,
+		JamQueuePerCore:  t.JamQueuePerCore,
+		JamDelay:         t.JamDelay.Micros(),
+		JamSlowdown:      t.JamSlowdown,
+		JamRecoveryTime:  t.JamRecoveryTime.Micros(),
+		CrowdingPerCore:  t.CrowdingPerCore,
+		CrowdingSlowdown: t.CrowdingSlowdown,
+		ColdStart: fleet.ColdStart{
+			InitialShare:   s.Limits.ColdInitialShare,
+			WarmUpTime:     s.Limits.ColdWarmUpTime.Micros(),
+			OverloadFactor: s.Limits.ColdOverloadFactor,
+			OverloadWindow: s.Limits.ColdOverloadWindow.Micros(),
+			MeanWork:       s.MeanWork(),
+		},
+	}
 }
 
-// MeanWork is that of an op of the load.
+// MeanWork returns the mean work of an op over all categories, weighted by their share of the load.
 func (s *Scenario) MeanWork() policy.Micros {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Categories {
@@ -141,8 +158,9 @@
 	return policy.Micros(work / shares)
 }
 
-// Group is the group that drops a category's repeats at this machine, and for how long, if repeats are dropped.
-func (m Machine) DedupGroup(s *Scenario, category int) (group int, window policy.Micros, kept bool) {
+// DedupGroup returns the group of servers that drops duplicates of a category's ops at this machine, and for how long
+// the group remembers an op. deduplicated is false if duplicates are not dropped.
+func (m Machine) DedupGroup(s *Scenario, category int) (group int, window policy.Micros, deduplicated bool) {
 	c := &s.Categories[category]
 	switch c.DedupScope {
 	case "zone":
@@ -153,24 +171,24 @@
 	return group, c.DedupWindow.Micros(), c.Delivery == "deduplicated"
 }
 
-// Memories are the groups' memories of a run, by category, tier and group.
+// DedupMemories holds the deduplication memories of a run, by category, tier and group.
 type DedupMemories map[[3]int]*fleet.DedupMemory
 
-// Of gives the memory of a category's group at a machine, or nil where repeats are not dropped. It remembers for slack
-// longer than the category's window.
-func (all DedupMemories) Get(s *Scenario, category int, m Machine, slack policy.Micros) *fleet.DedupMemory {
-	group, window, kept := m.DedupGroup(s, category)
-	if !kept {
+// Get returns the deduplication memory of a category's group at a machine, or nil where duplicates are not dropped. The
+// memory retains an op for extraRetention longer than the category's window.
+func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.DedupMemory {
+	group, window, deduplicated := m.DedupGroup(s, category)
+	if !deduplicated {
 		return nil
 	}
 	key := [3]int{category, m.Tier, group}
-	if all[key] == nil {
-		all[key] = fleet.NewDedupMemory(window + slack)
+	if memories[key] == nil {
+		memories[key] = fleet.NewDedupMemory(window + extraRetention)
 	}
-	return all[key]
+	return memories[key]
 }
 
-// Entry is how the registry lists a machine that has been up for long, by its place in the plan.
-func (m Machine) RegistryEntry(place int) registry.Entry {
-	return registry.Entry{Server: place, Zone: m.Zone, MachineType: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
+// RegistryEntry returns the registry's entry of a machine that started long ago. server is its index in the plan.
+func (m Machine) RegistryEntry(server int) registry.Entry {
+	return registry.Entry{Server: server, Zone: m.Zone, MachineType: m.TypeIndex, Cell: m.Cell, Weight: float64(m.Type.Cores) * m.Type.Speed}
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -8,296 +8,307 @@
 	"canvasrouter/policy"
 )
 
-// server is one server of the fleet: the model, and the connections that nodes keep to it.
+// server is one server of the fleet: the server model, and the connections of the nodes to it.
 type server struct {
-	run     *run
-	place   int
-	machine scenario.Machine
-	model   *fleet.Server
-	node    *balancer // its own, before the next tier
-	up      bool
-	silent  bool // down without a word
-	mode    scenario.ServerMode
-	started policy.Micros
-	wakes   policy.Micros
-	idle    map[*balancer][]policy.Micros // connections kept, by when each fell idle
-	open    int
+	run             *run
+	index           int
+	machine         scenario.Machine
+	model           *fleet.Server
+	nextTierNode    *simNode // the server's own node for calls to the next tier, or nil
+	up              bool
+	silent          bool // went down without closing its connections
+	mode            scenario.ServerMode
+	started         policy.Micros
+	wakeAt          policy.Micros                // time of the scheduled completion event
+	idleConnections map[*simNode][]policy.Micros // since when each connection of a node is idle
+	openConnections int
 }
 
-func newServer(r *run, place int, m scenario.Machine, up bool) *server {
-	return &server{run: r, place: place, machine: m, up: up, wakes: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
-		idle: make(map[*balancer][]policy.Micros)}
+func newServer(r *run, index int, m scenario.Machine, up bool) *server {
+	return &server{run: r, index: index, machine: m, up: up, wakeAt: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
+		idleConnections: make(map[*simNode][]policy.Micros)}
 }
 
+// start starts the server cold.
 func (s *server) start() {
-	s.up, s.silent, s.started, s.open = true, false, s.run.now, 0
-	clear(s.idle)
+	s.up = true
+	s.silent = false
+	s.started = s.run.now
+	s.openConnections = 0
+	clear(s.idleConnections)
 	s.model.RestartCold(s.run.now)
-	if s.node != nil && !s.node.up {
-		s.node.start() // a server's own node starts with it
+	if s.nextTierNode != nil && !s.nextTierNode.up {
+		s.nextTierNode.start() // a server's own node starts with it
 	}
 }
 
-// crash ends the server. Its node goes with it.
+// crash ends the server, and its own node with it.
 func (s *server) crash() {
 	if !s.up {
 		return
 	}
-	s.up, s.open = false, 0
-	clear(s.idle)
-	for _, j := range s.model.Crash() {
-		f := j.Context.(*flight)
-		s.book(j, f)
+	s.up = false
+	s.openConnections = 0
+	clear(s.idleConnections)
+	for _, job := range s.model.Crash() {
+		push := job.Context.(*simPush)
+		s.recordJob(job, push)
 		if !s.silent {
-			f.answer(policy.Reset)
+			push.answer(policy.Reset)
 		}
 	}
-	if s.node != nil {
-		s.node.crash()
+	if s.nextTierNode != nil {
+		s.nextTierNode.crash()
 	}
 }
 
-// die is what an op does to the server of a life that begins it. The registry notices late, as with other deaths.
-func (s *server) die(life, down policy.Micros) {
+// killedByOp ends the server through an op that crashes it, unless the server has restarted since the op arrived. As
+// with other crashes, the registry detects it a second later.
+func (s *server) killedByOp(serverStart, downFor policy.Micros) {
 	r := s.run
-	if !s.up || s.started != life {
+	if !s.up || s.started != serverStart {
 		return
 	}
 	s.crash()
-	r.at(r.now+policy.Second, func() {
+	r.schedule(r.now+policy.Second, func() {
 		if !s.up {
-			r.listed(s.place, policy.Gone)
+			r.setListed(s.index, policy.Gone)
 		}
 	})
-	r.at(r.now+down, func() {
+	r.schedule(r.now+downFor, func() {
 		if !s.up {
 			s.start()
-			r.listed(s.place, policy.Ready)
+			r.setListed(s.index, policy.Ready)
 		}
 	})
 }
 
-// connect takes a connection for a push, and says what it costs the server.
-func (s *server) connect(n *balancer) (price policy.Micros, room bool) {
-	kept := s.idle[n]
-	for len(kept) > 0 && s.run.now-kept[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
-		kept = kept[1:]
-		s.open--
+// connect takes an idle connection for a push or opens a new one, and returns the core time that it costs the server.
+// ok is false if the server has no connection left.
+func (s *server) connect(from *simNode) (cost policy.Micros, ok bool) {
+	idle := s.idleConnections[from]
+	for len(idle) > 0 && s.run.now-idle[0] >= s.machine.Type.IdleTimeout.Micros()*9/10 {
+		idle = idle[1:]
+		s.openConnections--
 	}
-	if len(kept) > 0 {
-		s.idle[n] = kept[:len(kept)-1]
+	if len(idle) > 0 {
+		s.idleConnections[from] = idle[:len(idle)-1]
 		return 0, true
 	}
-	s.idle[n] = kept
-	if most := s.machine.Type.MaxConnections; most > 0 && s.open >= most {
+	s.idleConnections[from] = idle
+	if maxConnections := s.machine.Type.MaxConnections; maxConnections > 0 && s.openConnections >= maxConnections {
 		return 0, false
 	}
-	s.open++
+	s.openConnections++
 	return s.machine.Type.ConnectionCost.Micros(), true
 }
 
-// disconnect gives a connection back; one of a push that was given up is closed.
-func (s *server) disconnect(f *flight) {
-	if !f.connected || f.life != s.started {
+// disconnect makes the connection of a push idle again, or closes it if the push was cancelled.
+func (s *server) disconnect(push *simPush) {
+	if !push.connected || push.serverStart != s.started {
 		return
 	}
-	f.connected = false
-	if f.given {
-		s.open--
+	push.connected = false
+	if push.cancelled {
+		s.openConnections--
 		return
 	}
-	s.idle[f.node] = append(s.idle[f.node], s.run.now)
+	s.idleConnections[push.from] = append(s.idleConnections[push.from], s.run.now)
 }
 
-// arrive is a push's last byte at the server.
-func (s *server) arrive(f *flight) {
+// arrive handles a push that has arrived completely at the server.
+func (s *server) arrive(push *simPush) {
 	r := s.run
 	switch {
-	case f.given:
-		return // closed before it got here
+	case push.cancelled:
+		return // the connection was closed before the push arrived
 	case !s.up && s.silent:
 		return
 	case !s.up:
-		f.answer(policy.ConnectFailed)
+		push.answer(policy.ConnectFailed)
 		return
 	}
-	f.push = r.account.RecordPush(f.try, s.place, r.now)
-	f.arrived, f.life = true, s.started
-	price, room := s.connect(f.node)
-	if !room {
-		f.answer(policy.Full)
+	push.id = r.ledger.RecordPush(push.try, s.index, r.now)
+	push.arrived = true
+	push.serverStart = s.started
+	cost, connected := s.connect(push.from)
+	if !connected {
+		push.answer(policy.Full)
 		return
 	}
-	f.connected = true
+	push.connected = true
 	switch s.mode {
 	case scenario.ModeErrors:
-		f.answer(policy.Errored)
+		push.answer(policy.Errored)
 		return
 	case scenario.ModeReject:
-		f.answer(policy.Full)
+		push.answer(policy.Full)
 		return
 	}
-	if f.arrival.AlwaysFails {
-		f.answer(policy.Errored)
+	if push.arrival.AlwaysFails {
+		push.answer(policy.Errored)
 		return
 	}
-	key, category := r.account.OpOf(f.try)
-	memory := r.memory(category, s.machine)
-	if memory != nil && memory.CheckAndRemember(r.now, keyText(key)) {
-		f.answer(policy.Acked)
+	key, category := r.ledger.OpOf(push.try)
+	memory := r.dedupMemory(category, s.machine)
+	if memory != nil && memory.CheckAndRemember(r.now, dedupKey(key)) {
+		push.answer(policy.Acked)
 		return
 	}
-	f.key = keyText(key)
-	f.job = &fleet.Job{Work: f.work + price, StartKnown: r.account.KnowsServerStart(f.node.place, s.place, s.started), Context: f}
-	got := s.model.Arrive(r.now, f.job)
-	r.account.RecordPeakLoad(s.model.PeakLoad())
-	switch got {
+	push.key = dedupKey(key)
+	push.job = &fleet.Job{Work: push.work + cost, StartKnown: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Context: push}
+	result := s.model.Arrive(r.now, push.job)
+	r.ledger.RecordPeakLoad(s.model.PeakLoad())
+	switch result {
 	case fleet.Accepted:
-		if down := f.arrival.KillsFor; down > 0 && f.arrival.KillTier == s.machine.Tier {
-			r.at(r.now+policy.Millisecond, func() { s.die(f.life, down) })
+		if downFor := push.arrival.KillsFor; downFor > 0 && push.arrival.KillTier == s.machine.Tier {
+			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(push.serverStart, downFor) })
 		}
 	case fleet.CollapsedByInformed, fleet.CollapsedByUninformed:
-		r.account.RecordCollapse(s.place, got == fleet.CollapsedByInformed)
+		r.ledger.RecordCollapse(s.index, result == fleet.CollapsedByInformed)
 		fallthrough
 	default:
 		if memory != nil {
-			memory.Forget(f.key)
+			memory.Forget(push.key)
 		}
-		f.job = nil
-		f.answer(policy.Full)
+		push.job = nil
+		push.answer(policy.Full)
 	}
-	s.wake()
+	s.scheduleWake()
 }
 
-// wake sets the event at which the next job's own work is over.
-func (s *server) wake() {
+// scheduleWake schedules the event at which the next job completes its own work.
+func (s *server) scheduleWake() {
 	next := s.model.NextCompletion()
-	if next == fleet.Never || s.wakes <= next && s.wakes > s.run.now {
+	if next == fleet.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
 		return
 	}
-	s.wakes = next
-	s.run.at(next, func() {
-		if s.wakes != next {
+	s.wakeAt = next
+	s.run.schedule(next, func() {
+		if s.wakeAt != next {
 			return
 		}
-		s.wakes = fleet.Never
-		for _, j := range s.model.Advance(s.run.now) {
-			s.done(j)
+		s.wakeAt = fleet.Never
+		for _, job := range s.model.Advance(s.run.now) {
+			s.jobDone(job)
 		}
-		s.wake()
+		s.scheduleWake()
 	})
 }
 
-// book writes down what a job was. One that never ran is no repeat's first.
-func (s *server) book(j *fleet.Job, f *flight) {
-	if j.Started() {
-		s.run.account.RecordEffect(f.push)
-		s.run.account.RecordWork(f.push, j.Work)
+// recordJob records the effect and the work of a job. A job that never ran is removed from the deduplication memory,
+// because a later duplicate of it must run.
+func (s *server) recordJob(job *fleet.Job, push *simPush) {
+	if job.Started() {
+		s.run.ledger.RecordEffect(push.id)
+		s.run.ledger.RecordWork(push.id, job.Work)
 		return
 	}
-	_, category := s.run.account.OpOf(f.try)
-	if memory := s.run.memory(category, s.machine); memory != nil {
-		memory.Forget(f.key)
+	_, category := s.run.ledger.OpOf(push.try)
+	if memory := s.run.dedupMemory(category, s.machine); memory != nil {
+		memory.Forget(push.key)
 	}
 }
 
-// done is the end of a job's own work. What it needs of the next tier comes now, one call after another.
-func (s *server) done(j *fleet.Job) {
-	f := j.Context.(*flight)
-	s.book(j, f)
+// jobDone handles the end of a job's own work. Its calls to the next tier follow, one after another.
+func (s *server) jobDone(job *fleet.Job) {
+	push := job.Context.(*simPush)
+	s.recordJob(job, push)
 	calls := 0
 	if s.machine.Tier+1 < len(s.run.Scenario.Tiers) {
-		calls = f.arrival.CallsByTier[s.machine.Tier]
+		calls = push.arrival.CallsByTier[s.machine.Tier]
 	}
-	s.call(j, f, calls)
+	s.callNextTier(job, push, calls)
 }
 
-func (s *server) call(j *fleet.Job, f *flight, left int) {
-	life := s.started
-	if left == 0 {
-		s.finish(j, f, policy.Acked)
+// callNextTier makes the next of a job's calls to the next tier, and finishes the job after the last call.
+func (s *server) callNextTier(job *fleet.Job, push *simPush, callsLeft int) {
+	serverStart := s.started
+	if callsLeft == 0 {
+		s.finish(job, push, policy.Acked)
 		return
 	}
 	now := s.run.now
-	_, category := s.run.account.OpOf(f.try)
-	until := now + s.run.Scenario.Categories[category].TTL.Micros()
+	_, category := s.run.ledger.OpOf(push.try)
+	deadline := now + s.run.Scenario.Categories[category].TTL.Micros()
 	if s.run.Scenario.Limits.PassesDeadline {
-		until = min(until, f.until)
+		deadline = min(deadline, push.deadline)
 	}
-	op := s.run.account.RecordOp(now, category, f.arrival.Tenant, s.machine.Tier+1)
-	s.node.take(&hand{op: op, arrival: f.arrival, category: category, notAfter: until, then: func(v ledger.Verdict) {
-		if s.started != life || !s.up {
-			return // it has died since
+	op := s.run.ledger.RecordOp(now, category, push.arrival.Tenant, s.machine.Tier+1)
+	s.nextTierNode.submit(&request{op: op, arrival: push.arrival, category: category, deadline: deadline, onEnd: func(verdict ledger.Verdict) {
+		if s.started != serverStart || !s.up {
+			return // the server has crashed since
 		}
-		if v != ledger.Served {
-			s.finish(j, f, policy.Errored)
+		if verdict != ledger.Served {
+			s.finish(job, push, policy.Errored)
 			return
 		}
-		s.call(j, f, left-1)
+		s.callNextTier(job, push, callsLeft-1)
 	}})
 }
 
-func (s *server) finish(j *fleet.Job, f *flight, how policy.Outcome) {
+// finish answers a push and frees the core of its job.
+func (s *server) finish(job *fleet.Job, push *simPush, outcome policy.Outcome) {
 	switch s.mode {
 	case scenario.ModeReset:
-		how = policy.Reset
+		outcome = policy.Reset
 	case scenario.ModeCorrupt:
-		how = policy.Errored
+		outcome = policy.Errored
 	}
-	f.answer(how)
-	s.model.Release(s.run.now, j)
-	s.wake()
+	push.answer(outcome)
+	s.model.Release(s.run.now, job)
+	s.scheduleWake()
 }
 
-// leave is a push's connection closing before its answer.
-func (s *server) leave(f *flight) {
-	if f.job == nil || f.life != s.started || !s.up {
+// connectionClosed handles the close of a push's connection before the answer.
+func (s *server) connectionClosed(push *simPush) {
+	if push.job == nil || push.serverStart != s.started || !s.up {
 		return
 	}
-	if s.model.Cancel(s.run.now, f.job) {
-		s.book(f.job, f)
+	if s.model.Cancel(s.run.now, push.job) {
+		s.recordJob(push.job, push)
 	}
-	s.disconnect(f)
-	s.wake()
+	s.disconnect(push)
+	s.scheduleWake()
 }
 
-// memory is that of a category's group, or nil.
-func (r *run) memory(category int, m scenario.Machine) *fleet.DedupMemory {
-	return r.memories.Get(r.Scenario, category, m, r.account.Tolerance())
+// dedupMemory returns the deduplication memory of a category's group at a machine, or nil.
+func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.DedupMemory {
+	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
-// flight is one push on its way, at a server, or on its way back.
-type flight struct {
-	node      *balancer
-	to        *server
-	hand      *hand
-	arrival   *load.Arrival
-	try       ledger.TryID
-	push      ledger.PushID
-	job       *fleet.Job
-	key       string
-	work      policy.Micros
-	until     policy.Micros // the end that the node told the server
-	life      policy.Micros // of the server, when it arrived
-	arrived   bool
-	connected bool
-	given     bool // up by the node
-	answered  bool
-	handle    handle
+// simPush is one push on the way to a server, at the server, or on the way back.
+type simPush struct {
+	from        *simNode
+	to          *server
+	request     *request
+	arrival     *load.Arrival
+	try         ledger.TryID
+	id          ledger.PushID
+	job         *fleet.Job
+	key         string
+	work        policy.Micros
+	deadline    policy.Micros // as sent by the node to the server
+	serverStart policy.Micros // start time of the server when the push arrived
+	arrived     bool
+	connected   bool
+	cancelled   bool // by the node, or its connection has ended
+	answered    bool
+	nodePush    nodePush
 }
 
-// answer sends a push's outcome back.
-func (f *flight) answer(how policy.Outcome) {
-	if f.answered {
+// answer sends a push's outcome back to its node.
+func (p *simPush) answer(outcome policy.Outcome) {
+	if p.answered {
 		return
 	}
-	f.answered = true
-	if how == policy.Reset {
-		f.given = true // the connection is no more
+	p.answered = true
+	if outcome == policy.Reset {
+		p.cancelled = true // the connection no longer exists
 	}
-	f.to.disconnect(f)
-	r := f.node.run
-	if way, lost := r.way(f.node, f.to); !lost {
-		r.at(r.now+r.hop()+way, func() { f.node.ended(f, how) })
+	p.to.disconnect(p)
+	r := p.from.run
+	if extraDelay, lost := r.pathImpairment(p.from, p.to); !lost {
+		r.schedule(r.now+r.networkDelay()+extraDelay, func() { p.from.receiveOutcome(p, outcome) })
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,6 +1,6 @@
-// Package sim plays an experiment in simulated time: the model of the fleet, the load, the ledger, and for each
-// balancer the node's own actor with the module, on a clock that the driver moves. One goroutine does it all, so a
-// seed gives the same run to the last byte.
+// Package sim runs an experiment in simulated time, as a discrete-event simulation. Servers are simulated by a model;
+// each node is the actor of the real program with the policy module, on a simulated clock. All events run on one
+// goroutine, so the same seed gives a result that is identical to the last byte.
 package sim
 
 import (
@@ -23,112 +23,121 @@
 	"canvasrouter/policy"
 )
 
-// Options say what is played.
+// Options selects the run of an experiment.
 type Options struct {
 	Scenario     *scenario.Scenario
-	Policy       string
-	Fault        string
+	Policy       string // one of trial.Policies
+	Fault        string // one of trial.Faults, or empty
 	Seed         uint64
-	LoadDuration policy.Micros // of the load
+	LoadDuration policy.Micros
 	Arrivals     []load.Arrival
-	OnSecond     func(now policy.Micros, a *ledger.Ledger) // each simulated second, if set
+	OnSecond     func(now policy.Micros, a *ledger.Ledger) // called each simulated second, if set
 }
 
 const (
-	start          = 1000 * policy.Second     // of the load, on the simulated clock
-	watch          = 250 * policy.Millisecond // past the last moment for an answer, in which one would be seen
-	sample         = 250 * policy.Millisecond // between looks at the throttles
-	unseen         = policy.Second            // until the front leaves out a node that has died
-	BucketDuration = 500 * policy.Millisecond // of the report's buckets
+	loadStart              = 1000 * policy.Second     // start of the load on the simulated clock
+	lateAnswerWindow       = 250 * policy.Millisecond // how long a client still waits past the latest allowed answer
+	throttleSampleInterval = 250 * policy.Millisecond
+	nodeDownDetection      = policy.Second // until the front end skips a crashed node
+
+	// BucketDuration is the length of the buckets in the time series of the result.
+	BucketDuration = 500 * policy.Millisecond
 )
 
+// event is a function to call at a simulated time. Events of the same time run in the order of their scheduling.
 type event struct {
 	at    policy.Micros
 	order uint64
 	do    func()
 }
 
-type events struct {
+// eventQueue is a priority queue of events; it implements heap.Interface.
+type eventQueue struct {
 	heap []event
-	next uint64
+	next uint64 // order of the last scheduled event
 }
 
-func (e *events) Len() int { return len(e.heap) }
-func (e *events) Less(i, j int) bool {
-	return e.heap[i].at < e.heap[j].at || e.heap[i].at == e.heap[j].at && e.heap[i].order < e.heap[j].order
+func (q *eventQueue) Len() int { return len(q.heap) }
+func (q *eventQueue) Less(i, j int) bool {
+	return q.heap[i].at < q.heap[j].at || q.heap[i].at == q.heap[j].at && q.heap[i].order < q.heap[j].order
 }
-func (e *events) Swap(i, j int) { e.heap[i], e.heap[j] = e.heap[j], e.heap[i] }
-func (e *events) Push(x any)    { e.heap = append(e.heap, x.(event)) }
-func (e *events) Pop() any {
-	last := e.heap[len(e.heap)-1]
-	e.heap[len(e.heap)-1] = event{}
-	e.heap = e.heap[:len(e.heap)-1]
+func (q *eventQueue) Swap(i, j int) { q.heap[i], q.heap[j] = q.heap[j], q.heap[i] }
+func (q *eventQueue) Push(x any)    { q.heap = append(q.heap, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := q.heap[len(q.heap)-1]
+	q.heap[len(q.heap)-1] = event{}
+	q.heap = q.heap[:len(q.heap)-1]
 	return last
 }
 
-// run is one experiment being played.
+// run is the state of one run of an experiment.
 type run struct {
 	Options
-	account  *ledger.Ledger
-	events   events
-	now      policy.Micros
-	rng      *rand.Rand // of the network
-	plan     *scenario.Plan
-	servers  []*server
-	nodes    []*balancer
-	catalogs []*registry.Catalog // by tier
-	slow     policy.Micros       // registry's further delay
-	down     bool
-	memories scenario.DedupMemories
-	byID     map[policy.ServerID]int
-	turn     int // of the front
-	step     policy.Micros
-	ways     []scenario.Step // by zone: what its way to the others does
-	hidden   []float64       // by server: share of the pushes of half of the nodes that is lost
-	err      error
+	ledger          *ledger.Ledger
+	events          eventQueue
+	now             policy.Micros
+	rng             *rand.Rand // for network delays and losses
+	plan            *scenario.Plan
+	servers         []*server
+	nodes           []*simNode
+	catalogs        []*registry.Catalog // by tier
+	registryDelay   policy.Micros       // additional delay of the registry
+	registryDown    bool
+	memories        scenario.DedupMemories
+	serverIndexByID map[policy.ServerID]int
+	frontTurn       int             // number of requests that the front end has assigned
+	clockStep       policy.Micros   // offset of the clients' clocks
+	zoneDelays      []scenario.Step // by zone: the active ZoneDelay step of its traffic with other zones
+	lostPushShare   []float64       // by server: share of the pushes from half of the nodes that is lost
+	err             error
 }
 
-// Run plays an experiment to its end, or until ctx is done; then the result is partial.
-func Run(ctx context.Context, o Options) (*ledger.Result, *ledger.Ledger, error) {
-	s := o.Scenario
-	r := &run{Options: o, now: start - s.Load.LeadTime.Micros(), rng: stream.New(o.Seed, "network"),
-		account:  ledger.New(s, start, BucketDuration, true),
-		plan:     s.Plan(stream.New(o.Seed, "troubles")),
-		memories: make(scenario.DedupMemories), byID: make(map[policy.ServerID]int)}
+// Run runs an experiment to its end, or until ctx is done; then the result is partial.
+func Run(ctx context.Context, options Options) (*ledger.Result, *ledger.Ledger, error) {
+	s := options.Scenario
+	r := &run{
+		Options:         options,
+		now:             loadStart - s.Load.LeadTime.Micros(),
+		rng:             stream.New(options.Seed, "network"),
+		ledger:          ledger.New(s, loadStart, BucketDuration, true),
+		plan:            s.Plan(stream.New(options.Seed, "troubles")),
+		memories:        make(scenario.DedupMemories),
+		serverIndexByID: make(map[policy.ServerID]int),
+	}
 	r.build()
 	if r.err != nil {
 		return nil, nil, r.err
 	}
 	for i := range r.plan.Steps {
 		step := &r.plan.Steps[i]
-		if step.At < o.LoadDuration {
-			r.at(start+step.At, func() { r.carryOut(step) })
+		if step.At < options.LoadDuration {
+			r.schedule(loadStart+step.At, func() { r.applyStep(step) })
 		}
 	}
-	for i := range o.Arrivals {
-		a := &o.Arrivals[i]
-		r.at(start+a.At, func() { r.offer(a) })
+	for i := range options.Arrivals {
+		arrival := &options.Arrivals[i]
+		r.schedule(loadStart+arrival.At, func() { r.startClientOp(arrival) })
 	}
-	longest := policy.Micros(0)
+	maxTTL := policy.Micros(0)
 	for _, c := range s.Categories {
-		longest = max(longest, c.TTL.Micros())
+		maxTTL = max(maxTTL, c.TTL.Micros())
 	}
-	end := start + o.LoadDuration + longest + s.Limits.AnswerSlack.Micros() + 2*watch + policy.Second
-	r.every(start, sample, r.sample)
-	if o.OnSecond != nil {
-		r.every(start, policy.Second, func() { o.OnSecond(r.now-start, r.account) })
+	end := loadStart + options.LoadDuration + maxTTL + s.Limits.AnswerSlack.Micros() + 2*lateAnswerWindow + policy.Second
+	r.schedulePeriodic(loadStart, throttleSampleInterval, r.sampleThrottles)
+	if options.OnSecond != nil {
+		r.schedulePeriodic(loadStart, policy.Second, func() { options.OnSecond(r.now-loadStart, r.ledger) })
 	}
-	partial := r.play(ctx, end)
+	partial := r.processEvents(ctx, end)
 	if partial {
-		r.account.Abort(r.now)
+		r.ledger.Abort(r.now)
 	}
-	result := r.account.Finish(start + min(o.LoadDuration, r.now-start))
+	result := r.ledger.Finish(loadStart + min(options.LoadDuration, r.now-loadStart))
 	result.Partial = partial
-	return result, r.account, r.err
+	return result, r.ledger, r.err
 }
 
-// play works off events up to a moment.
-func (r *run) play(ctx context.Context, end policy.Micros) (partial bool) {
+// processEvents runs the events up to a time. It reports whether ctx ended it early.
+func (r *run) processEvents(ctx context.Context, end policy.Micros) (partial bool) {
 	for n := 0; len(r.events.heap) > 0 && r.events.heap[0].at <= end && r.err == nil; n++ {
 		if n%1024 == 0 && ctx.Err() != nil {
 			return true
@@ -140,116 +149,122 @@
 	return false
 }
 
-func (r *run) at(when policy.Micros, do func()) {
+// schedule adds an event. A time in the past is taken as now.
+func (r *run) schedule(when policy.Micros, do func()) {
 	r.events.next++
 	heap.Push(&r.events, event{max(when, r.now), r.events.next, do})
 }
 
-func (r *run) every(first, span policy.Micros, do func()) {
-	r.at(first, func() {
+// schedulePeriodic calls a function at first and at each interval after it until the load ends.
+func (r *run) schedulePeriodic(first, interval policy.Micros, do func()) {
+	r.schedule(first, func() {
 		do()
-		if r.now < start+r.LoadDuration {
-			r.every(r.now+span, span, do)
+		if r.now < loadStart+r.LoadDuration {
+			r.schedulePeriodic(r.now+interval, interval, do)
 		}
 	})
 }
 
-// hop is one way through the network.
-func (r *run) hop() policy.Micros {
+// networkDelay returns the delay of one message through the network, in one direction.
+func (r *run) networkDelay() policy.Micros {
 	return r.Scenario.Network.Delay.Micros() + policy.Micros(r.rng.Float64()*float64(r.Scenario.Network.Jitter))
 }
 
-// way is what lies between a node and a server beyond the network's own time, and whether it loses what it carries now.
-func (r *run) way(b *balancer, s *server) (longer policy.Micros, lost bool) {
+// pathImpairment returns the delay between a node and a server beyond the network's own, and whether a message between
+// them is lost now.
+func (r *run) pathImpairment(from *simNode, to *server) (extraDelay policy.Micros, lost bool) {
 	loss := 0.0
-	if b.Zone != s.machine.Zone {
-		for _, zone := range []int{b.Zone, s.machine.Zone} {
-			longer = max(longer, r.ways[zone].Time)
-			loss = max(loss, r.ways[zone].Factor)
+	if from.Zone != to.machine.Zone {
+		for _, zone := range []int{from.Zone, to.machine.Zone} {
+			extraDelay = max(extraDelay, r.zoneDelays[zone].Time)
+			loss = max(loss, r.zoneDelays[zone].Factor)
 		}
 	}
-	if b.Tier == 0 && b.place%2 == 0 {
-		loss = max(loss, r.hidden[s.place])
+	if from.Tier == 0 && from.globalIndex%2 == 0 {
+		loss = max(loss, r.lostPushShare[to.index])
 	}
-	return longer, loss > 0 && r.rng.Float64() < loss
+	return extraDelay, loss > 0 && r.rng.Float64() < loss
 }
 
-// id is a server's, a hash as at real nodes, so that the module's order of servers is no order of ours.
-func id(place int) policy.ServerID {
+// serverID returns the ID of a server: a hash as on real nodes, so that the module's order of servers differs from the
+// order of the simulation.
+func serverID(index int) policy.ServerID {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "s-%d", place)
+	fmt.Fprintf(h, "s-%d", index)
 	return policy.ServerID(h.Sum64() >> 16)
 }
 
+// build creates the servers, the registry's catalogs and the nodes, and starts the nodes.
 func (r *run) build() {
 	s := r.Scenario
-	r.ways, r.hidden = make([]scenario.Step, len(s.Zones)), make([]float64, len(r.plan.Machines))
-	standing := make([][]registry.Entry, len(s.Tiers))
+	r.zoneDelays = make([]scenario.Step, len(s.Zones))
+	r.lostPushShare = make([]float64, len(r.plan.Machines))
+	initialEntries := make([][]registry.Entry, len(s.Tiers))
 	for i, m := range r.plan.Machines {
 		r.servers = append(r.servers, newServer(r, i, m, i < r.plan.InitialCount))
-		r.byID[id(i)] = i
+		r.serverIndexByID[serverID(i)] = i
 		if i < r.plan.InitialCount {
-			standing[m.Tier] = append(standing[m.Tier], m.RegistryEntry(i))
+			initialEntries[m.Tier] = append(initialEntries[m.Tier], m.RegistryEntry(i))
 		}
 	}
-	for _, entries := range standing {
+	for _, entries := range initialEntries {
 		r.catalogs = append(r.catalogs, registry.NewCatalog(entries, s.Registry.Mode == "whole"))
 	}
-	for i, b := range s.Nodes() {
-		n := &balancer{run: r, place: i, Node: b}
-		if b.Server >= 0 {
-			r.servers[b.Server].node = n
+	for i, n := range s.Nodes() {
+		simulated := &simNode{run: r, globalIndex: i, Node: n}
+		if n.Server >= 0 {
+			r.servers[n.Server].nextTierNode = simulated
 		}
-		r.nodes = append(r.nodes, n)
-		n.start()
+		r.nodes = append(r.nodes, simulated)
+		simulated.start()
 	}
 }
 
-// list is the catalog's entries as the module takes them.
-func (r *run) list(entries ...registry.Entry) ([]policy.ListEntry, []string) {
+// policyEntries converts entries of a catalog to those of the policy module. Addresses are empty in the simulation.
+func (r *run) policyEntries(entries ...registry.Entry) ([]policy.ListEntry, []string) {
 	var out []policy.ListEntry
 	for _, e := range entries {
-		out = append(out, policy.ListEntry{Server: id(e.Server), StartedAt: e.StartedAt, Weight: e.Weight,
+		out = append(out, policy.ListEntry{Server: serverID(e.Server), StartedAt: e.StartedAt, Weight: e.Weight,
 			Cell: policy.CellID(e.Cell), MachineType: policy.MachineTypeID(e.MachineType), Zone: policy.ZoneID(e.Zone), State: e.State})
 	}
 	return out, make([]string, len(out))
 }
 
-// carryOut does one step of the plan.
-func (r *run) carryOut(step *scenario.Step) {
+// applyStep applies one step of the plan.
+func (r *run) applyStep(step *scenario.Step) {
 	if step.Event != "" {
-		r.account.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-start)/1e6, step.Event))
+		r.ledger.RecordEvent(fmt.Sprintf("%.1f s: %s", float64(r.now-loadStart)/1e6, step.Event))
 	}
-	server := r.servers[step.Server]
+	target := r.servers[step.Server]
 	switch step.Action {
 	case scenario.ServerSlow:
-		server.model.SetSlowdown(step.Factor)
+		target.model.SetSlowdown(step.Factor)
 	case scenario.ServerStall:
-		server.model.Stall(r.now, start+step.Time)
+		target.model.Stall(r.now, loadStart+step.Time)
 	case scenario.ServerCrash:
-		server.crash()
+		target.crash()
 	case scenario.ServerSilence:
-		server.silent = true
-		server.crash()
+		target.silent = true
+		target.crash()
 	case scenario.ServerStart:
-		server.start()
+		target.start()
 	case scenario.ServerSetMode:
-		server.mode = step.Mode
+		target.mode = step.Mode
 	case scenario.ServerSetListed:
-		r.listed(step.Server, step.State)
+		r.setListed(step.Server, step.State)
 	case scenario.RegistryDown:
-		r.down = true
+		r.registryDown = true
 		for _, n := range r.nodes {
-			n.unsubscribe()
+			n.breakWatch()
 		}
 	case scenario.RegistryUp:
-		r.down = false
+		r.registryDown = false
 	case scenario.RegistryDelay:
-		r.slow = step.Time
+		r.registryDelay = step.Time
 	case scenario.RegistrySaveSnapshot, scenario.RegistryServeSnapshot, scenario.RegistryServeCurrent:
-		for _, c := range r.catalogs {
-			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: c.SaveSnapshot, scenario.RegistryServeSnapshot: c.ServeSnapshot,
-				scenario.RegistryServeCurrent: c.ServeCurrent}[step.Action]()
+		for _, catalog := range r.catalogs {
+			map[scenario.Action]func(){scenario.RegistrySaveSnapshot: catalog.SaveSnapshot, scenario.RegistryServeSnapshot: catalog.ServeSnapshot,
+				scenario.RegistryServeCurrent: catalog.ServeCurrent}[step.Action]()
 		}
 		r.publish()
 	case scenario.NodeCrash:
@@ -259,66 +274,69 @@
 	case scenario.NodeTerminate:
 		r.nodes[step.Node].terminate()
 	case scenario.ClockStep:
-		r.step = step.Time
+		r.clockStep = step.Time
 	case scenario.ZoneDelay:
-		r.ways[step.Zone] = *step
+		r.zoneDelays[step.Zone] = *step
 	case scenario.PartialLoss:
-		r.hidden[step.Server] = step.Factor
+		r.lostPushShare[step.Server] = step.Factor
 	}
 }
 
-func (r *run) listed(place int, state policy.ServerState) {
-	m := r.plan.Machines[place]
-	e, known := r.catalogs[m.Tier].Lookup(place)
+// setListed changes a server's state in the catalog of its tier and publishes the change.
+func (r *run) setListed(server int, state policy.ServerState) {
+	m := r.plan.Machines[server]
+	entry, known := r.catalogs[m.Tier].Lookup(server)
 	if !known {
-		e = m.RegistryEntry(place)
+		entry = m.RegistryEntry(server)
 	}
-	e.State, e.StartedAt = state, r.servers[place].started
-	r.catalogs[m.Tier].SetEntry(e)
+	entry.State = state
+	entry.StartedAt = r.servers[server].started
+	r.catalogs[m.Tier].SetEntry(entry)
 	r.publish()
 }
 
-// publish tells those who watch, later.
+// publish sends changes of the catalogs to the nodes that watch them, after the registry's delay.
 func (r *run) publish() {
-	r.at(r.now+r.Scenario.Registry.Delay.Micros()+r.slow, func() {
+	r.schedule(r.now+r.Scenario.Registry.Delay.Micros()+r.registryDelay, func() {
 		for _, n := range r.nodes {
-			n.hear()
+			n.notifyChanged()
 		}
 	})
 }
 
-// sample books the throttles of the first node.
-func (r *run) sample() {
+// sampleThrottles records the active throttles of the first node.
+func (r *run) sampleThrottles() {
 	n := r.nodes[0]
 	if n.module == nil || !n.up {
 		return
 	}
-	n.module.VisitThrottles(func(server policy.ServerID, rate float64, cut int) {
+	n.module.VisitThrottles(func(server policy.ServerID, rate float64, cutoffLevel int) {
 		name := "all"
 		if server != 0 {
-			name = fmt.Sprintf("s-%d", r.byID[server])
+			name = fmt.Sprintf("s-%d", r.serverIndexByID[server])
 		}
-		r.account.RecordThrottle(r.now, ledger.Throttle{Server: name, Rate: rate, CutoffLevel: cut})
+		r.ledger.RecordThrottle(r.now, ledger.Throttle{Server: name, Rate: rate, CutoffLevel: cutoffLevel})
 	})
 }
 
-// options are a node's own, from the configuration that a real one would get.
-func (r *run) options(b scenario.Node) (*config.Config, int, error) {
-	c, err := config.Parse(r.Scenario.NodeConfig(b, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
+// nodeOptions returns a node's configuration, parsed from the document that a real node would read, and the maximum
+// number of pending ops that its sockets allow.
+func (r *run) nodeOptions(n scenario.Node) (*config.Config, int, error) {
+	c, err := config.Parse(r.Scenario.NodeConfig(n, "n", "127.0.0.1:1", "127.0.0.1:1", r.Seed, nil, nil), func(string) string { return "" })
 	if err != nil {
 		return nil, 0, err
 	}
-	_, _, _, most := sockets.Split(c.Sockets)
-	return c, most, nil
+	_, _, _, maxPendingOps := sockets.Split(c.Sockets)
+	return c, maxPendingOps, nil
 }
 
-var quiet = zerolog.Nop()
+var discardLogger = zerolog.Nop()
 
-// decider is the module, or what stands in its place.
-func (r *run) decider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
-	d, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
+// newDecider returns the decider that the options select, and the policy module inside it, which is nil for a baseline.
+func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
+	decider, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
 	if err != nil {
 		r.err = err
 	}
-	return d, module
+	return decider, module
 }
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/trial/baseline.go
@@ -1,5 +1,5 @@
-// Package trial is what an experiment puts in the module's place: policies to compare it with, and the module with one
-// rule broken on purpose. None of it is for service.
+// Package trial provides the deciders of an experiment other than the plain policy module: simple baseline policies to
+// compare the module with, and wrappers that break one rule on purpose. None of them is for production use.
 package trial
 
 import (
@@ -12,66 +12,75 @@
 	"canvasrouter/policy"
 )
 
-// Module is the name of the module itself among the policies.
+// Module is the name of the policy module itself in Policies.
 const Module = "module"
 
-// Policies are the names that New knows.
+// Policies are the names that New accepts.
 var Policies = []string{Module, "random", "round-robin", "least-request"}
 
-// New makes a decider by its name, and with a fault if one is named. The module inside is nil for the other policies.
-func New(name, fault string, rules *config.Rules, seed uint64) (d policy.Decider, module *policy.Node, err error) {
+// New returns the decider with the given name, wrapped in a fault if one is named. module is the policy module inside
+// the decider, or nil for a baseline.
+func New(name, fault string, rules *config.Rules, seed uint64) (decider policy.Decider, module *policy.Node, err error) {
 	switch name {
 	case Module, "":
 		module = rules.NewNode(seed)
-		d = module
+		decider = module
 	case "random", "round-robin", "least-request":
-		d = newBaseline(name, rules, seed)
+		decider = newBaseline(name, rules, seed)
 	default:
 		return nil, nil, fmt.Errorf("policy %q is not one of %s", name, strings.Join(Policies, ", "))
 	}
-	d, err = InjectFault(fault, d, rules)
-	return d, module, err
+	decider, err = InjectFault(fault, decider, rules)
+	return decider, module, err
 }
 
-// baseline is a plain policy that keeps the rules: it picks a server by its one criterion, skips those that drain,
-// and pushes again at once where the op's kind of repeat allows it. It sheds nothing and trusts nobody less.
+// baseline is a simple policy that keeps the rules: it picks a server by a single criterion, skips draining servers, and
+// retries at once where the delivery semantics of the op allow it. It has no overload control and no outlier detection.
 type baseline struct {
-	by      string
-	rules   *config.Rules
-	rng     *rand.Rand
-	servers []plain
-	place   map[policy.ServerID]int
-	ops     map[policy.OpID]*plainOp
-	turn    int
-	effects []policy.Effect
-	token   policy.TimerToken
+	criterion  string
+	rules      *config.Rules
+	rng        *rand.Rand
+	servers    []baselineServer
+	indexByID  map[policy.ServerID]int
+	ops        map[policy.OpID]*baselineOp
+	nextTurn   int
+	effects    []policy.Effect
+	timerToken policy.TimerToken
 }
 
-type plain struct {
+// baselineServer is a listed server and the number of pushes in flight to it.
+type baselineServer struct {
 	policy.ListEntry
-	out int
+	inFlight int
 }
 
-type plainOp struct {
-	category policy.CategoryID
-	notAfter policy.Micros
-	pushes   int
-	out      int
-	risky    bool // a push may have run
-	over     bool
-	to       policy.ListEntry // of the last push, as it was listed then: it may have left the list since
-	first    policy.ListEntry // of the first push that may have run
-	risk     policy.Micros
+// baselineOp is an op that is not settled, or that has pushes in flight.
+type baselineOp struct {
+	category    policy.CategoryID
+	deadline    policy.Micros
+	pushes      int
+	inFlight    int
+	mayHaveRun  bool // a push may have run
+	settled     bool
+	lastServer  policy.ListEntry // of the last push, as listed at that time; it may have left the list since
+	firstServer policy.ListEntry // of the first push that may have run
+	firstSentAt policy.Micros    // when the push to firstServer was sent
 }
 
-// relist is how long a baseline waits to ask for the list again.
-const relist = policy.Second
+// listRetryDelay is the delay after a failed watch of the list before the next one.
+const listRetryDelay = policy.Second
 
-func newBaseline(by string, rules *config.Rules, seed uint64) *baseline {
+func newBaseline(criterion string, rules *config.Rules, seed uint64) *baseline {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	// Danger: nodes that all begin their round at one server would send it everything together.
-	return &baseline{by: by, rules: rules, rng: rng, turn: rng.IntN(1 << 20),
-		place: make(map[policy.ServerID]int), ops: make(map[policy.OpID]*plainOp)}
+	return &baseline{
+		criterion: criterion,
+		rules:     rules,
+		rng:       rng,
+		// Nodes that all started their rotation at the same server would send all load to one server at a time.
+		nextTurn:  rng.IntN(1 << 20),
+		indexByID: make(map[policy.ServerID]int),
+		ops:       make(map[policy.OpID]*baselineOp),
+	}
 }
 
 // Step implements policy.Decider.
@@ -79,51 +88,52 @@
 	b.effects = b.effects[:0]
 	switch in.Kind {
 	case policy.OpArrived:
-		o := &plainOp{category: in.Category, notAfter: in.Deadline}
-		b.ops[in.Op] = o
-		b.push(now, in.Op, o)
+		op := &baselineOp{category: in.Category, deadline: in.Deadline}
+		b.ops[in.Op] = op
+		b.push(now, in.Op, op)
 	case policy.PushEnded:
-		if at, known := b.place[in.Server]; known {
-			b.servers[at].out = max(0, b.servers[at].out-1)
+		if index, known := b.indexByID[in.Server]; known {
+			b.servers[index].inFlight = max(0, b.servers[index].inFlight-1)
 		}
-		if o := b.ops[in.Op]; o != nil {
-			o.out--
-			b.ended(now, in, o)
+		if op := b.ops[in.Op]; op != nil {
+			op.inFlight--
+			b.pushEnded(now, in, op)
 		}
 	case policy.OpAbandoned:
-		if o := b.ops[in.Op]; o != nil {
-			o.over = true
-			b.forget(in.Op, o)
+		if op := b.ops[in.Op]; op != nil {
+			op.settled = true
+			b.forget(in.Op, op)
 		}
 	case policy.TimerFired:
-		if in.Token == b.token {
+		if in.Token == b.timerToken {
 			b.emit(policy.Effect{Kind: policy.WatchRegistry})
 		}
 	case policy.ListReceived:
-		b.list(now, in)
+		b.updateList(now, in)
 	}
 	return b.effects
 }
 
-func (b *baseline) emit(e policy.Effect) { b.effects = append(b.effects, e) }
+func (b *baseline) emit(effect policy.Effect) { b.effects = append(b.effects, effect) }
 
-func (b *baseline) list(now policy.Micros, in *policy.Input) {
+// updateList takes over a list, or the changes to it, and keeps the servers in order of their IDs.
+func (b *baseline) updateList(now policy.Micros, in *policy.Input) {
 	switch in.Form {
 	case policy.ListFailed:
-		b.token++
-		b.emit(policy.Effect{Kind: policy.SetTimer, TimerAt: now + relist, Token: b.token})
+		b.timerToken++
+		b.emit(policy.Effect{Kind: policy.SetTimer, TimerAt: now + listRetryDelay, Token: b.timerToken})
 		return
 	case policy.ListCached:
 		b.emit(policy.Effect{Kind: policy.WatchRegistry})
 	}
 	listed := make(map[policy.ServerID]bool, len(in.List))
-	for _, e := range in.List {
-		listed[e.Server] = e.State != policy.Gone
-		if at, known := b.place[e.Server]; known {
-			b.servers[at].ListEntry = e
-		} else if e.State != policy.Gone {
-			b.servers = append(b.servers, plain{ListEntry: e})
-			b.place[e.Server] = len(b.servers) - 1
+	for _, entry := range in.List {
+		listed[entry.Server] = entry.State != policy.Gone
+		if index, known := b.indexByID[entry.Server]; known {
+			b.servers[index].ListEntry = entry
+		} else if entry.State != policy.Gone {
+			b.servers = append(b.servers, baselineServer{ListEntry: entry})
+			b.indexByID[entry.Server] = len(b.servers) - 1
 		}
 	}
 	kept := b.servers[:0]
@@ -134,85 +144,91 @@
 	}
 	b.servers = kept
 	sort.Slice(kept, func(i, j int) bool { return kept[i].Server < kept[j].Server })
-	clear(b.place)
+	clear(b.indexByID)
 	for i := range kept {
-		b.place[kept[i].Server] = i
+		b.indexByID[kept[i].Server] = i
 	}
 }
 
-// allowed says whether an op may go to a server by its kind of repeat.
-func (b *baseline) allowed(now policy.Micros, o *plainOp, e *policy.ListEntry) bool {
-	c := &b.rules.Categories[o.category]
-	if e.State != policy.Ready {
+// mayPushTo reports whether an op may be pushed to a server, given its delivery semantics and its earlier pushes.
+func (b *baseline) mayPushTo(now policy.Micros, op *baselineOp, entry *policy.ListEntry) bool {
+	category := &b.rules.Categories[op.category]
+	if entry.State != policy.Ready {
 		return false
 	}
-	if !o.risky || c.Delivery == policy.Redeliverable {
+	if !op.mayHaveRun || category.Delivery == policy.Redeliverable {
 		return true
 	}
-	return c.Delivery == policy.Deduplicated && now < o.risk+c.DedupWindow && (c.DedupScope == policy.DedupScopeAll ||
-		c.DedupScope == policy.DedupScopeZone && e.Zone == o.first.Zone || c.DedupScope == policy.DedupScopeCell && e.Cell == o.first.Cell)
+	return category.Delivery == policy.Deduplicated && now < op.firstSentAt+category.DedupWindow &&
+		(category.DedupScope == policy.DedupScopeAll ||
+			category.DedupScope == policy.DedupScopeZone && entry.Zone == op.firstServer.Zone ||
+			category.DedupScope == policy.DedupScopeCell && entry.Cell == op.firstServer.Cell)
 }
 
-func (b *baseline) push(now policy.Micros, id policy.OpID, o *plainOp) {
-	var can []int
-	if o.pushes < b.rules.PushLimits.MaxPushes && now < o.notAfter {
+// push sends an op to a server picked by the criterion, or nacks or dead-letters the op if no server is allowed.
+func (b *baseline) push(now policy.Micros, id policy.OpID, op *baselineOp) {
+	var candidates []int
+	if op.pushes < b.rules.PushLimits.MaxPushes && now < op.deadline {
 		for i := range b.servers {
-			if b.allowed(now, o, &b.servers[i].ListEntry) && (b.servers[i].Server != o.to.Server || o.pushes == 0) {
-				can = append(can, i)
+			if b.mayPushTo(now, op, &b.servers[i].ListEntry) && (b.servers[i].Server != op.lastServer.Server || op.pushes == 0) {
+				candidates = append(candidates, i)
 			}
 		}
 	}
-	if len(can) == 0 {
-		o.over = true
+	if len(candidates) == 0 {
+		op.settled = true
 		kind := policy.Nack
-		if o.risky && b.rules.Categories[o.category].Delivery != policy.Redeliverable {
+		if op.mayHaveRun && b.rules.Categories[op.category].Delivery != policy.Redeliverable {
 			kind = policy.DeadLetter
 		}
 		b.emit(policy.Effect{Kind: kind, Op: id})
-		b.forget(id, o)
+		b.forget(id, op)
 		return
 	}
-	pick := can[b.rng.IntN(len(can))]
-	switch b.by {
+	pick := candidates[b.rng.IntN(len(candidates))]
+	switch b.criterion {
 	case "round-robin":
-		b.turn++
-		pick = can[b.turn%len(can)]
+		b.nextTurn++
+		pick = candidates[b.nextTurn%len(candidates)]
 	case "least-request":
-		for _, i := range can {
-			if b.servers[i].out < b.servers[pick].out {
+		for _, i := range candidates {
+			if b.servers[i].inFlight < b.servers[pick].inFlight {
 				pick = i
 			}
 		}
 	}
-	s := &b.servers[pick]
-	s.out++
-	o.pushes++
-	o.out++
-	o.to = s.ListEntry
-	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: s.Server,
-		Duration: min(o.notAfter-now, b.rules.Categories[o.category].TargetLatency)})
+	server := &b.servers[pick]
+	server.inFlight++
+	op.pushes++
+	op.inFlight++
+	op.lastServer = server.ListEntry
+	b.emit(policy.Effect{Kind: policy.Push, Op: id, Server: server.Server,
+		Duration: min(op.deadline-now, b.rules.Categories[op.category].TargetLatency)})
 }
 
-func (b *baseline) ended(now policy.Micros, in *policy.Input, o *plainOp) {
+// pushEnded retries an op after a push unless the op is settled.
+func (b *baseline) pushEnded(now policy.Micros, in *policy.Input, op *baselineOp) {
 	if in.OpSettled {
-		o.over = true
+		op.settled = true
 	}
 	switch in.Outcome {
 	case policy.Acked, policy.Errored, policy.TimedOut, policy.Reset, policy.Cancelled:
-		if !o.risky {
-			o.first, o.risk = o.to, now-in.Latency
+		if !op.mayHaveRun {
+			op.firstServer = op.lastServer
+			op.firstSentAt = now - in.Latency
 		}
-		o.risky = true
+		op.mayHaveRun = true
 	}
-	if !o.over {
-		b.push(now, in.Op, o)
+	if !op.settled {
+		b.push(now, in.Op, op)
 		return
 	}
-	b.forget(in.Op, o)
+	b.forget(in.Op, op)
 }
 
-func (b *baseline) forget(id policy.OpID, o *plainOp) {
-	if o.over && o.out == 0 {
+// forget drops an op that is settled and has no push in flight.
+func (b *baseline) forget(id policy.OpID, op *baselineOp) {
+	if op.settled && op.inFlight == 0 {
 		delete(b.ops, id)
 	}
 }
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/trial/fault.go
@@ -9,7 +9,7 @@
 	"canvasrouter/policy"
 )
 
-// Faults are the ways to break a rule on purpose, and the rule that each breaks.
+// Faults maps the names of the faults that InjectFault accepts to the rule that each breaks.
 var Faults = map[string]string{
 	"double-push":  "effect",
 	"lost-answer":  "answer",
@@ -18,40 +18,41 @@
 	"cold-flood":   "cold",
 }
 
-// every op of this number is dropped by lost-answer and late-answer.
-const every = 20
+// dropInterval is the interval, in ops, at which the faults lost-answer and late-answer drop an op.
+const dropInterval = 20
 
-// flood is how long cold-flood sends everything to a server that has just started.
-const flood = 3 * policy.Second
+// floodDuration is how long the fault cold-flood sends every push to a server that has just started.
+const floodDuration = 3 * policy.Second
 
-// unseen is the longest that cold-flood lets a push there seem to take.
-const unseen = 50 * policy.Millisecond
+// maxReportedLatency is the maximum latency that the fault cold-flood reports to the decider for a redirected push.
+const maxReportedLatency = 50 * policy.Millisecond
 
-// Slack is by how much a node with this fault lets an op lie past its client's end, in place of the settings' slack.
-func AnswerSlack(fault string, settings policy.Micros) policy.Micros {
+// AnswerSlack returns how long after an op's deadline a node with this fault still answers the op, given the configured
+// slack.
+func AnswerSlack(fault string, configured policy.Micros) policy.Micros {
 	switch fault {
 	case "lost-answer":
-		return settings + policy.Second*3600
+		return configured + policy.Second*3600
 	case "late-answer":
-		return settings + 150*policy.Millisecond
+		return configured + 150*policy.Millisecond
 	}
-	return settings
+	return configured
 }
 
-// Break puts a fault around a decider. No name is no fault.
-func InjectFault(fault string, d policy.Decider, rules *config.Rules) (policy.Decider, error) {
+// InjectFault wraps a decider in the named fault. An empty name means no fault.
+func InjectFault(fault string, decider policy.Decider, rules *config.Rules) (policy.Decider, error) {
 	switch fault {
 	case "":
-		return d, nil
+		return decider, nil
 	case "double-push":
-		return &doublePush{inner: d, rules: rules, category: make(map[policy.OpID]policy.CategoryID),
-			extra: make(map[policy.OpID]bool)}, nil
+		return &doublePush{inner: decider, rules: rules, category: make(map[policy.OpID]policy.CategoryID),
+			duplicated: make(map[policy.OpID]bool)}, nil
 	case "lost-answer", "late-answer":
-		return &silent{inner: d, dropped: make(map[policy.OpID]bool)}, nil
+		return &dropOps{inner: decider, dropped: make(map[policy.OpID]bool)}, nil
 	case "drained-send":
-		return drainedSend{d}, nil
+		return ignoreDrains{decider}, nil
 	case "cold-flood":
-		return &coldFlood{inner: d, meant: make(map[pushOf]policy.ServerID), pushes: make(map[policy.OpID]policy.PushNumber)}, nil
+		return &coldFlood{inner: decider, intended: make(map[pushKey]policy.ServerID), pushCounts: make(map[policy.OpID]policy.PushNumber)}, nil
 	}
 	names := make([]string, 0, len(Faults))
 	for name := range Faults {
@@ -61,28 +62,29 @@
 	return nil, fmt.Errorf("fault %q is not one of %s", fault, strings.Join(names, ", "))
 }
 
-// doublePush sends an op that must not run twice to a second server at once.
+// doublePush implements the fault double-push: an op that must not run twice is pushed to a second server at once.
 type doublePush struct {
-	inner    policy.Decider
-	rules    *config.Rules
-	servers  []policy.ServerID
-	category map[policy.OpID]policy.CategoryID
-	extra    map[policy.OpID]bool // push 1 is ours; the module's own count on from there
-	out      []policy.Effect
+	inner      policy.Decider
+	rules      *config.Rules
+	servers    []policy.ServerID
+	category   map[policy.OpID]policy.CategoryID
+	duplicated map[policy.OpID]bool // ops whose push 1 was added here; later pushes of inner are numbered one higher
+	effects    []policy.Effect
 }
 
+// Step implements policy.Decider.
 func (d *doublePush) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	told := *in
+	modified := *in
 	switch in.Kind {
 	case policy.OpArrived:
-		delete(d.extra, in.Op)
+		delete(d.duplicated, in.Op)
 		d.category[in.Op] = in.Category
 	case policy.PushEnded:
-		if d.extra[in.Op] && in.Push == 1 {
+		if d.duplicated[in.Op] && in.Push == 1 {
 			return nil
 		}
-		if d.extra[in.Op] && in.Push > 1 {
-			told.Push--
+		if d.duplicated[in.Op] && in.Push > 1 {
+			modified.Push--
 		}
 	case policy.ListReceived:
 		for _, e := range in.List {
@@ -91,111 +93,117 @@
 			}
 		}
 	}
-	d.out = d.out[:0]
-	for _, e := range d.inner.Step(now, &told) {
-		if e.Kind == policy.Cancel && d.extra[e.Op] && e.Push > 0 {
+	d.effects = d.effects[:0]
+	for _, e := range d.inner.Step(now, &modified) {
+		if e.Kind == policy.Cancel && d.duplicated[e.Op] && e.Push > 0 {
 			e.Push++
 		}
-		d.out = append(d.out, e)
-		if e.Kind != policy.Push || d.extra[e.Op] || d.rules.Categories[d.category[e.Op]].Delivery == policy.Redeliverable {
+		d.effects = append(d.effects, e)
+		if e.Kind != policy.Push || d.duplicated[e.Op] || d.rules.Categories[d.category[e.Op]].Delivery == policy.Redeliverable {
 			continue
 		}
 		for _, other := range d.servers {
 			if other != e.Server {
-				again := e
-				again.Server = other
-				d.out = append(d.out, again)
-				d.extra[e.Op] = true
+				duplicate := e
+				duplicate.Server = other
+				d.effects = append(d.effects, duplicate)
+				d.duplicated[e.Op] = true
 				break
 			}
 		}
 	}
-	return d.out
+	return d.effects
 }
 
-// silent forgets every so many ops.
-type silent struct {
+// dropOps implements the faults lost-answer and late-answer: it hides one op in dropInterval from the decider.
+type dropOps struct {
 	inner   policy.Decider
-	seen    int
+	arrived int
 	dropped map[policy.OpID]bool
 }
 
-func (s *silent) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+// Step implements policy.Decider.
+func (d *dropOps) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	switch in.Kind {
 	case policy.OpArrived:
-		delete(s.dropped, in.Op)
-		if s.seen++; s.seen%every == 0 {
-			s.dropped[in.Op] = true
+		delete(d.dropped, in.Op)
+		if d.arrived++; d.arrived%dropInterval == 0 {
+			d.dropped[in.Op] = true
 			return nil
 		}
 	case policy.OpAbandoned:
-		if s.dropped[in.Op] {
+		if d.dropped[in.Op] {
 			return nil
 		}
 	}
-	return s.inner.Step(now, in)
+	return d.inner.Step(now, in)
 }
 
-// drainedSend does not hear of drains.
-type drainedSend struct{ inner policy.Decider }
+// ignoreDrains implements the fault drained-send: it reports every listed server as ready to the decider.
+type ignoreDrains struct{ inner policy.Decider }
 
-func (d drainedSend) Step(now policy.Micros, in *policy.Input) []policy.Effect {
+// Step implements policy.Decider.
+func (d ignoreDrains) Step(now policy.Micros, in *policy.Input) []policy.Effect {
 	if in.Kind != policy.ListReceived {
 		return d.inner.Step(now, in)
 	}
-	told := *in
-	told.List = append([]policy.ListEntry(nil), in.List...)
-	for i := range told.List {
-		told.List[i].State = policy.Ready
+	modified := *in
+	modified.List = append([]policy.ListEntry(nil), in.List...)
+	for i := range modified.List {
+		modified.List[i].State = policy.Ready
 	}
-	return d.inner.Step(now, &told)
+	return d.inner.Step(now, &modified)
 }
 
-type pushOf struct {
+// pushKey identifies a push of a decider.
+type pushKey struct {
 	op   policy.OpID
 	push policy.PushNumber
 }
 
-// coldFlood sends every push to the server that started last.
+// coldFlood implements the fault cold-flood: for floodDuration after a server's start, every push goes to that server.
 type coldFlood struct {
-	inner  policy.Decider
-	cold   policy.ServerID
-	until  policy.Micros
-	meant  map[pushOf]policy.ServerID
-	pushes map[policy.OpID]policy.PushNumber
-	out    []policy.Effect
+	inner      policy.Decider
+	coldServer policy.ServerID
+	floodUntil policy.Micros
+	intended   map[pushKey]policy.ServerID // server that the decider chose for a redirected push
+	pushCounts map[policy.OpID]policy.PushNumber
+	effects    []policy.Effect
 }
 
+// Step implements policy.Decider.
 func (c *coldFlood) Step(now policy.Micros, in *policy.Input) []policy.Effect {
-	told := *in
+	modified := *in
 	switch in.Kind {
 	case policy.OpArrived:
-		c.pushes[in.Op] = 0
+		c.pushCounts[in.Op] = 0
 	case policy.PushEnded:
-		if meant, other := c.meant[pushOf{in.Op, in.Push}]; other {
-			told.Server = meant
-			// The module would hold back as soon as its pushes take long, wherever it thinks they went.
-			told.Latency = min(told.Latency, unseen)
-			delete(c.meant, pushOf{in.Op, in.Push})
+		if intended, redirected := c.intended[pushKey{in.Op, in.Push}]; redirected {
+			modified.Server = intended
+			// Without this bound, the module would send less as soon as its pushes took long, although it does not know
+			// that they went to the cold server.
+			modified.Latency = min(modified.Latency, maxReportedLatency)
+			delete(c.intended, pushKey{in.Op, in.Push})
 		}
 	case policy.ListReceived:
 		for _, e := range in.List {
 			if e.State == policy.Ready && in.Form != policy.ListCached && now-e.StartedAt < policy.Second {
-				c.cold, c.until = e.Server, now+flood
+				c.coldServer = e.Server
+				c.floodUntil = now + floodDuration
 			}
 		}
 	}
-	c.out = c.out[:0]
-	for _, e := range c.inner.Step(now, &told) {
+	c.effects = c.effects[:0]
+	for _, e := range c.inner.Step(now, &modified) {
 		if e.Kind == policy.Push {
-			no := c.pushes[e.Op]
-			c.pushes[e.Op]++
-			if now < c.until && e.Server != c.cold {
-				c.meant[pushOf{e.Op, no}] = e.Server
-				e.Server = c.cold
+			number := c.pushCounts[e.Op]
+			c.pushCounts[e.Op]++
+			if now < c.floodUntil && e.Server != c.coldServer {
+				c.intended[pushKey{e.Op, number}] = e.Server
+				e.Server = c.coldServer
 			}
 		}
-		c.out = append(c.out, e)
+		c.effects = append(c.effects, e)
 	}
-	return c.out
+	return c.effects
 }
