--- a/cmd/canvaslab/compare.go
+++ b/cmd/canvaslab/compare.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/gonum/stat"
 
 	"canvasrouter/internal/lab"
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
-	"canvasrouter/internal/lab/trial"
 )
 
 // compareCommand compares two policies, node programs or experiment files on the same seeds.
@@ -29,13 +29,13 @@
 func (c *compareCommand) optionsFor(operand string, seed uint64) (lab.RunOptions, error) {
 	options := lab.RunOptions{Experiment: c.Experiment, Short: c.Short, Seed: seed, Driver: c.Driver, SelfPath: selfPath()}
 	switch {
-	case slices.Contains(trial.Policies, operand):
+	case slices.Contains(deciders.Policies, operand):
 		options.Policy = operand
 	case strings.HasSuffix(operand, ".toml"):
 		options.Experiment = operand
 	default:
 		if _, err := os.Stat(operand); err != nil {
-			return options, fmt.Errorf("%q is no policy (%s), no program and no experiment", operand, strings.Join(trial.Policies, ", "))
+			return options, fmt.Errorf("%q is no policy (%s), no program and no experiment", operand, strings.Join(deciders.Policies, ", "))
 		}
 		options.NodeProgram = filepath.Clean(operand)
 	}
@@ -115,11 +115,11 @@
 			return err
 		}
 	}
-	fmt.Printf("| experiment | driver | %s |\n| --- | --- |%s\n", strings.Join(trial.Policies, " | "),
-		strings.Repeat(" --- |", len(trial.Policies)))
+	fmt.Printf("| experiment | driver | %s |\n| --- | --- |%s\n", strings.Join(deciders.Policies, " | "),
+		strings.Repeat(" --- |", len(deciders.Policies)))
 	for _, name := range t.Names {
 		row, driver := "", ""
-		for _, policyName := range trial.Policies {
+		for _, policyName := range deciders.Policies {
 			served := 0.0
 			broken := map[string]bool{}
 			for n := range t.Runs {
--- a/cmd/canvaslab/main.go
+++ b/cmd/canvaslab/main.go
@@ -18,13 +18,13 @@
 	"github.com/mattn/go-isatty"
 
 	"canvasrouter/internal/lab"
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/labnode"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/live"
 	"canvasrouter/internal/lab/load"
 	"canvasrouter/internal/lab/report"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/trial"
 	experiments "canvasrouter/lab"
 	"canvasrouter/policy"
 )
@@ -103,7 +103,7 @@
 	case l.PeerFaults:
 		show(scenario.PeerFaultKinds)
 	case l.Faults:
-		show(trial.Faults)
+		show(deciders.Faults)
 	default:
 		all, err := builtinExperiments()
 		if err != nil {
@@ -185,7 +185,7 @@
 	}
 	if r.Report != "" {
 		all := []*ledger.Result{result}
-		for _, other := range trial.Policies {
+		for _, other := range deciders.Policies {
 			if r.NoBaselines || r.InjectedFault != "" || r.Node != "" || other == result.Policy || ctx.Err() != nil {
 				continue
 			}
--- a/cmd/canvaslab/members.go
+++ b/cmd/canvaslab/members.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"canvasrouter/internal/lab"
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/standin/relay"
 	experiments "canvasrouter/lab"
 )
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	processes, err := together.NewProcesses(m.Node, experiment, nodes, m.Seed)
+	processes, err := harness.NewProcesses(m.Node, experiment, nodes, m.Seed)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 }
 
 // measureIdle returns the bytes, datagrams and CPU seconds that an idle fleet uses per node and second.
-func (m *membersCommand) measureIdle(ctx context.Context, processes *together.Processes, nodes int) (bytes, datagrams, cpu float64) {
+func (m *membersCommand) measureIdle(ctx context.Context, processes *harness.Processes, nodes int) (bytes, datagrams, cpu float64) {
 	totals := func() (bytes, datagrams, cpu float64) {
 		for i := range nodes {
 			traffic := processes.Relay.Traffic(i)
@@ -139,7 +139,7 @@
 
 // repeatCuts partitions and heals the fleet many times, and prints memory and descriptors afterwards. More than before
 // indicates a leak.
-func (m *membersCommand) repeatCuts(ctx context.Context, processes *together.Processes, all []int,
+func (m *membersCommand) repeatCuts(ctx context.Context, processes *harness.Processes, all []int,
 	separated func(int, int) relay.Impairment, memoryBefore float64, descriptorsBefore int) error {
 	if m.CutCount == 0 {
 		return nil
--- a/cmd/canvasrouter/disconnect_test.go
+++ b/cmd/canvasrouter/disconnect_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 )
 
 // disconnectDeadline is half of the 0.1 s after which a push for a client that has disconnected breaks the rules.
@@ -139,7 +139,7 @@
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	closedAt := map[string]time.Time{}
-	lag := together.NewTimerLag()
+	lag := harness.NewTimerLag()
 	for k := range clients {
 		running.Go(func() {
 			for i := range ops {
--- a/cmd/canvasrouter/idle_clients_test.go
+++ b/cmd/canvasrouter/idle_clients_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 )
 
 // openIdleConnections keeps size connections open that send nothing, and opens a new one for each that the node closes. It
@@ -121,7 +121,7 @@
 	})}
 	go registry.Serve(listener)
 	defer registry.Close()
-	lag := together.NewTimerLag()
+	lag := harness.NewTimerLag()
 	var took time.Duration
 	select {
 	case took = <-watchDelay:
--- a/cmd/canvasrouter/main_test.go
+++ b/cmd/canvasrouter/main_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 )
 
 // runAsNodeEnv is the environment variable that makes the test binary run as the program itself.
@@ -206,7 +206,7 @@
 	<-pushed
 	p.Process.Signal(syscall.SIGTERM)
 	terminated := time.Now()
-	lag := together.NewTimerLag()
+	lag := harness.NewTimerLag()
 	if got := <-status; got != http.StatusBadGateway { // its one push may have run
 		t.Errorf("status %d", got)
 	}
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"canvasrouter/internal/fleet/peermsg"
 	"canvasrouter/internal/fleet/transport"
-	"canvasrouter/internal/fleet/words"
 	"canvasrouter/internal/store"
 	"canvasrouter/policy"
 )
@@ -25,7 +25,7 @@
 	Self               MemberView       `json:"own"`
 	Members            []MemberView     `json:"members"` // the other members, by name, with departed ones that are still kept
 	Transport          transport.Counts `json:"ways"`
-	Messages           *words.Counts    `json:"words,omitempty"`
+	Messages           *peermsg.Counts  `json:"words,omitempty"`
 	Servers            []ServerView     `json:"servers"` // ready servers on which there are reports
 	ReadyServers       int              `json:"listed"`  // number of servers that the registry lists as ready
 	UndecodableReports int64            `json:"judgements_not_understood"`
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,10 +16,10 @@
 	"github.com/rs/zerolog"
 
 	"canvasrouter/internal/config"
-	"canvasrouter/internal/fleet/judged"
 	"canvasrouter/internal/fleet/members"
+	"canvasrouter/internal/fleet/outlier"
+	"canvasrouter/internal/fleet/peermsg"
 	"canvasrouter/internal/fleet/transport"
-	"canvasrouter/internal/fleet/words"
 	"canvasrouter/internal/node"
 	"canvasrouter/internal/store"
 	"canvasrouter/policy"
@@ -46,8 +46,8 @@
 	node       *node.Node
 	transport  *transport.Transport
 	members    *members.Members
-	messenger  *words.Messenger // nil if modules exchange no messages
-	control    *controlServer   // nil if there is no control socket
+	messenger  *peermsg.Messenger // nil if modules exchange no messages
+	control    *controlServer     // nil if there is no control socket
 	nodeNumber uint16
 	done       chan struct{}
 	running    sync.WaitGroup
@@ -55,7 +55,7 @@
 	// The node's actor takes mu while ops are pending, and assessing many reports takes milliseconds. So the report table has a
 	// lock of its own, tableMu, which the actor never takes. A goroutine that takes both takes tableMu first.
 	mu           sync.Mutex // guards detector, list, startedAt, restarted, readyServers
-	detector     *judged.LocalDetector
+	detector     *outlier.LocalDetector
 	list         []policy.ListEntry
 	startedAt    map[policy.ServerID]policy.Micros // by the list
 	restarted    []policy.ServerID                 // servers that have restarted since the last tick
@@ -64,8 +64,8 @@
 	storeView atomic.Pointer[func() *store.View] // returns the state of the configuration store; nil if there is none
 
 	tableMu            sync.Mutex // guards table, reductions, undecodableReports
-	table              *judged.ReportTable
-	reductions         []judged.WeightReduction
+	table              *outlier.ReportTable
+	reductions         []outlier.WeightReduction
 	undecodableReports int64 // received frames of reports in another format
 }
 
@@ -82,8 +82,8 @@
 		startedAt: make(map[policy.ServerID]policy.Micros)}
 	incarnation := transport.IncarnationID(rand.Uint64()) // not from the configured seed, which a restarted process has again
 	zone := uint8(c.Rules.Topology.Zone)
-	f.table = judged.NewReportTable(judged.ReporterID(incarnation), zone)
-	f.detector = judged.NewLocalDetector()
+	f.table = outlier.NewReportTable(outlier.ReporterID(incarnation), zone)
+	f.detector = outlier.NewLocalDetector()
 	var err error
 	f.transport, err = transport.Open(transport.Options{
 		Fleet:             c.Fleet.Name,
@@ -106,7 +106,7 @@
 		f.transport.Handle(transport.ServerReports, f.receiveReports)
 	}
 	if c.Fleet.PeerMessages && c.Rules.Topology.PeerMessaging {
-		f.messenger = words.Start(f.transport, f.ownerAddr, n.PeerMessagesReceived)
+		f.messenger = peermsg.Start(f.transport, f.ownerAddr, n.PeerMessagesReceived)
 	}
 	self := members.Member{Name: c.Name, Incarnation: incarnation, Zone: zone, Number: c.Rules.Topology.NodeNumber, Addr: c.Fleet.Advertise}
 	f.members, err = members.Start(members.Options{
@@ -236,7 +236,7 @@
 
 // receiveReports handles a frame of reports from another node.
 func (f *Fleet) receiveReports(_ netip.AddrPort, frame *transport.Frame, late time.Duration) {
-	reports, understood := judged.DecodeReports(frame.Payload, make([]judged.Report, 0, judged.MaxReports(len(frame.Payload))))
+	reports, understood := outlier.DecodeReports(frame.Payload, make([]outlier.Report, 0, outlier.MaxReports(len(frame.Payload))))
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
 	if !understood {
@@ -276,7 +276,7 @@
 		if len(reports) == 0 {
 			continue
 		}
-		payload = judged.AppendReports(payload[:0], reports)
+		payload = outlier.AppendReports(payload[:0], reports)
 		for range min(fanOut, len(peers)) { // a peer that is drawn twice gets the reports twice
 			f.transport.Send(peers[rand.IntN(len(peers))].Addr, transport.ServerReports, payload)
 		}
@@ -297,10 +297,10 @@
 		remaining--
 		welcomed[m.Incarnation] = true
 		f.tableMu.Lock()
-		reports := f.table.ReportsToSend(f.clock.Now(), 0, judged.MaxReports(transport.MaxPayload))
+		reports := f.table.ReportsToSend(f.clock.Now(), 0, outlier.MaxReports(transport.MaxPayload))
 		f.tableMu.Unlock()
 		if len(reports) > 0 {
-			f.transport.Send(m.Addr, transport.ServerReports, judged.AppendReports(payload[:0], reports))
+			f.transport.Send(m.Addr, transport.ServerReports, outlier.AppendReports(payload[:0], reports))
 		}
 	}
 	maps.DeleteFunc(welcomed, func(incarnation transport.IncarnationID, _ bool) bool { return !alive[incarnation] })
@@ -309,7 +309,7 @@
 
 // updateReports adds the node's own reports to the table and assesses all reports. It returns the reports to send, the
 // remaining fractions of the weights of servers, and whether these have changed.
-func (f *Fleet) updateReports() (reports []judged.Report, fractions map[policy.ServerID]float64, changed bool) {
+func (f *Fleet) updateReports() (reports []outlier.Report, fractions map[policy.ServerID]float64, changed bool) {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
 	now := f.clock.Now()
@@ -325,15 +325,15 @@
 		f.table.AddOwn(now, report)
 	}
 	f.table.Expire(now)
-	reductions := judged.WeightReductions(now, readyServers, f.table, f.ownCondition)
+	reductions := outlier.WeightReductions(now, readyServers, f.table, f.ownCondition)
 	fractions, changed = f.compareReductions(reductions)
 	f.reductions = reductions
-	reports = f.table.ReportsToSend(now, sendsPerReport, judged.MaxReports(transport.MaxPayload))
+	reports = f.table.ReportsToSend(now, sendsPerReport, outlier.MaxReports(transport.MaxPayload))
 	return reports, fractions, changed
 }
 
 // ownCondition is LocalDetector.Condition under the lock.
-func (f *Fleet) ownCondition(now policy.Micros, server policy.ServerID) (judged.Condition, policy.Micros) {
+func (f *Fleet) ownCondition(now policy.Micros, server policy.ServerID) (outlier.Condition, policy.Micros) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.detector.Condition(now, server)
@@ -341,8 +341,8 @@
 
 // compareReductions returns the remaining fractions of the weights of servers, and whether they differ from the present ones.
 // It logs what an operator acts on: servers that peers report in a new condition, and servers whose weight is restored.
-func (f *Fleet) compareReductions(reductions []judged.WeightReduction) (fractions map[policy.ServerID]float64, changed bool) {
-	previous := make(map[policy.ServerID]judged.WeightReduction, len(f.reductions))
+func (f *Fleet) compareReductions(reductions []outlier.WeightReduction) (fractions map[policy.ServerID]float64, changed bool) {
+	previous := make(map[policy.ServerID]outlier.WeightReduction, len(f.reductions))
 	for _, reduction := range f.reductions {
 		previous[reduction.Server] = reduction
 	}
--- a/internal/fleet/judged/local_detector.go
+++ b/internal/fleet/outlier/local_detector.go
@@ -1,4 +1,4 @@
-package judged
+package outlier
 
 import (
 	"slices"
--- a/internal/fleet/judged/report_table.go
+++ b/internal/fleet/outlier/report_table.go
@@ -1,4 +1,4 @@
-// Package judged detects outlier servers across a fleet. Each node derives the condition of its servers from its own pushes
+// Package outlier detects outlier servers across a fleet. Each node derives the condition of its servers from its own pushes
 // (LocalDetector), exchanges reports on them with its peers (ReportTable), and reduces the weight of servers that peers report
 // as unhealthy (WeightReductions). The package does no I/O and reads no clock: reports carry the age of their evidence, are
 // merged in any order of arrival, expire and are dropped.
@@ -6,7 +6,7 @@
 // Reports of peers are advice only. A node's own evidence on a server takes precedence over them, a single node ejects no
 // server, the reports of a node that finds most servers unhealthy are not counted, and all peers together eject at most
 // MaxEjectedFraction of a node's servers.
-package judged
+package outlier
 
 import (
 	"cmp"
--- a/internal/fleet/words/messenger.go
+++ b/internal/fleet/peermsg/messenger.go
@@ -1,6 +1,6 @@
-// Package words carries the peer messages that the decision modules of nodes send each other. A message is addressed to a node
+// Package peermsg carries the peer messages that the decision modules of nodes send each other. A message is addressed to a node
 // number, waits a moment to be sent in one datagram with others, and goes to the node that owns the number at that time.
-package words
+package peermsg
 
 import (
 	"net/netip"
--- a/internal/fleet/words/messenger_test.go
+++ b/internal/fleet/peermsg/messenger_test.go
@@ -1,4 +1,4 @@
-package words
+package peermsg
 
 import (
 	"net/netip"
--- a/internal/clients/race_test.go
+++ b/internal/frontend/race_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/node"
 )
 
@@ -23,7 +23,7 @@
 }
 
 // awaitOpenConn waits until the server has an open connection besides others, and returns it.
-func (r *harness) awaitOpenConn(t *testing.T, others ...*conn) *conn {
+func (r *testServer) awaitOpenConn(t *testing.T, others ...*conn) *conn {
 	t.Helper()
 	var found *conn
 	awaitCondition(t, "no connection was accepted", func() bool {
@@ -111,7 +111,7 @@
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				r, c, op := sendBeyondRequest(t, beyond)
-				lag := together.NewTimerLag()
+				lag := harness.NewTimerLag()
 				start := time.Now()
 				leave(c.Conn.(*net.TCPConn))
 				select {
@@ -136,7 +136,7 @@
 
 // sendBeyondRequest starts a server and a client with a pending op that has sent more than its request, so that the library has
 // stopped reading.
-func sendBeyondRequest(t *testing.T, beyond string) (r *harness, c *client, op *node.Op) {
+func sendBeyondRequest(t *testing.T, beyond string) (r *testServer, c *client, op *node.Op) {
 	t.Helper()
 	ops := make(chan *node.Op, 1)
 	r = startServer(t, 9, func(op *node.Op) { ops <- op })
@@ -212,9 +212,9 @@
 // TestCompletedWhileClosing checks a request whose last byte arrives when its connection is being closed, by a restart or to free
 // a socket. The request is not taken, its id is released, and the next op is served.
 func TestCompletedWhileClosing(t *testing.T) {
-	for name, closeConn := range map[string]func(r *harness, clientConn *conn){
-		"restart closes incomplete": func(r *harness, clientConn *conn) { clientConn.state.CompareAndSwap(connNoRequest, connClosed) },
-		"closed to free a socket":   func(r *harness, clientConn *conn) { clientConn.state.Store(connClosed) }, // Close, between its two steps
+	for name, closeConn := range map[string]func(r *testServer, clientConn *conn){
+		"restart closes incomplete": func(r *testServer, clientConn *conn) { clientConn.state.CompareAndSwap(connNoRequest, connClosed) },
+		"closed to free a socket":   func(r *testServer, clientConn *conn) { clientConn.state.Store(connClosed) }, // Close, between its two steps
 	} {
 		t.Run(name, func(t *testing.T) {
 			ops := make(chan *node.Op, 2)
--- a/internal/clients/clients.go
+++ b/internal/frontend/server.go
@@ -1,6 +1,6 @@
-// Package clients is the HTTP server for clients: it reads ops from requests, submits them to the node's actor and writes
+// Package frontend is the HTTP server for clients: it reads ops from requests, submits them to the node's actor and writes
 // each op's one final answer.
-package clients
+package frontend
 
 import (
 	"context"
--- a/internal/clients/clients_test.go
+++ b/internal/frontend/server_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"bufio"
@@ -41,8 +41,8 @@
 	op.Answer(node.Answer{Verdict: node.ClientLeft})
 }
 
-// harness is a server with a fake actor.
-type harness struct {
+// testServer is a server with a fake actor.
+type testServer struct {
 	*Server
 	*fakeActor
 	addr        string
@@ -51,9 +51,9 @@
 }
 
 // startServer runs a server with a budget of sockets for clients.
-func startServer(t *testing.T, budgetSize int, handle func(*node.Op)) *harness {
+func startServer(t *testing.T, budgetSize int, handle func(*node.Op)) *testServer {
 	t.Helper()
-	r := &harness{
+	r := &testServer{
 		fakeActor: &fakeActor{
 			handle:    handle,
 			abandoned: make(chan *node.Op, 8),
@@ -114,7 +114,7 @@
 }
 
 // dial connects to the server.
-func (r *harness) dial(t *testing.T) *client {
+func (r *testServer) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
--- a/internal/clients/tcpinfo_linux.go
+++ b/internal/frontend/tcpinfo_linux.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"net"
--- a/internal/clients/tcpinfo_other.go
+++ b/internal/frontend/tcpinfo_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package clients
+package frontend
 
 import "net"
 
--- a/internal/lab/trial/baseline.go
+++ b/internal/lab/deciders/baseline.go
@@ -1,6 +1,6 @@
-// Package trial provides the deciders of an experiment other than the plain policy module: simple baseline policies to
+// Package deciders provides the deciders of an experiment other than the plain policy module: simple baseline policies to
 // compare the module with, and wrappers that break one rule on purpose. None of them is for production use.
-package trial
+package deciders
 
 import (
 	"fmt"
--- a/internal/lab/trial/fault.go
+++ b/internal/lab/deciders/fault.go
@@ -1,4 +1,4 @@
-package trial
+package deciders
 
 import (
 	"fmt"
--- a/internal/lab/together/false_reporter.go
+++ b/internal/lab/harness/false_reporter.go
@@ -1,4 +1,4 @@
-package together
+package harness
 
 import (
 	"math/rand/v2"
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasrouter/internal/fleet/judged"
 	"canvasrouter/internal/fleet/members"
+	"canvasrouter/internal/fleet/outlier"
 	"canvasrouter/internal/fleet/transport"
 	"canvasrouter/internal/node"
 	"canvasrouter/policy"
@@ -29,7 +29,7 @@
 
 // NewFalseReporter joins the fleet at a slot as a further node, and reports the given condition of the servers until
 // Close.
-func (n *Network) NewFalseReporter(slot, nodes int, condition judged.Condition, servers []policy.ServerID) (*FalseReporter, error) {
+func (n *Network) NewFalseReporter(slot, nodes int, condition outlier.Condition, servers []policy.ServerID) (*FalseReporter, error) {
 	addresses := n.Addresses(slot)
 	incarnation := transport.IncarnationID(rand.Uint64())
 	sender, err := transport.Open(transport.Options{Fleet: "canvasrouter", Listen: addresses.Listen, Advertise: addresses.Advertise, Incarnation: incarnation, MaxBytesPerSecond: 1 << 20}, zerolog.Nop())
@@ -44,12 +44,12 @@
 		return nil, err
 	}
 	sender.Run()
-	reporter.goroutine.Go(func() { reporter.sendReports(judged.ReporterID(incarnation), uint16(self.Number), condition, servers) })
+	reporter.goroutine.Go(func() { reporter.sendReports(outlier.ReporterID(incarnation), uint16(self.Number), condition, servers) })
 	return reporter, nil
 }
 
 // sendReports sends reports under two reporter IDs, one for each of two zones, until Close.
-func (r *FalseReporter) sendReports(reporter judged.ReporterID, nodeNumber uint16, condition judged.Condition, servers []policy.ServerID) {
+func (r *FalseReporter) sendReports(reporter outlier.ReporterID, nodeNumber uint16, condition outlier.Condition, servers []policy.ServerID) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for sequence := uint32(1); ; sequence++ {
@@ -58,17 +58,17 @@
 			return
 		case <-ticker.C:
 		}
-		var reports []judged.Report
+		var reports []outlier.Report
 		for _, server := range servers {
 			for zone := range uint8(2) {
-				reports = append(reports, judged.Report{Server: server, Reporter: reporter + judged.ReporterID(zone), Sequence: sequence, Condition: condition, Zone: zone, NodeNumber: nodeNumber,
+				reports = append(reports, outlier.Report{Server: server, Reporter: reporter + outlier.ReporterID(zone), Sequence: sequence, Condition: condition, Zone: zone, NodeNumber: nodeNumber,
 					Duration: 500 * policy.Millisecond})
 			}
 		}
 		for len(reports) > 0 {
-			batch := reports[:min(len(reports), judged.MaxReports(transport.MaxPayload))]
+			batch := reports[:min(len(reports), outlier.MaxReports(transport.MaxPayload))]
 			reports = reports[len(batch):]
-			payload := judged.AppendReports(nil, batch)
+			payload := outlier.AppendReports(nil, batch)
 			for _, peer := range r.members.AlivePeers() {
 				r.transport.Send(peer.Addr, transport.ServerReports, payload)
 			}
--- a/internal/lab/together/impairments.go
+++ b/internal/lab/harness/impairments.go
@@ -1,7 +1,7 @@
-// Package together is the test harness for fleets of nodes that talk to each other. It has the network between the
+// Package harness is the test harness for fleets of nodes that talk to each other. It has the network between the
 // processes of a run with its faults, a set of node processes, a member that reports falsely, and a measurement of how
 // late the harness itself is.
-package together
+package harness
 
 import (
 	"math/rand/v2"
--- a/internal/lab/together/processes.go
+++ b/internal/lab/harness/processes.go
@@ -1,4 +1,4 @@
-package together
+package harness
 
 import (
 	"bytes"
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -11,12 +11,12 @@
 	"path/filepath"
 	"strings"
 
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/live"
 	"canvasrouter/internal/lab/load"
 	"canvasrouter/internal/lab/scenario"
 	"canvasrouter/internal/lab/sim"
-	"canvasrouter/internal/lab/trial"
 	"canvasrouter/policy"
 )
 
@@ -27,7 +27,7 @@
 	Seed           uint64
 	Driver         string // "live" or "sim"; "": the experiment's
 	Policy         string // policy in place of the module; "": the module
-	InjectedFault  string // fault to inject, one of trial.Faults; "": none
+	InjectedFault  string // fault to inject, one of deciders.Faults; "": none
 	NodeProgram    string // another program to run as nodes; "": SelfPath; live only
 	TraceFile      string // trace of arrivals in place of the experiment's load
 	ListenAddr     string // listen address of the first node; live only
@@ -178,7 +178,7 @@
 	result.Command = options.Command()
 	result.Policy = options.Policy
 	if result.Policy == "" {
-		result.Policy = trial.Module
+		result.Policy = deciders.Module
 	}
 	options.checkResult(result, runLedger, experiment)
 	return result, nil
@@ -190,7 +190,7 @@
 	switch {
 	case o.InjectedFault != "":
 		result.FailedExpectations = []string{}
-		rule := trial.Faults[o.InjectedFault]
+		rule := deciders.Faults[o.InjectedFault]
 		for _, broken := range result.BrokenRules {
 			if broken == rule {
 				return
@@ -202,7 +202,7 @@
 		*experiment = scenario.Scenario{Categories: experiment.Categories, Tenants: experiment.Tenants, Limits: experiment.Limits}
 		result.CheckExpectations(runLedger)
 	default:
-		if o.Short || result.Policy != trial.Module {
+		if o.Short || result.Policy != deciders.Module {
 			// The bounds apply to the full load and the module. The rules always apply.
 			experiment.Expect = scenario.Expect{BrokenRules: experiment.Expect.BrokenRules}
 		}
--- a/internal/lab/labnode/node.go
+++ b/internal/lab/labnode/node.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"canvasrouter/internal/config"
-	"canvasrouter/internal/lab/trial"
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/serve"
 	"canvasrouter/internal/standin/registry"
 	"canvasrouter/policy"
@@ -41,7 +41,7 @@
 	}()
 	return serve.Main(serve.Options{
 		NewDecider: func(settings *config.Config) (policy.Decider, error) {
-			decider, module, err := trial.New(name, fault, settings.Rules, settings.Seed)
+			decider, module, err := deciders.New(name, fault, settings.Rules, settings.Seed)
 			path := os.Getenv(ThrottleFileEnv)
 			if err != nil || module == nil || path == "" {
 				return decider, err
@@ -57,7 +57,7 @@
 				encoder:     json.NewEncoder(samples),
 			}, nil
 		},
-		AdjustAnswerSlack: func(configured policy.Micros) policy.Micros { return trial.AnswerSlack(fault, configured) },
+		AdjustAnswerSlack: func(configured policy.Micros) policy.Micros { return deciders.AnswerSlack(fault, configured) },
 	})
 }
 
--- a/internal/lab/live/disturbances.go
+++ b/internal/lab/live/disturbances.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"canvasrouter/internal/fleet/judged"
+	"canvasrouter/internal/fleet/outlier"
 	"canvasrouter/internal/lab/labnode"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
@@ -143,7 +143,7 @@
 	if !r.nodes[step.Node].hasPeers {
 		return nil // without peer messages no node would receive the reports
 	}
-	condition := map[scenario.Action]judged.Condition{scenario.FalseReportsDown: judged.Down, scenario.FalseReportsHealthy: judged.Healthy}[step.Action]
+	condition := map[scenario.Action]outlier.Condition{scenario.FalseReportsDown: outlier.Down, scenario.FalseReportsHealthy: outlier.Healthy}[step.Action]
 	slot, err := r.network.NextSlot(step.Node)
 	if err != nil {
 		return err
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -19,17 +19,17 @@
 	"time"
 
 	"canvasrouter/internal/fleet"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/labnode"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 	"canvasrouter/internal/node"
-	standin "canvasrouter/internal/standin/fleet"
 	"canvasrouter/internal/standin/registry"
 	"canvasrouter/internal/standin/relay"
 	"canvasrouter/internal/standin/server"
+	standin "canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
@@ -71,12 +71,12 @@
 	servers        []*server.Server
 	nodes          []*nodeProcess
 	duplicates     map[int]*nodeProcess // second processes with the name of a node, by the index of that node
-	network        *together.Network
-	falseReporters []*together.FalseReporter
+	network        *harness.Network
+	falseReporters []*harness.FalseReporter
 	// maxClosedPermille is the largest share of a node's servers, in thousandths, that reports of peers reduced to less
 	// than a third of their weight.
 	maxClosedPermille atomic.Int64
-	timerLag          *together.TimerLag
+	timerLag          *harness.TimerLag
 	registries        []*registry.Service
 	loadStart         policy.Micros
 	picks             atomic.Int64    // picks of a node by clients so far
@@ -228,7 +228,7 @@
 	r := &run{
 		Options:       options,
 		clock:         node.NewClock(),
-		plan:          options.Scenario.Plan(stream.New(options.Seed, "troubles")),
+		plan:          options.Scenario.Plan(rngstream.New(options.Seed, "troubles")),
 		failed:        make(chan error, 1),
 		requests:      make(map[ledger.TryID]opRequest),
 		dedupMemories: make(scenario.DedupMemories),
@@ -242,12 +242,12 @@
 	if r.dir, err = os.MkdirTemp("", "canvaslab-"); err != nil {
 		return nil, err
 	}
-	r.network, err = together.NewNetwork(options.Scenario, r.plan, r.dir, options.Seed, stream.New(options.Seed, "between"))
+	r.network, err = harness.NewNetwork(options.Scenario, r.plan, r.dir, options.Seed, rngstream.New(options.Seed, "between"))
 	if err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.timerLag = together.NewTimerLag()
+	r.timerLag = harness.NewTimerLag()
 	for _, step := range []func(context.Context) error{r.startServers, r.startRegistry, r.startNodes} {
 		if err := step(ctx); err != nil {
 			r.stop()
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -15,14 +15,14 @@
 
 	"go.uber.org/goleak"
 
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/labnode"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
 	"canvasrouter/internal/lab/scenario"
 	"canvasrouter/internal/lab/sim"
-	"canvasrouter/internal/lab/trial"
-	"canvasrouter/internal/standin/fleet"
 	"canvasrouter/internal/standin/server"
+	"canvasrouter/internal/standin/servermodel"
 	experiments "canvasrouter/lab"
 	"canvasrouter/policy"
 )
@@ -91,7 +91,7 @@
 			if result.Ops == 0 || result.Served == 0 {
 				t.Errorf("of %d ops %d served", result.Ops, result.Served)
 			}
-			want := trial.Faults[test.fault]
+			want := deciders.Faults[test.fault]
 			if got := strings.Join(result.BrokenRules, " "); got != want {
 				t.Errorf("broken %q, want %q: %v", got, want, result.BreachMessages)
 			}
@@ -234,7 +234,7 @@
 	options := testOptions(t, readScenario(t, "steady"), "", policy.Second)
 	startThroughShell(t, &options, `sed -i 's/"listen":"[^"]*"/"listen":"127.0.0.1:0"/' "$NODE_CONFIG"; exec "$0"`) // it listens on another port than the one that is checked
 	_, _, err := Run(t.Context(), options)
-	if err == nil || !strings.Contains(err.Error(), "is not ready after 1s") || !strings.Contains(err.Error(), "clients.(*Server).Serve") {
+	if err == nil || !strings.Contains(err.Error(), "is not ready after 1s") || !strings.Contains(err.Error(), "frontend.(*Server).Serve") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -283,7 +283,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	standinServer := server.New(3, &scenario.MachineType{}, fleet.Spec{Cores: 1, Speed: 1}, listener.Addr().String(), server.Environment{})
+	standinServer := server.New(3, &scenario.MachineType{}, servermodel.Spec{Cores: 1, Speed: 1}, listener.Addr().String(), server.Environment{})
 	if err := standinServer.Start(false); err == nil || !strings.Contains(err.Error(), "server 3: ") || !strings.Contains(err.Error(), "already in use") {
 		t.Errorf("got %v", err)
 	}
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"canvasrouter/internal/lab/labnode"
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 	"canvasrouter/internal/lab/scenario"
 )
 
@@ -102,7 +102,7 @@
 	}
 	p.incarnation++
 	p.run.recordNodeStart(p)
-	seed := stream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.incarnation)).Uint64()
+	seed := rngstream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.incarnation)).Uint64()
 	file := filepath.Join(p.run.dir, fmt.Sprintf("node-%d-%d.json", p.nodeIndex, p.networkSlot))
 	config := p.run.Scenario.NodeConfig(p.Node, fmt.Sprintf("n%d", p.nodeIndex), p.endpoint.addr, p.registryAddr, seed,
 		p.cachedList, p.fleetConfig())
--- a/internal/lab/live/process_faults_test.go
+++ b/internal/lab/live/process_faults_test.go
@@ -4,9 +4,9 @@
 	"strings"
 	"testing"
 
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/trial"
 	"canvasrouter/policy"
 )
 
@@ -69,7 +69,7 @@
 		if overloaded := result.ColdPeakLoad > 1; overloaded != (test.fault != "") || result.ColdPeakLoad < 0.1 {
 			t.Errorf("%d nodes %s: highest load of a cold server in a window %.2f of its capacity", test.nodes, test.fault, result.ColdPeakLoad)
 		}
-		if broken := strings.Join(result.BrokenRules, " "); broken != trial.Faults[test.fault] {
+		if broken := strings.Join(result.BrokenRules, " "); broken != deciders.Faults[test.fault] {
 			t.Errorf("%d nodes %s: broken %q: %v", test.nodes, test.fault, broken, result.BreachMessages)
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"sort"
 
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 	"canvasrouter/internal/lab/scenario"
 	"canvasrouter/policy"
 )
@@ -34,8 +34,8 @@
 
 // Generate returns the arrivals of a load of the given duration, in order of time.
 func Generate(s *scenario.Scenario, duration policy.Micros, seed uint64) []Arrival {
-	timing := stream.New(seed, "arrivals")
-	mix := stream.New(seed, "mix")
+	timing := rngstream.New(seed, "arrivals")
+	mix := rngstream.New(seed, "mix")
 	var arrivals []Arrival
 	for at := policy.Micros(0); ; {
 		rate := s.Load.Rate / 1e6 // per microsecond
@@ -62,7 +62,7 @@
 		if extraFactor <= 0 {
 			continue
 		}
-		random := stream.New(seed, fmt.Sprintf("burst %d", i))
+		random := rngstream.New(seed, fmt.Sprintf("burst %d", i))
 		share := 1.0
 		tenant := -1
 		if disturbance.Tenant != "" {
--- a/internal/lab/load/stream/stream.go
+++ b/internal/lab/load/rngstream/stream.go
@@ -1,5 +1,5 @@
-// Package stream derives independent random number streams from one seed.
-package stream
+// Package rngstream derives independent random number streams from one seed.
+package rngstream
 
 import "math/rand/v2"
 
--- a/internal/lab/scale/changes.go
+++ b/internal/lab/scale/changes.go
@@ -19,8 +19,8 @@
 	"github.com/rs/zerolog"
 
 	"canvasrouter/internal/config"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 	"canvasrouter/internal/standin/relay"
 	"canvasrouter/internal/store"
 	"canvasrouter/internal/store/apply"
@@ -299,7 +299,7 @@
 	if err != nil {
 		return point, err
 	}
-	timerLag := together.NewTimerLag()
+	timerLag := harness.NewTimerLag()
 	all := sequence(0, nodes)
 	meanBytes := func() (sum float64) {
 		for i := range nodes {
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/node"
 	"canvasrouter/internal/registry"
 	"canvasrouter/internal/sockets"
@@ -47,7 +47,7 @@
 		Addr: func(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }}
 	service := standin.NewService(standin.NewCatalog(entries, false), 0, options)
 	defer service.Close()
-	timerLag := together.NewTimerLag()
+	timerLag := harness.NewTimerLag()
 	var mu sync.Mutex
 	listedAt := map[int]time.Time{} // when each restart was listed, by its start time in µs
 	var latencies []float64
--- a/internal/lab/scale/list_processes.go
+++ b/internal/lab/scale/list_processes.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 	standin "canvasrouter/internal/standin/registry"
 	"canvasrouter/policy"
 )
@@ -42,7 +42,7 @@
 		return point, err
 	}
 	defer host.Close()
-	timerLag := together.NewTimerLag()
+	timerLag := harness.NewTimerLag()
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	processes := make([]*process, nodes)
 	errs := make([]error, nodes)
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -10,21 +10,21 @@
 	"time"
 
 	"canvasrouter/internal/fleet/members"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 	"canvasrouter/internal/standin/relay"
 	"canvasrouter/policy"
 )
 
 // ProcessCluster is a Cluster whose nodes are processes of the program.
 type ProcessCluster struct {
-	*together.Processes
+	*harness.Processes
 	nodes int
 }
 
 // NewProcessCluster opens the relay for the given number of processes.
 func NewProcessCluster(program string, s *scenario.Scenario, nodes int, seed uint64) (*ProcessCluster, error) {
-	p, err := together.NewProcesses(program, s, nodes, seed)
+	p, err := harness.NewProcesses(program, s, nodes, seed)
 	return &ProcessCluster{p, nodes}, err
 }
 
@@ -72,7 +72,7 @@
 	relay     *relay.Relay
 	nodes     int
 	slowdown  time.Duration
-	lag       *together.TimerLag
+	lag       *harness.TimerLag
 	stop      chan struct{}
 	goroutine sync.WaitGroup
 	mu        sync.Mutex
@@ -81,7 +81,7 @@
 
 // startTraffic starts sampling the traffic of a cluster.
 func startTraffic(cluster Cluster) *trafficSampler {
-	sampler := &trafficSampler{relay: cluster.NetworkRelay(), nodes: cluster.Size(), slowdown: time.Duration(cluster.SlowdownFactor()), lag: together.NewTimerLag(), stop: make(chan struct{})}
+	sampler := &trafficSampler{relay: cluster.NetworkRelay(), nodes: cluster.Size(), slowdown: time.Duration(cluster.SlowdownFactor()), lag: harness.NewTimerLag(), stop: make(chan struct{})}
 	sampler.goroutine.Go(func() {
 		ticker := time.NewTicker(time.Second * sampler.slowdown)
 		defer ticker.Stop()
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -46,7 +46,7 @@
 // rows are the rows of the table, in order.
 var rows = []tableRow{
 	{title: "Call's path", state: "ops in hand, 0.4 MB at most of bodies and tables for each 100; no term in N", command: "canvaslab scale path --nodes 1,10 --node bin/canvasrouter",
-		mechanism: "`clients`, `node`, `servers`: one actor decides, a goroutine carries each push",
+		mechanism: "`frontend`, `node`, `servers`: one actor decides, a goroutine carries each push",
 		cells: []tableCell{
 			{column: "in force", label: "p99 added, one hop", record: "path", kind: KindReal, name: "p99_added_ms@1", unit: "ms", budget: maxAddedMs},
 			{column: "in force", label: "p50 added, one hop", record: "path", kind: KindReal, name: "p50_added_ms@1", unit: "ms"},
@@ -79,13 +79,13 @@
 			{column: "in force", label: "a tenth killed", record: "members", kind: KindInProcess, name: "killed_s", unit: "s"},
 		}},
 	{title: "Judgements on servers", state: "min(8 x C, 512) servers x 8 reports x some 100 bytes", command: "canvaslab scale judgements --nodes 25,50,100,200,400,900",
-		mechanism: "`fleet/judged`: reports by source, gossiped by `fleet/transport`",
+		mechanism: "`fleet/outlier`: reports by source, gossiped by `fleet/transport`",
 		cells: []tableCell{
 			{column: "bytes", label: "calm", record: "judgements", kind: KindInProcess, name: "calm_bytes", unit: "bytes/s", control: "bytes"},
 			{column: "bytes", label: "a tenth of the servers silent", record: "judgements", kind: KindInProcess, name: "fault_bytes", unit: "bytes/s", budget: maxControlBytes, control: "fault"},
 			{column: "in force", label: "nine in ten nodes know", record: "judgements", kind: KindInProcess, name: "seen_s", unit: "s"},
 		}},
-	{title: "Messages between modules", state: "64 words a number, 192 bytes", mechanism: "`fleet/words`, off by default", missing: "not measured at this size: words go to the nodes of a service's fleet_size alone"},
+	{title: "Messages between modules", state: "64 words a number, 192 bytes", mechanism: "`fleet/peermsg`, off by default", missing: "not measured at this size: words go to the nodes of a service's fleet_size alone"},
 	{title: "Configuration", state: "at a node: three patches of at most 64 KiB; at each of the 3 replicas: V + N keys at the most, 4,096 reports of some 300 bytes",
 		command:   "canvaslab scale changes --nodes 25,50,100,200,400,900 (hollow); --nodes 25,50,100 --node bin/canvasrouter (real)",
 		mechanism: "`store`: a register a key on three replicas, each node watches one of them; **none before**: a file and SIGHUP at each node",
--- a/internal/lab/scale/path.go
+++ b/internal/lab/scale/path.go
@@ -20,8 +20,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 )
 
 // LoopbackHost is a loopback address that one run has claimed for itself, with its ports.
@@ -296,7 +296,7 @@
 		}
 		return sum
 	}
-	cpuBefore, timerLag := cpuSeconds(), together.NewTimerLag()
+	cpuBefore, timerLag := cpuSeconds(), harness.NewTimerLag()
 	directLatencies, routedLatencies, failed := run(2 * calmTime)
 	used := cpuSeconds() - cpuBefore
 	worstLag, meanLag := timerLag.Stop()
--- a/internal/lab/scale/start.go
+++ b/internal/lab/scale/start.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/together"
 	standin "canvasrouter/internal/standin/registry"
 	"canvasrouter/policy"
 )
@@ -165,7 +165,7 @@
 			proc.kill()
 		}
 	}()
-	timerLag := together.NewTimerLag()
+	timerLag := harness.NewTimerLag()
 	for _, phase := range []string{"first", "up", "slow", "down"} {
 		service.SetDown(phase == "down")
 		service.SetDelay(map[bool]time.Duration{true: 2 * time.Second}[phase == "slow"])
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"canvasrouter/internal/fleet/members"
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 )
 
 // sampledViews is the number of nodes whose view is fetched, spread evenly over all nodes.
@@ -25,7 +25,7 @@
 	if _, err = cluster.WaitForAgreement(ctx, sequence(0, nodes), agreeTimeout); err != nil {
 		return point, err
 	}
-	timerLag := together.NewTimerLag()
+	timerLag := harness.NewTimerLag()
 	meanBytes := 0.0
 	meanMs := 0.0
 	maxMs := 0.0
--- a/internal/lab/scenario/document.go
+++ b/internal/lab/scenario/document.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"fmt"
 
-	"canvasrouter/internal/standin/fleet"
 	"canvasrouter/internal/standin/registry"
+	"canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
@@ -126,9 +126,9 @@
 }
 
 // ModelSpec returns the parameters of the machine for the server model.
-func (m Machine) ModelSpec(s *Scenario) fleet.Spec {
+func (m Machine) ModelSpec(s *Scenario) servermodel.Spec {
 	t := m.Type
-	return fleet.Spec{
+	return servermodel.Spec{
 		Cores:            t.Cores,
 		Speed:            t.Speed,
 		QueueLimit:       t.QueueLimit,
@@ -138,7 +138,7 @@
 		JamRecoveryTime:  t.JamRecoveryTime.Micros(),
 		CrowdingPerCore:  t.CrowdingPerCore,
 		CrowdingSlowdown: t.CrowdingSlowdown,
-		ColdStart: fleet.ColdStart{
+		ColdStart: servermodel.ColdStart{
 			InitialShare:   s.Limits.ColdInitialShare,
 			WarmUpTime:     s.Limits.ColdWarmUpTime.Micros(),
 			OverloadFactor: s.Limits.ColdOverloadFactor,
@@ -172,18 +172,18 @@
 }
 
 // DedupMemories holds the deduplication memories of a run, by category, tier and group.
-type DedupMemories map[[3]int]*fleet.DedupMemory
+type DedupMemories map[[3]int]*servermodel.DedupMemory
 
 // Get returns the deduplication memory of a category's group at a machine, or nil where duplicates are not dropped. The
 // memory retains an op for extraRetention longer than the category's window.
-func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *fleet.DedupMemory {
+func (memories DedupMemories) Get(s *Scenario, category int, m Machine, extraRetention policy.Micros) *servermodel.DedupMemory {
 	group, window, deduplicated := m.DedupGroup(s, category)
 	if !deduplicated {
 		return nil
 	}
 	key := [3]int{category, m.Tier, group}
 	if memories[key] == nil {
-		memories[key] = fleet.NewDedupMemory(window + extraRetention)
+		memories[key] = servermodel.NewDedupMemory(window + extraRetention)
 	}
 	return memories[key]
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"canvasrouter/internal/config"
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 )
 
 const smallScenario = `name = "x"
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := s.Plan(stream.New(3, "troubles")), s.Plan(stream.New(3, "troubles"))
+	first, second := s.Plan(rngstream.New(3, "troubles")), s.Plan(rngstream.New(3, "troubles"))
 	if len(first.Machines) != 4 || first.InitialCount != 2 || len(first.Steps) != len(second.Steps) {
 		t.Errorf("%d machines, %d steps", len(first.Machines), len(first.Steps))
 	}
@@ -109,7 +109,7 @@
 			return
 		}
 		if n := len(s.Machines()); n < 10_000 && len(s.Disturbances) < 10 {
-			s.Plan(stream.New(1, "troubles"))
+			s.Plan(rngstream.New(1, "troubles"))
 		}
 	})
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -4,11 +4,11 @@
 	"strconv"
 	"strings"
 
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/trial"
 	"canvasrouter/internal/node"
 	"canvasrouter/policy"
 )
@@ -74,11 +74,11 @@
 	n.byRequest = make(map[*node.Request]*request)
 	n.wakeAt = 0
 	var decider policy.Decider
-	decider, n.module = r.newDecider(config, stream.New(r.Seed, "node "+strconv.Itoa(n.globalIndex)+" "+strconv.Itoa(n.incarnation)).Uint64())
+	decider, n.module = r.newDecider(config, rngstream.New(r.Seed, "node "+strconv.Itoa(n.globalIndex)+" "+strconv.Itoa(n.incarnation)).Uint64())
 	if r.err != nil {
 		return
 	}
-	n.answerSlack = trial.AnswerSlack(r.Fault, config.AnswerSlack)
+	n.answerSlack = deciders.AnswerSlack(r.Fault, config.AnswerSlack)
 	n.actor = node.New(node.Options{MaxPendingOps: min(maxPendingOps, config.MaxPendingOps), AnswerSlack: n.answerSlack}, decider, n.clock, discardLogger)
 	cachedList := &node.List{Form: policy.ListCached}
 	r.ledger.RecordNodeStart(n.globalIndex)
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -4,7 +4,7 @@
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/standin/fleet"
+	"canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
@@ -13,7 +13,7 @@
 	run             *run
 	index           int
 	machine         scenario.Machine
-	model           *fleet.Server
+	model           *servermodel.Server
 	nextTierNode    *simNode // the server's own node for calls to the next tier, or nil
 	up              bool
 	silent          bool // went down without closing its connections
@@ -25,7 +25,7 @@
 }
 
 func newServer(r *run, index int, m scenario.Machine, up bool) *server {
-	return &server{run: r, index: index, machine: m, up: up, wakeAt: fleet.Never, model: fleet.New(m.ModelSpec(r.Scenario)),
+	return &server{run: r, index: index, machine: m, up: up, wakeAt: servermodel.Never, model: servermodel.New(m.ModelSpec(r.Scenario)),
 		idleConnections: make(map[*simNode][]policy.Micros)}
 }
 
@@ -156,16 +156,16 @@
 		return
 	}
 	push.key = dedupKey(key)
-	push.job = &fleet.Job{Work: push.work + cost, StartKnown: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Context: push}
+	push.job = &servermodel.Job{Work: push.work + cost, StartKnown: r.ledger.KnowsServerStart(push.from.globalIndex, s.index, s.started), Context: push}
 	result := s.model.Arrive(r.now, push.job)
 	r.ledger.RecordPeakLoad(s.model.PeakLoad())
 	switch result {
-	case fleet.Accepted:
+	case servermodel.Accepted:
 		if downFor := push.arrival.KillsFor; downFor > 0 && push.arrival.KillTier == s.machine.Tier {
 			r.schedule(r.now+policy.Millisecond, func() { s.killedByOp(push.serverStart, downFor) })
 		}
-	case fleet.CollapsedByInformed, fleet.CollapsedByUninformed:
-		r.ledger.RecordCollapse(s.index, result == fleet.CollapsedByInformed)
+	case servermodel.CollapsedByInformed, servermodel.CollapsedByUninformed:
+		r.ledger.RecordCollapse(s.index, result == servermodel.CollapsedByInformed)
 		fallthrough
 	default:
 		if memory != nil {
@@ -180,7 +180,7 @@
 // scheduleWake schedules the event at which the next job completes its own work.
 func (s *server) scheduleWake() {
 	next := s.model.NextCompletion()
-	if next == fleet.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
+	if next == servermodel.Never || s.wakeAt <= next && s.wakeAt > s.run.now {
 		return
 	}
 	s.wakeAt = next
@@ -188,7 +188,7 @@
 		if s.wakeAt != next {
 			return
 		}
-		s.wakeAt = fleet.Never
+		s.wakeAt = servermodel.Never
 		for _, job := range s.model.Advance(s.run.now) {
 			s.jobDone(job)
 		}
@@ -198,7 +198,7 @@
 
 // recordJob records the effect and the work of a job. A job that never ran is removed from the deduplication memory,
 // because a later duplicate of it must run.
-func (s *server) recordJob(job *fleet.Job, push *simPush) {
+func (s *server) recordJob(job *servermodel.Job, push *simPush) {
 	if job.Started() {
 		s.run.ledger.RecordEffect(push.id)
 		s.run.ledger.RecordWork(push.id, job.Work)
@@ -211,7 +211,7 @@
 }
 
 // jobDone handles the end of a job's own work. Its calls to the next tier follow, one after another.
-func (s *server) jobDone(job *fleet.Job) {
+func (s *server) jobDone(job *servermodel.Job) {
 	push := job.Context.(*simPush)
 	s.recordJob(job, push)
 	calls := 0
@@ -222,7 +222,7 @@
 }
 
 // callNextTier makes the next of a job's calls to the next tier, and finishes the job after the last call.
-func (s *server) callNextTier(job *fleet.Job, push *simPush, callsLeft int) {
+func (s *server) callNextTier(job *servermodel.Job, push *simPush, callsLeft int) {
 	serverStart := s.started
 	if callsLeft == 0 {
 		s.finish(job, push, policy.Acked)
@@ -248,7 +248,7 @@
 }
 
 // finish answers a push and frees the core of its job.
-func (s *server) finish(job *fleet.Job, push *simPush, outcome policy.Outcome) {
+func (s *server) finish(job *servermodel.Job, push *simPush, outcome policy.Outcome) {
 	switch s.mode {
 	case scenario.ModeReset:
 		outcome = policy.Reset
@@ -273,7 +273,7 @@
 }
 
 // dedupMemory returns the deduplication memory of a category's group at a machine, or nil.
-func (r *run) dedupMemory(category int, m scenario.Machine) *fleet.DedupMemory {
+func (r *run) dedupMemory(category int, m scenario.Machine) *servermodel.DedupMemory {
 	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
@@ -285,7 +285,7 @@
 	arrival     *load.Arrival
 	try         ledger.TryID
 	id          ledger.PushID
-	job         *fleet.Job
+	job         *servermodel.Job
 	key         string
 	work        policy.Micros
 	deadline    policy.Micros // as sent by the node to the server
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 
 	"canvasrouter/internal/config"
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
-	"canvasrouter/internal/lab/load/stream"
+	"canvasrouter/internal/lab/load/rngstream"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/trial"
 	"canvasrouter/internal/sockets"
 	"canvasrouter/internal/standin/registry"
 	"canvasrouter/policy"
@@ -26,8 +26,8 @@
 // Options selects the run of an experiment.
 type Options struct {
 	Scenario     *scenario.Scenario
-	Policy       string // one of trial.Policies
-	Fault        string // one of trial.Faults, or empty
+	Policy       string // one of deciders.Policies
+	Fault        string // one of deciders.Faults, or empty
 	Seed         uint64
 	LoadDuration policy.Micros
 	Arrivals     []load.Arrival
@@ -98,9 +98,9 @@
 	r := &run{
 		Options:         options,
 		now:             loadStart - s.Load.LeadTime.Micros(),
-		rng:             stream.New(options.Seed, "network"),
+		rng:             rngstream.New(options.Seed, "network"),
 		ledger:          ledger.New(s, loadStart, BucketDuration, true),
-		plan:            s.Plan(stream.New(options.Seed, "troubles")),
+		plan:            s.Plan(rngstream.New(options.Seed, "troubles")),
 		memories:        make(scenario.DedupMemories),
 		serverIndexByID: make(map[policy.ServerID]int),
 	}
@@ -334,7 +334,7 @@
 
 // newDecider returns the decider that the options select, and the policy module inside it, which is nil for a baseline.
 func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
-	decider, module, err := trial.New(r.Policy, r.Fault, c.Rules, seed)
+	decider, module, err := deciders.New(r.Policy, r.Fault, c.Rules, seed)
 	if err != nil {
 		r.err = err
 	}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"canvasrouter/internal/lab/deciders"
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/load"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/lab/trial"
 	experiments "canvasrouter/lab"
 	"canvasrouter/policy"
 )
@@ -60,16 +60,16 @@
 				s.Tiers[0].MachineTypes[0].Count = 40
 				s.Load.Rate = 180
 			}
-			for _, policyName := range trial.Policies {
+			for _, policyName := range deciders.Policies {
 				result := runScenario(t, s, Options{Policy: policyName, Seed: 2})
 				want := ""
-				if name == "cold-fleet" && policyName != trial.Module {
+				if name == "cold-fleet" && policyName != deciders.Module {
 					want = "cold" // a baseline has no slow start, and here the load of all nodes together makes a cold server collapse
 				}
 				if got := strings.Join(result.BrokenRules, " "); got != want {
 					t.Errorf("%s breaks rules %q, want %q: %v", policyName, got, want, result.BreachMessages)
 				}
-				if policyName != trial.Module {
+				if policyName != deciders.Module {
 					continue
 				}
 				first, _ := json.Marshal(result)
@@ -88,7 +88,7 @@
 
 // Each injected fault is reported as a breach of its rule and of no other rule.
 func TestInjectedFaultsAreDetected(t *testing.T) {
-	for fault, rule := range trial.Faults {
+	for fault, rule := range deciders.Faults {
 		s := readScenario(t, map[string]string{"drain": "drain", "cold": "rolling-deploy", "answer": "steady", "effect": "steady"}[rule])
 		r := runScenario(t, s, Options{Fault: fault, Seed: 1})
 		if diff := cmp.Diff([]string{rule}, r.BrokenRules); diff != "" {
--- a/internal/registry/recovery_test.go
+++ b/internal/registry/recovery_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/node"
 	"canvasrouter/internal/sockets"
 	"canvasrouter/policy"
@@ -183,7 +183,7 @@
 func TestReportsAfterOutageOnSockets(t *testing.T) {
 	const nodes, down = 50, 4 * time.Second
 	var clients sync.WaitGroup
-	lag := together.NewTimerLag()
+	lag := harness.NewTimerLag()
 	var mu sync.Mutex
 	worstDelay := map[string]time.Duration{}
 	for _, name := range []string{"silent", "503", "reset", "half a response", "silent watch"} {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,7 +19,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/rs/zerolog"
 
-	"canvasrouter/internal/lab/together"
+	"canvasrouter/internal/lab/harness"
 	"canvasrouter/internal/node"
 	"canvasrouter/internal/sockets"
 	"canvasrouter/policy"
@@ -308,7 +308,7 @@
 		close(ended)
 	}()
 	var backSince time.Time // after the last failed call: the registry is back from here on
-	lag := together.NewTimerLag()
+	lag := harness.NewTimerLag()
 	for range 8 {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -19,8 +19,8 @@
 	"github.com/rs/zerolog"
 	"github.com/rs/zerolog/diode"
 
-	"canvasrouter/internal/clients"
 	"canvasrouter/internal/config"
+	"canvasrouter/internal/frontend"
 	"canvasrouter/internal/node"
 	"canvasrouter/internal/registry"
 	"canvasrouter/internal/servers"
@@ -126,7 +126,7 @@
 		return err
 	}
 	serverPool := servers.New(p.serverOptions(c), serverSockets, log.With().Str("part", "servers").Logger(), actor.PushEnded)
-	clientServer, err := clients.Listen(c.Listen, clientOptions(c, 0), clientSockets, actor, clock,
+	clientServer, err := frontend.Listen(c.Listen, clientOptions(c, 0), clientSockets, actor, clock,
 		log.With().Str("part", "clients").Logger())
 	if err != nil {
 		return fmt.Errorf("config: key listen: %w", err)
@@ -183,7 +183,7 @@
 	actor            *node.Node
 	registry         *registry.Client
 	serverPool       *servers.Pool
-	clientServer     *clients.Server
+	clientServer     *frontend.Server
 	clock            *node.Clock
 	peers            peerNetwork
 
@@ -227,8 +227,8 @@
 }
 
 // clientOptions returns the options for clients under a configuration and its generation.
-func clientOptions(c *config.Config, generation int) clients.Options {
-	options := clients.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
+func clientOptions(c *config.Config, generation int) frontend.Options {
+	options := frontend.Options{Categories: c.Names.Categories, Tenants: c.Names.Tenants, GenerationNumber: generation}
 	for _, category := range c.Rules.Categories {
 		options.DeliverySemantics = append(options.DeliverySemantics, category.Delivery)
 		options.MaxTTL = max(options.MaxTTL, config.Duration(category.TTL))
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -17,7 +17,7 @@
 
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/standin/fleet"
+	"canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
@@ -26,8 +26,8 @@
 	Key             string
 	Category        int
 	Work            policy.Micros
-	DownstreamCalls int                // calls to the next tier, one after another
-	Dedup           *fleet.DedupMemory // shared by a group of servers, or nil; guarded by DedupLock
+	DownstreamCalls int                      // calls to the next tier, one after another
+	Dedup           *servermodel.DedupMemory // shared by a group of servers, or nil; guarded by DedupLock
 	DedupLock       sync.Locker
 }
 
@@ -47,7 +47,7 @@
 	kind            *scenario.MachineType
 	environment     Environment
 	mu              sync.Mutex
-	model           *fleet.Server
+	model           *servermodel.Server
 	addr            string
 	http            *http.Server
 	listener        net.Listener
@@ -64,8 +64,8 @@
 }
 
 // New returns a server that is not started yet.
-func New(index int, kind *scenario.MachineType, spec fleet.Spec, addr string, environment Environment) *Server {
-	return &Server{index: index, kind: kind, environment: environment, model: fleet.New(spec), addr: addr}
+func New(index int, kind *scenario.MachineType, spec servermodel.Spec, addr string, environment Environment) *Server {
+	return &Server{index: index, kind: kind, environment: environment, model: servermodel.New(spec), addr: addr}
 }
 
 // Addr returns the address of the server.
@@ -222,7 +222,7 @@
 
 // scheduleAdvance sets the timer to the completion of the next job's work. The caller holds the lock.
 func (s *Server) scheduleAdvance() {
-	if next := s.model.NextCompletion(); next != fleet.Never && s.http != nil {
+	if next := s.model.NextCompletion(); next != servermodel.Never && s.http != nil {
 		s.timer.Reset(time.Duration(max(0, next-s.environment.Now())) * time.Microsecond)
 	}
 }
@@ -241,7 +241,7 @@
 
 // recordWork enters the effect and the work of a started job in the ledger. A job that never started is removed from the
 // dedup memory, so that a repeat of its op runs.
-func (s *Server) recordWork(job *fleet.Job, state *pushState) {
+func (s *Server) recordWork(job *servermodel.Job, state *pushState) {
 	switch {
 	case job.Started() && s.environment.Ledger != nil:
 		s.environment.Ledger.RecordEffect(state.push)
@@ -323,21 +323,21 @@
 			return
 		}
 	}
-	job := &fleet.Job{Work: op.Work + connectionCost(r, s.kind), StartKnown: startKnown, Context: state}
+	job := &servermodel.Job{Work: op.Work + connectionCost(r, s.kind), StartKnown: startKnown, Context: state}
 	s.mu.Lock()
 	result, peakLoad := s.model.Arrive(now, job), s.model.PeakLoad()
-	if result != fleet.Accepted {
+	if result != servermodel.Accepted {
 		s.recordWork(job, state)
 	}
 	s.scheduleAdvance()
 	s.mu.Unlock()
 	if account := s.environment.Ledger; account != nil {
 		account.RecordPeakLoad(peakLoad)
-		if result == fleet.CollapsedByInformed || result == fleet.CollapsedByUninformed {
-			account.RecordCollapse(s.index, result == fleet.CollapsedByInformed)
+		if result == servermodel.CollapsedByInformed || result == servermodel.CollapsedByUninformed {
+			account.RecordCollapse(s.index, result == servermodel.CollapsedByInformed)
 		}
 	}
-	if result != fleet.Accepted {
+	if result != servermodel.Accepted {
 		writeRejection(w)
 		return
 	}
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -13,12 +13,12 @@
 
 	"canvasrouter/internal/lab/ledger"
 	"canvasrouter/internal/lab/scenario"
-	"canvasrouter/internal/standin/fleet"
+	"canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
 // startServer starts a server with one core, a queue of one op and a limit of three connections. Its ops take 20 ms.
-func startServer(t *testing.T, memory *fleet.DedupMemory) *Server {
+func startServer(t *testing.T, memory *servermodel.DedupMemory) *Server {
 	t.Helper()
 	started := time.Now()
 	kind := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
@@ -26,7 +26,7 @@
 	// No client connects from this address, so its port stays free while the server is down. A port on the common
 	// loopback address could be taken by any connection meanwhile.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
-	s := New(0, kind, fleet.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
+	s := New(0, kind, servermodel.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
 		Now: func() policy.Micros { return policy.Micros(time.Since(started).Microseconds()) },
 		FindOp: func(id string, _ *http.Request) (ledger.TryID, *Op, bool) {
 			return 0, &Op{Key: id, Work: 20 * policy.Millisecond, Dedup: memory, DedupLock: &lock}, id != ""
@@ -94,7 +94,7 @@
 
 // Above the limits of its queue and of its connections a server rejects pushes. A duplicate is answered without running.
 func TestLimits(t *testing.T) {
-	s := startServer(t, fleet.NewDedupMemory(policy.Second))
+	s := startServer(t, servermodel.NewDedupMemory(policy.Second))
 	var requests sync.WaitGroup
 	var mu sync.Mutex
 	statuses := map[string]int{}
@@ -127,7 +127,7 @@
 	}
 	addr := listener.Addr().String()
 	listener.Close()
-	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, fleet.Spec{Cores: 1, Speed: 1}, addr,
+	s := New(0, &scenario.MachineType{IdleTimeout: scenario.Duration(policy.Second)}, servermodel.Spec{Cores: 1, Speed: 1}, addr,
 		Environment{Now: func() policy.Micros { return 0 }})
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
--- a/internal/standin/fleet/server.go
+++ b/internal/standin/servermodel/server.go
@@ -1,9 +1,9 @@
-// Package fleet models a stand-in server: its cores, its bounded queue, jams under long queues, the cold start and the
+// Package servermodel models a stand-in server: its cores, its bounded queue, jams under long queues, the cold start and the
 // collapse of an overloaded cold server. It also models the memory by which a group of servers drops duplicate ops.
 //
 // The package does no I/O and has no clock: callers pass the time in. The same model serves the servers on sockets and
 // those in simulated time.
-package fleet
+package servermodel
 
 import (
 	"math"
--- a/internal/standin/fleet/server_test.go
+++ b/internal/standin/servermodel/server_test.go
@@ -1,4 +1,4 @@
-package fleet
+package servermodel
 
 import (
 	"fmt"
