--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -92,9 +92,10 @@
 // SameFleet reports whether both configurations give the node the same connection to the fleet: the same keys under fleet,
 // and the same number, zone and fleet size.
 func (c *Config) SameFleet(next *Config) bool {
-	place, nextPlace := &c.Rules.Topology, &next.Rules.Topology
+	topology, nextTopology := &c.Rules.Topology, &next.Rules.Topology
 	return (c.Fleet == nil) == (next.Fleet == nil) && (c.Fleet == nil || sameJSON(c.rawFleet, next.rawFleet) &&
-		place.NodeNumber == nextPlace.NodeNumber && place.Zone == nextPlace.Zone && place.NodeCount == nextPlace.NodeCount)
+		topology.NodeNumber == nextTopology.NodeNumber && topology.Zone == nextTopology.Zone &&
+		topology.NodeCount == nextTopology.NodeCount)
 }
 
 // sameJSON compares two JSON values regardless of white space and the order of keys.
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -39,7 +39,7 @@
 	writeLine("more than %g times its capacity for %s.", rules.ColdStart.OverloadFactor, Duration(rules.ColdStart.OverloadWindow))
 	c.explainFleet(writeLine)
 	c.explainStore(writeLine)
-	writeLine("The registry sends changes of the list %s.", choose(rules.Registry.MustSubscribe, "only on request, and the node requests them", "without a request"))
+	writeLine("The registry sends changes of the list %s.", choose(rules.Registry.MustSubscribe, "only on request, and the node requests them", "unasked"))
 	return text.String()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -154,7 +154,7 @@
 		n.drainMailbox()
 		if len(n.timers.heap) > 0 && n.clock.Now()-n.timers.heap[0].at > lateTimerThreshold {
 			// The process was not scheduled for a while, so answers may have arrived that no goroutine has read yet.
-			// Without this pause the overdue time-outs would fire first and discard them.
+			// Without this pause the overdue timeouts would fire first and discard them.
 			time.Sleep(catchUpDelay)
 			n.drainMailbox()
 		}
@@ -179,7 +179,7 @@
 }
 
 // drainMailbox handles the messages that are already queued, at most mailboxSize of them, so that an answer in the mailbox
-// takes effect before a time-out that is due.
+// takes effect before a timeout that is due.
 func (n *Node) drainMailbox() {
 	for range mailboxSize {
 		select {
@@ -348,7 +348,7 @@
 	op := push.op
 	switch result.Outcome {
 	case policy.TimedOut, policy.Cancelled:
-		// A push that never got its connection cannot have run. Reported as a time-out, it would prevent an at-most-once
+		// A push that never got its connection cannot have run. Reported as a timeout, it would prevent an at-most-once
 		// op from being pushed again or nacked.
 		switch withdrawn := push.Withdrawn(); {
 		case withdrawn || op.settled && push.withdraw():
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -63,7 +63,7 @@
 func (s *fakeServers) Watch()                       {}
 func (s *fakeServers) CloseIdle(id policy.ServerID) { s.closedIdle = append(s.closedIdle, id) }
 
-// pushFor is the effect of pushing the first op with a time-out in milliseconds.
+// pushFor is the effect of pushing the first op with a timeout in milliseconds.
 func pushFor(ms int) policy.Effect {
 	return policy.Effect{Kind: policy.Push, Op: 1, Server: 7, Duration: policy.Micros(ms) * policy.Millisecond}
 }
@@ -178,7 +178,7 @@
 	cancel     = policy.Effect{Kind: policy.Cancel, Op: 1}
 )
 
-// TestOneAnswer checks that answers, time-outs, disconnects and cancellations in any order give the client one answer, and the
+// TestOneAnswer checks that answers, timeouts, disconnects and cancellations in any order give the client one answer, and the
 // module one end of each push.
 func TestOneAnswer(t *testing.T) {
 	pushOnSubmit := func(in *policy.Input) []policy.Effect { // without state, so that cases can share it
@@ -307,7 +307,7 @@
 	}
 }
 
-// TestStall checks that answers take effect before time-outs that are due when a process that was not scheduled continues.
+// TestStall checks that answers take effect before timeouts that are due when a process that was not scheduled continues.
 func TestStall(t *testing.T) {
 	got := runScenario(t, 9, func(in *policy.Input) []policy.Effect {
 		switch {
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -81,7 +81,7 @@
 			},
 			[]string{"module: ended push 0 connect failed after 0 ms settled false", "sender: push withdrawn",
 				"module: ended push 1 moot after 0 ms settled true", "client: nacked"}},
-		// Reported as a time-out, the end would prevent an at-most-once op from being pushed again.
+		// Reported as a timeout, the end would prevent an at-most-once op from being pushed again.
 		"connection is never established": {respondOnce(policy.OpArrived, pushFor(300)),
 			func(r *harness, op *Op) {
 				advance(301)
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -40,8 +40,8 @@
 }
 
 // idAllocator maps the registry's names to the numbers that the policy uses. A server keeps its ID while it is on the
-// list; the ID is a hash of the instance ID, so a server that returns gets the same one unless that is in use. Zones and machine types
-// keep their numbers until the process ends.
+// list; the ID is a hash of the instance ID, so a server that returns gets the same one unless that is in use. Zones and
+// machine types keep their numbers until the process ends.
 type idAllocator struct {
 	serverIDs           map[string]policy.ServerID
 	usedIDs             map[policy.ServerID]bool
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -27,8 +27,8 @@
 	targetsPath = "/api/targets"
 
 	// maxSilence ends a watch that brings no line. While nothing changes the registry sends an empty line every 2 s, so
-	// this is two missed lines. A node that is cut off from the registry counts as notified of a change 6 s after the
-	// change; after a third missed line it could not reconnect within that time.
+	// this is two missed lines. A change counts as delivered 6 s after it happened, even at a node that is cut off from
+	// the registry; after a third missed line the node could not reconnect within that time.
 	maxSilence = 2*2*time.Second + 200*time.Millisecond
 
 	// hedgeDelay is how long a call may bring nothing before a second call is made beside it. A change counts as
@@ -101,8 +101,8 @@
 }
 
 // New returns a client whose connections are taken from the given socket budget.
-func New(options Options, part *sockets.Budget, log zerolog.Logger) *Client {
-	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Budget: part}
+func New(options Options, budget *sockets.Budget, log zerolog.Logger) *Client {
+	dialer := &sockets.Dialer{Dialer: net.Dialer{Timeout: dialTimeout}, Budget: budget}
 	c := &Client{
 		options:       options,
 		log:           log,
@@ -512,8 +512,8 @@
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
-		part, err := reader.ReadSlice('\n')
-		line = append(line, part...)
+		fragment, err := reader.ReadSlice('\n')
+		line = append(line, fragment...)
 		switch {
 		case err == nil:
 			return bytes.TrimSpace(line), nil
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -63,8 +63,8 @@
 	}))
 	defer server.Close()
 	defer close(releaseWatch)
-	socketShare := sockets.NewBudget(4)
-	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, socketShare, zerolog.Nop())
+	budget := sockets.NewBudget(4)
+	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Zones: []string{"a", "b"}}, budget, zerolog.Nop())
 	if keepOpen {
 		client.maxSilence = 100 * time.Millisecond
 	}
@@ -223,8 +223,8 @@
 		fmt.Fprintln(w, listLine(7, true))
 	}))
 	defer server.Close()
-	socketShare := sockets.NewBudget(4)
-	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, socketShare,
+	budget := sockets.NewBudget(4)
+	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), AutoWatch: true, BaseRetryDelay: time.Millisecond}, budget,
 		zerolog.Nop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -296,7 +296,8 @@
 // otherwise it would assign requests to categories that no generation knows yet.
 func (p *process) switchGeneration(next *config.Config) error {
 	if zone := int(next.Rules.Topology.Zone); zone < len(next.Names.Zones) {
-		next.Rules.Topology.Zone = p.registry.ZoneID(next.Names.Zones[zone]) // the registry client keeps the zone numbers it already uses
+		// The registry client keeps the zone numbers that it already uses.
+		next.Rules.Topology.Zone = p.registry.ZoneID(next.Names.Zones[zone])
 	}
 	generation, err := p.newGeneration(next)
 	if err != nil {
--- a/internal/servers/actor.go
+++ b/internal/servers/actor.go
@@ -256,7 +256,7 @@
 const discardTimeout = 20 * time.Millisecond
 
 // discardBody reads the rest of an answer that is not forwarded, so that its connection can be reused. Without the time limit
-// a body that never comes would turn the outcome that the status has established into a time-out.
+// a body that never comes would turn the outcome that the status has established into a timeout.
 func discardBody(response *http.Response) {
 	timer := time.AfterFunc(discardTimeout, func() { response.Body.Close() })
 	defer timer.Stop()
--- a/internal/servers/conn.go
+++ b/internal/servers/conn.go
@@ -22,7 +22,7 @@
 const (
 	// maxHeadBytes is the maximum length of an answer's status line and headers.
 	maxHeadBytes = 16 << 10
-	// stallTimeoutFactor times the dial time-out, the setting for what the network needs, is how long an answer that has
+	// stallTimeoutFactor times the dial timeout, the setting for what the network needs, is how long an answer that has
 	// begun may bring nothing.
 	stallTimeoutFactor = 2
 	// minIdleTime is how long a connection is idle after an answer before it is used again or closed. By then, excess bytes
@@ -185,7 +185,7 @@
 }
 
 // Read passes the bytes of the expected answer to the transport, and no others. It fails if an answer that has begun brings
-// nothing for stallTimeout: otherwise the push would wait for its whole time-out.
+// nothing for stallTimeout: otherwise the push would wait for its whole timeout.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.receive(b)
--- a/internal/servers/race_test.go
+++ b/internal/servers/race_test.go
@@ -53,7 +53,7 @@
 	return newNodeHarnessOf(t, pushOnceModule{}, dialTimeout, 2, addr)
 }
 
-// newNodeHarnessOf starts a node with a module, a dial time-out, a number of sockets and servers.
+// newNodeHarnessOf starts a node with a module, a dial timeout, a number of sockets and servers.
 func newNodeHarnessOf(t *testing.T, module policy.Decider, dialTimeout time.Duration, budgetSize int, addrs ...string) *nodeHarness {
 	t.Helper()
 	h := &nodeHarness{budget: sockets.NewBudget(budgetSize), clock: node.NewClock(), addrs: addrs}
@@ -84,7 +84,7 @@
 // submit submits an op with an id.
 func (h *nodeHarness) submit(id string) *node.Op { return h.submitOp(id, "body", policy.Second) }
 
-// submitOp submits an op with an id, a body and a time-out.
+// submitOp submits an op with an id, a body and a timeout.
 func (h *nodeHarness) submitOp(id, body string, timeout policy.Micros) *node.Op {
 	op := node.NewOp()
 	p := newPush(context.Background(), "POST", "/booking", "", "X-Txn: "+id)
@@ -281,7 +281,7 @@
 	}
 }
 
-// TestAnswerWithoutEnd checks answers that never end but keep sending bytes, so that the stall time-out does not apply. Only
+// TestAnswerWithoutEnd checks answers that never end but keep sending bytes, so that the stall timeout does not apply. Only
 // cancelling the push ends them; the connection is closed then, and its socket is released once.
 func TestAnswerWithoutEnd(t *testing.T) {
 	for name, c := range map[string]struct{ first, repeated string }{
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -246,7 +246,7 @@
 }
 
 // TestMalformedAnswers checks answers that can't be parsed, from a server that keeps the connection open. Without the checks
-// such a push would wait for its whole time-out. Instead it soon ends as an error, the connection is closed, and memory stays
+// such a push would wait for its whole timeout. Instead it soon ends as an error, the connection is closed, and memory stays
 // bounded.
 func TestMalformedAnswers(t *testing.T) {
 	for name, c := range map[string]struct{ answer, repeated string }{
@@ -645,7 +645,7 @@
 	}
 }
 
-// TestDialTimeout checks that a connection that is never established fails within the dial time-out and releases its socket.
+// TestDialTimeout checks that a connection that is never established fails within the dial timeout and releases its socket.
 func TestDialTimeout(t *testing.T) {
 	addr, _ := fullBacklog(t, nil) // the backlog stays full
 	r := newPoolHarness(t, addr)
--- a/policy/peer_message_test.go
+++ b/policy/peer_message_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A message is decoded as it was encoded, the relative latency within half a step. A message of another version, length
-// or event is not understood.
+// TestPeerMessageEncoding checks that a message is decoded as it was encoded, the relative latency within half a step.
+// A message of another version, length or event is not understood.
 func TestPeerMessageEncoding(t *testing.T) {
 	for _, latency := range []float64{0, 0.25, 0.5, 1, 3, 16} {
 		want := peerMessage{event: peerPushAcked, relativeLatency: latency, foldedServerID: 0xabcd}
@@ -28,7 +28,8 @@
 	}
 }
 
-// Each push and its end is reported once to all nodes that have the server in their subset, and to no other node.
+// TestPeerMessageRecipients checks that each push and its end is reported once to all nodes that have the server in
+// their subset, and to no other node.
 func TestPeerMessageRecipients(t *testing.T) {
 	for _, fleet := range []struct{ nodes, servers int }{{40, 8}, {7, 30}, {20, 1}, {31, 13}} {
 		newNode := func(number int) *Node {
@@ -84,8 +85,9 @@
 	s.step(Input{Kind: PeerMessageReceived, Message: encoded[:]})
 }
 
-// Pushes of peers count for the load of a server: ops go to the other server until the peers report the ends of their
-// pushes, or until the messages are forgotten. A high relative latency reported by peers has the same effect.
+// TestPeerMessagesShiftLoad checks that pushes of peers count for the load of a server: ops go to the other server
+// until the peers report the ends of their pushes, or until the messages are forgotten. A high relative latency
+// reported by peers has the same effect.
 func TestPeerMessagesShiftLoad(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -128,8 +130,9 @@
 	}
 }
 
-// Peer messages never add a server, nor do they make one usable that drains or that has failed at this node. A reported
-// ack only saves the trial push after the server's down time, so that an at-most-once op may go there too.
+// TestPeerMessagesDoNotRestoreServers checks that peer messages never add a server, nor do they make one usable that
+// drains or that has failed at this node. A reported ack only saves the trial push after the server's down time, so
+// that an at-most-once op may go there too.
 func TestPeerMessagesDoNotRestoreServers(t *testing.T) {
 	s := newPeerScenario(t, 20, 0, 2)
 	draining := readyServers(1)
@@ -151,7 +154,8 @@
 	}
 }
 
-// The number of peer messages is bounded by the clients' first tries, however many pushes end and retries come.
+// TestPeerMessageBudget checks that the number of peer messages is bounded by the clients' first tries, however many
+// pushes end and retries come.
 func TestPeerMessageBudget(t *testing.T) {
 	s := newPeerScenario(t, 2000, 0, 2)
 	messages := 0
@@ -168,8 +172,9 @@
 	}
 }
 
-// If nodes whose servers failed all went on to the next servers of the ring, where they get no peer messages, these would
-// be congested, and then the next ones. A node keeps to the rest of its subset until all of that is down.
+// TestSubsetWithPeers checks that a node whose servers fail keeps to the rest of its subset until all of that is down.
+// If nodes went on to the next servers of the ring, where they get no peer messages, these would be congested, and then
+// the next ones.
 func TestSubsetWithPeers(t *testing.T) {
 	s := newPeerScenario(t, 40, 0, 8) // with subsets of four servers
 	subset := func() (names string) {
@@ -189,10 +194,10 @@
 	}
 }
 
-// An idle connection may be dropped on its way without notice: what is then sent on it is lost without an error, and its
-// server looks as if it had stopped answering. Once more than a third of the pushes after such an idle time is lost, and
-// more than three times the share lost without idle time, idle connections are closed before a push. Where pushes are
-// lost at any time, none is closed.
+// TestIdleConnectionsAreClosed checks that idle connections are closed before a push once more than a third of the
+// pushes after such an idle time is lost, and more than three times the share lost without idle time. An idle
+// connection may be dropped on its way without notice: what is then sent on it is lost without an error, and its server
+// looks as if it had stopped answering. Where pushes are lost at any time, none is closed.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for name, test := range map[string]struct {
 		afterIdle, whileBusy Outcome
@@ -233,7 +238,8 @@
 	}
 }
 
-// A node that gets an op every half second rejects none although one answer in twenty is slow.
+// TestLowTrafficNode checks that a node that gets an op every half second rejects none although one answer in twenty is
+// slow.
 func TestLowTrafficNode(t *testing.T) {
 	s := newPeerScenario(t, 1200, 7, 130)
 	for i := range 200 {
@@ -253,8 +259,8 @@
 	}
 }
 
-// A client retries at once, 15 times, and waits no longer than a tenth of the target latency: each try gets one answer by
-// its deadline, and in the end no push is left in flight.
+// TestImpatientClient checks a client that retries at once, 15 times, and waits no longer than a tenth of the target
+// latency: each try gets one answer by its deadline, and in the end no push is left in flight.
 func TestImpatientClient(t *testing.T) {
 	s := newPeerScenario(t, 20, 0, 2)
 	answers := map[OpID]int{}
@@ -291,8 +297,8 @@
 	}
 }
 
-// A node with ten times the mean traffic is served by its subset while the servers keep up: an op is pushed or nacked in
-// the step of its arrival, and no server holds more pushes than its concurrency limit.
+// TestHighTrafficNode checks that a node with ten times the mean traffic is served by its subset while the servers keep
+// up: an op is pushed or nacked in the step of its arrival, and no server holds more pushes than its concurrency limit.
 func TestHighTrafficNode(t *testing.T) {
 	s := newPeerScenario(t, 40, 0, 8)
 	pushed, nacked := 0, 0
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,7 +8,7 @@
 // unaskedRegistry reports changes of the list without a subscription.
 var unaskedRegistry = RegistryRule{}
 
-// Every op gets exactly one answer, by its deadline, even if no push ends before.
+// TestOneAnswer checks that every op gets exactly one answer, by its deadline, even if no push ends before.
 func TestOneAnswer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
 	s.receiveList(ListCached, readyServers(2))
@@ -20,7 +20,8 @@
 	s.compareTrace()
 }
 
-// An at-most-once op is pushed again or nacked only as long as none of its pushes may have run.
+// TestAtMostOnce checks that an at-most-once op is pushed again or nacked only as long as none of its pushes may have
+// run.
 func TestAtMostOnce(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, atMostOnce)
 	s.receiveList(ListCached, readyServers(3))
@@ -35,7 +36,8 @@
 	s.compareTrace()
 }
 
-// A deduplicated op that may have run is pushed again only inside its cell and its window, and is never nacked.
+// TestDeduplicated checks that a deduplicated op that may have run is pushed again only inside its cell and its window,
+// and is never nacked.
 func TestDeduplicated(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, deduplicatedInCell)
 	s.receiveList(ListCached, readyServers(6))
@@ -49,7 +51,8 @@
 	s.compareTrace()
 }
 
-// No new push goes to a server that the list reports as draining or gone, or that a full list leaves out.
+// TestDrainingServers checks that no new push goes to a server that the list reports as draining or gone, or that a
+// full list leaves out.
 func TestDrainingServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
@@ -64,8 +67,8 @@
 	s.compareTrace()
 }
 
-// An outdated list may come again and report that a cold server started long ago. The server stays cold; a later start
-// is taken over. A listed server that does not exist costs one push per trial.
+// TestStaleListAndUnreachableServers checks that a cold server stays cold when an outdated list reports that it started
+// long ago, and that a later start is taken over. A listed server that does not exist costs one push per trial.
 func TestStaleListAndUnreachableServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	staleList := readyServers(3)
@@ -133,7 +136,7 @@
 	}
 }
 
-// The timer of an op that is over does not end the next op in the same slot.
+// TestReusedOpSlot checks that the timer of an op that is over does not end the next op in the same slot.
 func TestReusedOpSlot(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
@@ -147,7 +150,8 @@
 	s.compareTrace()
 }
 
-// A cold server is not overloaded while the other servers are under control, nor are all servers when all are cold.
+// TestColdServer checks that a cold server is not overloaded while the other servers are under control, nor are all
+// servers when all are cold.
 func TestColdServer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list := readyServers(3)
@@ -182,8 +186,8 @@
 	s.compareTrace()
 }
 
-// Control starts when overload marks exceed the target rate, rejects the lowest benefit first, and ends 10 s after the
-// last mark or rejection.
+// TestControl checks that control starts when overload marks exceed the target rate, rejects the lowest benefit first,
+// and ends 10 s after the last mark or rejection.
 func TestControl(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(1))
@@ -212,8 +216,9 @@
 	s.compareTrace()
 }
 
-// The rate would fall for as long as overload marks are remembered: after a short queue, a server with nothing in flight
-// any more would get no pushes. Once the queue has drained the rate rises; while the queue stands it goes on falling.
+// TestDrained checks that the admitted rate of a server rises once its queue has drained, and goes on falling while the
+// queue stands. Otherwise it would fall for as long as overload marks are remembered: after a short queue, a server
+// with nothing in flight any more would get no pushes.
 func TestDrained(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
@@ -239,8 +244,9 @@
 	}
 }
 
-// Few ops are above the cutoff level, so a server whose queue has drained stays nearly idle until the level falls. The
-// level falls at the next control tick; while the queue stands it does not.
+// TestDrainedCutoffLevel checks that the cutoff level of a server whose queue has drained falls at the next control
+// tick, and that it does not fall while the queue stands. Few ops are above the cutoff level, so the server stays
+// nearly idle until the level falls.
 func TestDrainedCutoffLevel(t *testing.T) {
 	for _, name := range []string{"Drained", "Standing"} {
 		t.Run(name, func(t *testing.T) {
@@ -274,7 +280,8 @@
 	}
 }
 
-// The control of all servers together also recovers as soon as the pushes that were queued have ended.
+// TestAllServersDrained checks that the control of all servers together also recovers as soon as the pushes that were
+// queued have ended.
 func TestAllServersDrained(t *testing.T) {
 	for _, drained := range []bool{true, false} {
 		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
@@ -307,7 +314,8 @@
 	}
 }
 
-// Slow answers are overload marks only while more than maxSlowShare of recent answers are slow.
+// TestSlowAnswers checks that slow answers are overload marks only while more than maxSlowShare of recent answers are
+// slow.
 func TestSlowAnswers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
@@ -328,7 +336,8 @@
 	s.compareTrace()
 }
 
-// A single server that fails fast leaves the rotation. If all servers do, errors are overload marks.
+// TestErrors checks that a single server that fails fast leaves the rotation. If all servers do, errors are overload
+// marks.
 func TestErrors(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
@@ -349,8 +358,8 @@
 	s.compareTrace()
 }
 
-// A server that has not answered since a push that timed out leaves the rotation. Later one op that may be pushed
-// twice tries it.
+// TestSilentServer checks that a server that has not answered since a push that timed out leaves the rotation. Later
+// one op that may be pushed twice tries it.
 func TestSilentServer(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, atMostOnce)
 	s.receiveList(ListCached, readyServers(2))
@@ -368,8 +377,9 @@
 	s.compareTrace()
 }
 
-// Where some answers never come, timeouts counted in full would grow up to their bound and leave no time to push again.
-// Where all answers are late the timeouts must still grow, or every push would time out.
+// TestTimeoutsWithMissingAnswers checks timeouts where some answers never come: counted in full they would grow up to
+// their bound and leave no time to push again. Where all answers are late the timeouts must still grow, or every push
+// would time out.
 func TestTimeoutsWithMissingAnswers(t *testing.T) {
 	const maxTimeout = 900 * Millisecond
 	timeoutAfter := func(every int) Micros {
@@ -392,7 +402,8 @@
 	}
 }
 
-// A node that gets overload marks within rateMemory of its first op rejects all but the highest benefit at once.
+// TestInitialCutoffLevel checks that a node that gets overload marks within rateMemory of its first op rejects all but
+// the highest benefit at once.
 func TestInitialCutoffLevel(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
@@ -404,7 +415,8 @@
 	s.compareTrace()
 }
 
-// A node that has been idle since its start behaves like one that has just started.
+// TestInitialCutoffLevelAfterIdle checks that a node that has been idle since its start behaves like one that has just
+// started.
 func TestInitialCutoffLevelAfterIdle(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(4))
@@ -417,7 +429,8 @@
 	s.compareTrace()
 }
 
-// A server counts as slow as soon as a push there is overdue: its weight falls before an answer or a timeout has come.
+// TestOverduePushesLowerWeight checks that a server counts as slow as soon as a push there is overdue: its weight falls
+// before an answer or a timeout has come.
 func TestOverduePushesLowerWeight(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
@@ -449,8 +462,9 @@
 	}
 }
 
-// Each of ten servers gets ten ops per second from this node, one of many, and rejects every fifth. In the first tier
-// all servers are then controlled together; in lower tiers they are not, as a nack costs more there.
+// TestControlOfAllServersByTier checks a node, one of many, that sends ten ops per second to each of ten servers, which
+// reject every fifth. In the first tier all servers are then controlled together; in lower tiers they are not, as a
+// nack costs more there.
 func TestControlOfAllServersByTier(t *testing.T) {
 	for tier, wantActive := range []bool{true, false} {
 		s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
@@ -471,9 +485,9 @@
 	}
 }
 
-// Where a server does less work the more pushes it holds, overload marks come too late. Its concurrency limit doubles per
-// latency at first, falls as soon as answers take more than 5/3 of the baseline, and is never below four: with so few
-// pushes in flight a node cannot tell congestion from chance.
+// TestConcurrencyLimit checks the concurrency limit of a server that does less work the more pushes it holds: overload
+// marks come too late there. The limit doubles per latency at first, falls as soon as answers take more than 5/3 of the
+// baseline, and is never below four: with so few pushes in flight a node cannot tell congestion from chance.
 func TestConcurrencyLimit(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
@@ -498,9 +512,9 @@
 	s.compareTrace()
 }
 
-// Where a push to another zone costs benefit, the servers of the own zone come first while they have few pushes in
-// flight and are not under control. Without such a cost, or under control, all zones get even shares. A zone that has
-// failed is passed over.
+// TestOwnZone checks that, where a push to another zone costs benefit, the servers of the own zone come first while
+// they have few pushes in flight and are not under control. Without such a cost, or under control, all zones get even
+// shares. A zone that has failed is passed over.
 func TestOwnZone(t *testing.T) {
 	for _, crossZoneCost := range []float64{0, 0.01} {
 		t.Run(fmt.Sprint(crossZoneCost), func(t *testing.T) {
@@ -546,7 +560,8 @@
 	}
 }
 
-// The number of further pushes depends on benefit, and those that add work have a budget for the whole node.
+// TestFurtherPushes checks that the number of further pushes depends on benefit, and that those that add work have a
+// budget for the whole node.
 func TestFurtherPushes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(8))
@@ -563,7 +578,8 @@
 	s.compareTrace()
 }
 
-// Calls to the registry come at random times, back off after failures, and stop while subscribed.
+// TestRegistry checks that calls to the registry come at random times, back off after failures, and stop while
+// subscribed.
 func TestRegistry(t *testing.T) {
 	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
 	s.receiveList(ListCached, readyServers(1))
@@ -579,7 +595,8 @@
 	s.compareTrace()
 }
 
-// A node keeps to its subset of the servers and passes over servers that are down for the next ones in the ring.
+// TestSubset checks that a node keeps to its subset of the servers and passes over servers that are down for the next
+// ones in the ring.
 func TestSubset(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.shareServers()
@@ -600,7 +617,8 @@
 	s.compareTrace()
 }
 
-// Pushes are spread evenly; a server with more than twice the mean number of pushes in flight is passed over.
+// TestRotation checks that pushes are spread evenly; a server with more than twice the mean number of pushes in flight
+// is passed over.
 func TestRotation(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	s.receiveList(ListCached, readyServers(4))
@@ -615,7 +633,7 @@
 	s.compareTrace()
 }
 
-// An op that is acked by its first push causes no allocation.
+// TestNoAllocation checks that an op that is acked by its first push causes no allocation.
 func TestNoAllocation(t *testing.T) {
 	node := newScenario(t, unaskedRegistry, redeliverable).node
 	now, op := Second, OpID(0)
@@ -634,8 +652,8 @@
 	}
 }
 
-// A node that sends little to each server controls all servers together, by benefit. A single overload mark at a server
-// does not start the control of that server.
+// TestControlOfAllServers checks that a node that sends little to each server controls all servers together, by
+// benefit. A single overload mark at a server does not start the control of that server.
 func TestControlOfAllServers(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(8))
@@ -654,8 +672,8 @@
 	s.compareTrace()
 }
 
-// Hundreds of nodes with little traffic do not overload a cold server with an op each: their shares add up to no more
-// than what the server can do.
+// TestColdServerWithManyNodes checks that hundreds of nodes with little traffic do not overload a cold server with an
+// op each: their shares add up to no more than what the server can do.
 func TestColdServerWithManyNodes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list, counts := readyServers(1), [4]int{}
@@ -678,8 +696,8 @@
 	s.compareTrace()
 }
 
-// At a node with little traffic an overdue push is an overload mark while it is in flight, and only once: control starts
-// before any of the pushes ends.
+// TestOverduePushes checks that, at a node with little traffic, an overdue push is an overload mark while it is in
+// flight, and only once: control starts before any of the pushes ends.
 func TestOverduePushes(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.shareServers()
@@ -707,8 +725,9 @@
 	s.compareTrace()
 }
 
-// At a node with much traffic a queue would grow for as long as an answer takes before its overload marks are seen. An
-// overdue push is a mark there too while it is in flight: control starts before any of the pushes ends.
+// TestOverduePushesAtHighTraffic checks that, at a node with much traffic too, an overdue push is an overload mark
+// while it is in flight: control starts before any of the pushes ends. Otherwise a queue would grow for as long as an
+// answer takes before its overload marks are seen.
 func TestOverduePushesAtHighTraffic(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable, lowBenefit)
 	s.receiveList(ListCached, readyServers(2))
@@ -724,7 +743,8 @@
 	s.compareTrace()
 }
 
-// Servers and ops come and go all the time: a node keeps no more state than those present at once need.
+// TestMemoryIsBounded checks that a node keeps no more state than the servers and ops present at once need, although
+// servers and ops come and go all the time.
 func TestMemoryIsBounded(t *testing.T) {
 	s := newScenario(t, unaskedRegistry, redeliverable)
 	list := readyServers(4)
@@ -747,8 +767,8 @@
 	}
 }
 
-// Weights changed by outlier detection tell nothing about the subscription: a node that has lost the registry still
-// calls it, and no server is added or removed.
+// TestReweightedList checks that weights changed by outlier detection say nothing about the subscription: a node that
+// has lost the registry still calls it, and no server is added or removed.
 func TestReweightedList(t *testing.T) {
 	s := newScenario(t, RegistryRule{MustSubscribe: true, SubscribeWithin: 10 * Second}, redeliverable)
 	s.receiveList(ListCached, readyServers(3))
@@ -766,8 +786,8 @@
 	}
 }
 
-// Where no category has any benefit, a share of the highest benefit would be no number, and every op would be nacked
-// without a push.
+// TestZeroBenefit checks that ops are pushed where no category has any benefit. A share of the highest benefit would be
+// no number there, and every op would be nacked without a push.
 func TestZeroBenefit(t *testing.T) {
 	node := New(1, Topology{TierCount: 1, NodeCount: 1, ClockTick: Millisecond},
 		[]Category{{TargetLatency: Second, TTL: Second}},
--- a/policy/script_test.go
+++ b/policy/script_test.go
@@ -12,8 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each file under testdata/scripts holds inputs, on lines that begin with >, and below each input what the node did.
-// Servers are a, b, ... A line "N x INPUT; INPUT" repeats the inputs N times and summarizes the result.
+// TestScripts runs the files under testdata/scripts. Each holds inputs, on lines that begin with >, and below each
+// input what the node did. Servers are a, b, ... A line "N x INPUT; INPUT" repeats the inputs N times and summarizes
+// the result.
 func TestScripts(t *testing.T) {
 	paths, _ := filepath.Glob("testdata/scripts/*.txt")
 	if len(paths) < 8 {
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -73,7 +73,7 @@
 
 // adjustRate changes LeakAmount, the faster the further the mark rate is from its target, and moves the
 // cutoff level once LeakAmount has reached its bound (8.2.3, 8.2.5). It ends control after
-// terminationPendingPeriod without an overload mark or a rejection (8.2.4). drained tells that the queue
+// terminationPendingPeriod without an overload mark or a rejection (8.2.4). drained means that the queue
 // behind the marks is gone. It returns the text of a log line, or an empty string.
 func (t *throttle) adjustRate(now Micros, levelCount int, drained bool) (log string) {
 	if !t.active {
--- a/policy/types.go
+++ b/policy/types.go
@@ -94,7 +94,7 @@
 // RegistryRule tells how the registry reports changes of the list of servers.
 type RegistryRule struct {
 	MustSubscribe   bool   // changes come only to nodes that subscribe
-	SubscribeWithin Micros // a node that has not subscribed for this long counts as notified
+	SubscribeWithin Micros // changes count as delivered to a node that has not subscribed for this long
 }
 
 // ServerState is the state of a server by the list.
@@ -170,7 +170,7 @@
 	Category    CategoryID
 	Tenant      TenantID
 	Deadline    Micros // when the client gives up this try
-	ClientRetry bool   // the client tells that this is not its first try
+	ClientRetry bool   // the client says that this is not its first try
 	Server      ServerID
 	Push        PushNumber
 	Outcome     Outcome
