--- a/internal/fleet/outlier/outlier_test.go
+++ b/internal/fleet/outlier/outlier_test.go
@@ -312,7 +312,7 @@
 	inTransit      []message
 	deadEjected    int   // how often a dead server was found ejected
 	partitionBelow int   // nodes below this index are cut off from the others
-	liar           int   // node that reports every server as down
+	falseReporter  int   // node that reports every server as down
 	deadZone       uint8 // zone for which the dead servers are dead; 2: all zones
 }
 
@@ -337,7 +337,7 @@
 		f.dead[ids[f.rng.IntN(serverCount)]] = true
 	}
 	f.partitionBelow = f.rng.IntN(nodes / 2)
-	f.liar = f.rng.IntN(nodes)
+	f.falseReporter = f.rng.IntN(nodes)
 	f.deadZone = uint8(2 * f.rng.IntN(2))
 	return f
 }
@@ -390,13 +390,13 @@
 }
 
 // exchangeReports makes a node's reports, checks which servers it has ejected, and sends its reports to random nodes.
-func (f *simulatedFleet) exchangeReports(t *testing.T, node int, partitioned, liarActive bool) {
+func (f *simulatedFleet) exchangeReports(t *testing.T, node int, partitioned, falseReporterActive bool) {
 	table := f.tables[node]
 	detector := f.detectors[node]
 	for _, report := range detector.DueReports(f.now, uint16(node), table) {
 		table.AddOwn(f.now, report)
 	}
-	if node == f.liar && liarActive {
+	if node == f.falseReporter && falseReporterActive {
 		for _, server := range f.ids {
 			table.AddOwn(f.now, Report{Server: server, Sequence: uint32(f.now / 1000), Condition: Down, NodeNumber: uint16(node)})
 		}
--- a/internal/fleet/outlier/report_table.go
+++ b/internal/fleet/outlier/report_table.go
@@ -65,7 +65,8 @@
 	// answerMargin is how long after the reported start of a condition an answer must arrive to count: an answer that was in
 	// transit at that time proves nothing.
 	answerMargin = 50 * policy.Millisecond
-	// refutationMargin is how much younger than the evidence against a server an answer to a peer must be to refute it.
+	// refutationMargin is how much younger than the evidence against a server the answers to two peers must be to refute a
+	// Down report, and an answer to one peer to raise the weight of an ejected server to answeredFraction.
 	refutationMargin = 300 * policy.Millisecond
 	// minReporters is the number of nodes that must report a server as unhealthy before it is ejected.
 	minReporters = 2
--- a/internal/lab/harness/processes.go
+++ b/internal/lab/harness/processes.go
@@ -129,11 +129,11 @@
 	if len(fleetKey) == 0 {
 		fleetValue = nil // the node has no peers
 	}
-	node := slot % p.nodes
-	balancer := p.scenario.Nodes()[node]
+	nodeIndex := slot % p.nodes
+	node := p.scenario.Nodes()[nodeIndex]
 	host := relay.BindAddr(slot, 0).Addr().String()
 	listen := fmt.Sprintf("%s:%d", host, p.Relay.Port()-clientPortOffset) // unique to the run, like the relay's port
-	raw := p.scenario.NodeConfig(balancer, fmt.Sprintf("n%d", node), listen, host+":1", uint64(slot), nil, fleetValue)
+	raw := p.scenario.NodeConfig(node, fmt.Sprintf("n%d", nodeIndex), listen, host+":1", uint64(slot), nil, fleetValue)
 	raw = bytes.Replace(raw, []byte(`"log_level":"warn"`), []byte(`"log_level":"info"`), 1)
 	return os.WriteFile(p.ConfigFile(slot), raw, 0o600)
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -116,7 +116,7 @@
 }
 
 // ProgressFunc is called about once a second of a run with the time since the load began.
-type ProgressFunc func(now policy.Micros, a *ledger.Ledger)
+type ProgressFunc func(now policy.Micros, runLedger *ledger.Ledger)
 
 // Run runs an experiment and checks its result. When ctx is done before the end, the result is partial and only the
 // rules are checked.
@@ -147,13 +147,13 @@
 			return nil, errors.New("nodes of another program can't be played in simulated time")
 		}
 		result, runLedger, err = sim.Run(ctx, sim.Options{
-			Scenario:     experiment,
-			Policy:       options.Policy,
-			Fault:        options.InjectedFault,
-			Seed:         options.Seed,
-			LoadDuration: duration,
-			Arrivals:     arrivals,
-			OnSecond:     onSecond,
+			Scenario:      experiment,
+			Policy:        options.Policy,
+			InjectedFault: options.InjectedFault,
+			Seed:          options.Seed,
+			LoadDuration:  duration,
+			Arrivals:      arrivals,
+			OnSecond:      onSecond,
 		})
 	case "live":
 		result, runLedger, err = live.Run(ctx, live.Options{
--- a/internal/lab/ledger/result.go
+++ b/internal/lab/ledger/result.go
@@ -71,7 +71,7 @@
 	DatagramsPerSecond   float64 `json:"datagrams_a_node_and_second"`
 	StreamsPerSecond     float64 `json:"streams_a_node_and_second"`
 	StreamBytesPerSecond float64 `json:"streamed_bytes_a_node_and_second"`
-	MaxClosedByPeers     float64 `json:"most_closed_by_hearsay"` // share of a node's servers closed by peer reports, as the nodes answer when asked; the highest
+	MaxClosedByPeers     float64 `json:"most_closed_by_hearsay"` // highest share of a node's servers that peer reports reduced to less than a third of their weight, as the nodes answer when asked
 }
 
 // CategoryResult holds the figures of one category.
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -29,7 +29,7 @@
 	"canvasrouter/internal/standin/registry"
 	"canvasrouter/internal/standin/relay"
 	"canvasrouter/internal/standin/server"
-	standin "canvasrouter/internal/standin/servermodel"
+	"canvasrouter/internal/standin/servermodel"
 	"canvasrouter/policy"
 )
 
@@ -43,7 +43,7 @@
 	ListenAddr   string // listen address of the first node; "": any free address
 	LogDir       string // directory for the nodes' logs at level info; "": only the last lines are kept, in memory
 	// OnSecond, if set, is called about once a second with the time since the load began.
-	OnSecond func(now policy.Micros, a *ledger.Ledger)
+	OnSecond func(now policy.Micros, runLedger *ledger.Ledger)
 }
 
 const (
@@ -163,8 +163,8 @@
 	return traffic
 }
 
-// pollViews asks five nodes each second what share of their servers reports of peers have closed. The largest share is
-// shown with the result and is not part of any rule.
+// pollViews asks five nodes each second what share of their servers reports of peers have closed, that is, reduced to less
+// than a third of their weight. The largest share is shown with the result and is not part of any rule.
 func (r *run) pollViews(ctx context.Context) {
 	if r.Scenario.Fleet == nil {
 		return
@@ -569,7 +569,7 @@
 }
 
 // dedupMemory returns the deduplication memory of a category at a machine, or nil. The caller holds r.mu.
-func (r *run) dedupMemory(category int, machine scenario.Machine) *standin.DedupMemory {
+func (r *run) dedupMemory(category int, machine scenario.Machine) *servermodel.DedupMemory {
 	return r.dedupMemories.Get(r.Scenario, category, machine, r.ledger.Tolerance())
 }
 
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// A node that is started again after its process exited, but before waitForExit has recorded the exit, comes up. It used
-// to stay down, since start took the process for a running one.
+// A node that is started again after its process exited, but before waitForExit has recorded the exit, comes up. If
+// start took the exited process for a running one, the node would stay down.
 func TestRestartBeforeExitIsRecorded(t *testing.T) {
 	r, err := startRun(t.Context(), testOptions(t, readScenario(t, "steady"), "", policy.Second))
 	if err != nil {
--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -38,14 +38,13 @@
 	networkSlot  int            // index of its addresses in the run's network; differs from nodeIndex once it has moved
 	hasPeers     bool           // exchanges peer messages
 	duplicate    bool           // a second process with the name of another node; the ledger doesn't record it
-	falseReport  string         // not used
 	cachedList   []byte         // the server list that its configuration contains; nil: none
 	mu           sync.Mutex     // guards the fields below
 	cmd          *exec.Cmd      // nil while no process runs
 	stdin        io.WriteCloser // closed when this program ends, however it ends
 	exited       chan struct{}  // closed when the process has exited
 	expectedUp   bool           // an exit is an error
-	incarnation  int            // number of starts
+	startCount   int
 	output       *logTail
 }
 
@@ -100,9 +99,9 @@
 			return nil
 		}
 	}
-	p.incarnation++
+	p.startCount++
 	p.run.recordNodeStart(p)
-	seed := rngstream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.incarnation)).Uint64()
+	seed := rngstream.New(p.run.Seed, "node "+strconv.Itoa(p.nodeIndex)+" "+strconv.Itoa(p.startCount)).Uint64()
 	file := filepath.Join(p.run.dir, fmt.Sprintf("node-%d-%d.json", p.nodeIndex, p.networkSlot))
 	config := p.run.Scenario.NodeConfig(p.Node, fmt.Sprintf("n%d", p.nodeIndex), p.endpoint.addr, p.registryAddr, seed,
 		p.cachedList, p.fleetConfig())
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// figure returns the value of a cell at a number of nodes, whether it was measured at that size or computed from the
+// cell returns the value of a table cell at a number of nodes, whether it was measured at that size or computed from the
 // growth, a description of the growth, and whether there is any measurement.
 func (p *Page) cell(cell tableCell, nodes int) (value float64, measured bool, slope string, ok bool) {
 	r := p.record(cell.record, cell.kind)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -72,7 +72,7 @@
 	RetryDelay       Duration `toml:"retry_wait"`
 	MarksRetries     bool     `toml:"marks_retry"`
 	HonorsRetryAfter bool     `toml:"heeds_retry_after"`
-	ImpatientShare   float64  `toml:"impatient"` // share of clients that leave before the answer
+	ImpatientShare   float64  `toml:"impatient"` // share of clients that leave at a random time before the TTL of their op
 	LeadTime         Duration `toml:"lead"`      // from the start of the nodes to the start of the load
 	UnevenFactor     float64  `toml:"uneven"`    // times the load of the others that each fifth node of the first tier gets; 0: even load
 	TraceFile        string   `toml:"trace"`     // file of arrivals to play in place of rate and arrivals; relative to the experiment's file
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -78,7 +78,7 @@
 	if r.err != nil {
 		return
 	}
-	n.answerSlack = deciders.AnswerSlack(r.Fault, config.AnswerSlack)
+	n.answerSlack = deciders.AnswerSlack(r.InjectedFault, config.AnswerSlack)
 	n.actor = node.New(node.Options{MaxPendingOps: min(maxPendingOps, config.MaxPendingOps), AnswerSlack: n.answerSlack}, decider, n.clock, discardLogger)
 	cachedList := &node.List{Form: policy.ListCached}
 	r.ledger.RecordNodeStart(n.globalIndex)
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -274,7 +274,7 @@
 
 // dedupMemory returns the deduplication memory of a category's group at a machine, or nil.
 func (r *run) dedupMemory(category int, m scenario.Machine) *servermodel.DedupMemory {
-	return r.memories.Get(r.Scenario, category, m, r.ledger.Tolerance())
+	return r.dedupMemories.Get(r.Scenario, category, m, r.ledger.Tolerance())
 }
 
 // simPush is one push on the way to a server, at the server, or on the way back.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -25,13 +25,13 @@
 
 // Options selects the run of an experiment.
 type Options struct {
-	Scenario     *scenario.Scenario
-	Policy       string // one of deciders.Policies
-	Fault        string // one of deciders.Faults, or empty
-	Seed         uint64
-	LoadDuration policy.Micros
-	Arrivals     []load.Arrival
-	OnSecond     func(now policy.Micros, a *ledger.Ledger) // called each simulated second, if set
+	Scenario      *scenario.Scenario
+	Policy        string // one of deciders.Policies
+	InjectedFault string // one of deciders.Faults; "": none
+	Seed          uint64
+	LoadDuration  policy.Micros
+	Arrivals      []load.Arrival
+	OnSecond      func(now policy.Micros, runLedger *ledger.Ledger) // called each simulated second, if set
 }
 
 const (
@@ -83,7 +83,7 @@
 	catalogs        []*registry.Catalog // by tier
 	registryDelay   policy.Micros       // additional delay of the registry
 	registryDown    bool
-	memories        scenario.DedupMemories
+	dedupMemories   scenario.DedupMemories
 	serverIndexByID map[policy.ServerID]int
 	frontTurn       int             // number of requests that the front end has assigned
 	clockStep       policy.Micros   // offset of the clients' clocks
@@ -101,7 +101,7 @@
 		rng:             rngstream.New(options.Seed, "network"),
 		ledger:          ledger.New(s, loadStart, BucketDuration, true),
 		plan:            s.Plan(rngstream.New(options.Seed, "troubles")),
-		memories:        make(scenario.DedupMemories),
+		dedupMemories:   make(scenario.DedupMemories),
 		serverIndexByID: make(map[policy.ServerID]int),
 	}
 	r.build()
@@ -334,7 +334,7 @@
 
 // newDecider returns the decider that the options select, and the policy module inside it, which is nil for a baseline.
 func (r *run) newDecider(c *config.Config, seed uint64) (policy.Decider, *policy.Node) {
-	decider, module, err := deciders.New(r.Policy, r.Fault, c.Rules, seed)
+	decider, module, err := deciders.New(r.Policy, r.InjectedFault, c.Rules, seed)
 	if err != nil {
 		r.err = err
 	}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -90,7 +90,7 @@
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	for fault, rule := range deciders.Faults {
 		s := readScenario(t, map[string]string{"drain": "drain", "cold": "rolling-deploy", "answer": "steady", "effect": "steady"}[rule])
-		r := runScenario(t, s, Options{Fault: fault, Seed: 1})
+		r := runScenario(t, s, Options{InjectedFault: fault, Seed: 1})
 		if diff := cmp.Diff([]string{rule}, r.BrokenRules); diff != "" {
 			t.Errorf("%s: %s", fault, diff)
 		}
@@ -147,7 +147,7 @@
 		if r := runScenario(t, s, Options{Seed: seed}); len(r.BrokenRules) > 0 {
 			t.Errorf("seed %d: %v", seed, r.BreachMessages)
 		}
-		if r := runScenario(t, s, Options{Seed: seed, Fault: "drained-send"}); len(r.BrokenRules) == 0 {
+		if r := runScenario(t, s, Options{Seed: seed, InjectedFault: "drained-send"}); len(r.BrokenRules) == 0 {
 			t.Errorf("seed %d: a node that ignores drains is not detected", seed)
 		}
 	}
--- a/internal/standin/server/conn.go
+++ b/internal/standin/server/conn.go
@@ -30,12 +30,12 @@
 }
 
 // connectionCost returns the extra work of the first request on a connection, and 0 for further ones.
-func connectionCost(r *http.Request, kind *scenario.MachineType) policy.Micros {
+func connectionCost(r *http.Request, machineType *scenario.MachineType) policy.Micros {
 	c, ok := r.Context().Value(connKey{}).(*connection)
 	if !ok || c.used.Swap(true) {
 		return 0
 	}
-	return kind.ConnectionCost.Micros()
+	return machineType.ConnectionCost.Micros()
 }
 
 // writeRawAndReset writes bytes past net/http, so that they need not be valid HTTP, and resets the connection.
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -44,7 +44,7 @@
 // Server is one stand-in server. Its address stays the same over restarts.
 type Server struct {
 	index           int
-	kind            *scenario.MachineType
+	machineType     *scenario.MachineType
 	environment     Environment
 	mu              sync.Mutex
 	model           *servermodel.Server
@@ -57,15 +57,15 @@
 	silenceEnded    chan struct{} // closed when the silence ends; nil: the server is not silent
 	startedAt       policy.Micros
 	connections     map[net.Conn]bool // open connections, and whether each exceeds the limit
-	resetAfterBytes int               // length at which the next answer is cut off in mode Resets
+	resetAfterBytes int               // length at which the next answer is cut off in ModeReset
 	ignoredShare    float64           // share of the tries selected by ignoredTry that get no answer
 	ignoredTry      func(ledger.TryID) bool
 	rng             *rand.Rand
 }
 
 // New returns a server that is not started yet.
-func New(index int, kind *scenario.MachineType, spec servermodel.Spec, addr string, environment Environment) *Server {
-	return &Server{index: index, kind: kind, environment: environment, model: servermodel.New(spec), addr: addr}
+func New(index int, machineType *scenario.MachineType, spec servermodel.Spec, addr string, environment Environment) *Server {
+	return &Server{index: index, machineType: machineType, environment: environment, model: servermodel.New(spec), addr: addr}
 }
 
 // Addr returns the address of the server.
@@ -96,7 +96,7 @@
 	s.connections = make(map[net.Conn]bool)
 	s.listener = listener
 	s.timer = time.AfterFunc(time.Hour, s.advance)
-	idle := time.Duration(s.kind.IdleTimeout) * time.Microsecond
+	idle := time.Duration(s.machineType.IdleTimeout) * time.Microsecond
 	s.http = &http.Server{Handler: s, IdleTimeout: idle, ReadHeaderTimeout: idle, ConnState: s.trackConnection,
 		ConnContext: withConn, ErrorLog: discardLog}
 	go s.http.Serve(listener)
@@ -214,7 +214,7 @@
 	defer s.mu.Unlock()
 	switch connState {
 	case http.StateNew:
-		s.connections[conn] = s.kind.MaxConnections > 0 && len(s.connections) >= s.kind.MaxConnections
+		s.connections[conn] = s.machineType.MaxConnections > 0 && len(s.connections) >= s.machineType.MaxConnections
 	case http.StateClosed, http.StateHijacked:
 		delete(s.connections, conn)
 	}
@@ -283,10 +283,10 @@
 	now := s.environment.Now()
 	state := &pushState{workDone: make(chan struct{}), push: -1, op: op}
 	startKnown := true
-	if account := s.environment.Ledger; account != nil {
-		state.push = account.RecordPush(try, s.index, now)
-		node, _ := account.NodeOf(try)
-		startKnown = account.KnowsServerStart(node, s.index, s.StartedAt())
+	if runLedger := s.environment.Ledger; runLedger != nil {
+		state.push = runLedger.RecordPush(try, s.index, now)
+		node, _ := runLedger.NodeOf(try)
+		startKnown = runLedger.KnowsServerStart(node, s.index, s.StartedAt())
 	}
 	if s.isIgnored(try) {
 		select {
@@ -323,7 +323,7 @@
 			return
 		}
 	}
-	job := &servermodel.Job{Work: op.Work + connectionCost(r, s.kind), StartKnown: startKnown, Context: state}
+	job := &servermodel.Job{Work: op.Work + connectionCost(r, s.machineType), StartKnown: startKnown, Context: state}
 	s.mu.Lock()
 	result, peakLoad := s.model.Arrive(now, job), s.model.PeakLoad()
 	if result != servermodel.Accepted {
@@ -331,10 +331,10 @@
 	}
 	s.scheduleAdvance()
 	s.mu.Unlock()
-	if account := s.environment.Ledger; account != nil {
-		account.RecordPeakLoad(peakLoad)
+	if runLedger := s.environment.Ledger; runLedger != nil {
+		runLedger.RecordPeakLoad(peakLoad)
 		if result == servermodel.CollapsedByInformed || result == servermodel.CollapsedByUninformed {
-			account.RecordCollapse(s.index, result == servermodel.CollapsedByInformed)
+			runLedger.RecordCollapse(s.index, result == servermodel.CollapsedByInformed)
 		}
 	}
 	if result != servermodel.Accepted {
@@ -412,7 +412,7 @@
 	case scenario.ModeCorrupt:
 		writeRawAndReset(w, "\x16\x03\x01 this is no HTTP\r\n\r\n")
 	default:
-		if s.kind.ReportsLoad {
+		if s.machineType.ReportsLoad {
 			w.Header().Set("X-Pressure", "TEXT "+load)
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -21,12 +21,12 @@
 func startServer(t *testing.T, memory *servermodel.DedupMemory) *Server {
 	t.Helper()
 	started := time.Now()
-	kind := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
+	machineType := &scenario.MachineType{MaxConnections: 3, IdleTimeout: 5_000_000, ReportsLoad: true}
 	var lock sync.Mutex
 	// No client connects from this address, so its port stays free while the server is down. A port on the common
 	// loopback address could be taken by any connection meanwhile.
 	addr := fmt.Sprintf("127.77.%d.%d:20001", os.Getpid()>>8&255, os.Getpid()&255)
-	s := New(0, kind, servermodel.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
+	s := New(0, machineType, servermodel.Spec{Cores: 1, Speed: 1, QueueLimit: 1}, addr, Environment{
 		Now: func() policy.Micros { return policy.Micros(time.Since(started).Microseconds()) },
 		FindOp: func(id string, _ *http.Request) (ledger.TryID, *Op, bool) {
 			return 0, &Op{Key: id, Work: 20 * policy.Millisecond, Dedup: memory, DedupLock: &lock}, id != ""
@@ -118,8 +118,8 @@
 	}
 }
 
-// Stopping a server while it accepts a connection must not block: Stop once closed the HTTP server under the lock, while
-// the accept loop waited for that lock, and the whole run hung.
+// Stopping a server while it accepts a connection must not block. If Stop closed the HTTP server under the lock, it would wait
+// for the accept loop, which waits for that lock, and the whole run would hang.
 func TestStopWhileAccepting(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
