--- a/internal/lab/live/process.go
+++ b/internal/lab/live/process.go
@@ -38,6 +38,7 @@
 	networkSlot  int            // index of its addresses in the run's network; differs from nodeIndex once it has moved
 	hasPeers     bool           // exchanges peer messages
 	duplicate    bool           // a second process with the name of another node; the ledger doesn't record it
+	falseReport  string         // not used
 	cachedList   []byte         // the server list that its configuration contains; nil: none
 	mu           sync.Mutex     // guards the fields below
 	cmd          *exec.Cmd      // nil while no process runs
